--- /dev/null
+++ b/crates/notice/tests/encoding.rs
@@ -0,0 +1,23 @@
+//! Instances of other versions read the notices of this one: their encoding stays.
+
+use notice::Notice;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+
+#[test]
+fn notices_keep_their_encoding() {
+    assert_kept::<Notice>(include_str!("data/outer/notices.json"));
+}
+
+/// Reads each sample and writes it again.
+fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+    let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
+    assert!(!samples.is_empty());
+    for sample in samples {
+        let value: serde_json::Result<T> = serde_json::from_str(sample.get());
+        let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
+        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        assert_eq!(written, sample.get());
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -12,6 +12,9 @@
 mod config;
 mod datagram;
 mod dialect;
+#[cfg(test)]
+#[path = "../tests/encoding/mod.rs"]
+mod encoding;
 mod evacuation;
 pub mod event;
 mod events;
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -418,3 +418,7 @@
     let answer = client.request(method, params).await;
     answer.map_err(|e| e.to_string())
 }
+
+#[cfg(test)]
+#[path = "../tests/encoding/news.rs"]
+mod encoding;
