--- /dev/null
+++ b/crates/budget/tests/encoding.rs
@@ -0,0 +1,100 @@
+//! Instances of other versions and later incarnations read these: their encoding stays.
+
+use budget::grant::Sizing;
+use budget::joint::JointLocal;
+use budget::local::Held;
+use budget::msg::{Doubt, Reserve, RunAt};
+use budget::ranges::Ranges;
+use budget::record::{Joint, Release, Segment};
+use budget::{Account, Act, ActReply, Bill, Line, Post, Record, ReserveReply, Settled};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+
+#[test]
+fn stored_budgets_keep_their_encoding() {
+    assert_kept::<Record>(include_str!("data/outer/records.json"));
+    assert_kept::<Account>(include_str!("data/outer/accounts.json"));
+    assert_kept::<Segment>(include_str!("data/outer/segments.json"));
+    assert_kept::<Joint>(include_str!("data/outer/joints.json"));
+    assert_kept::<Line>(include_str!("data/outer/lines.json"));
+    assert_kept::<Ranges>(include_str!("data/outer/ranges.json"));
+    assert_kept::<Bill>(include_str!("data/outer/bills.json"));
+    assert_kept::<Release>(include_str!("data/outer/releases.json"));
+    assert_kept::<RunAt>(include_str!("data/outer/run_at.json"));
+}
+
+/// Guards records that an earlier version wrote, which lack these fields.
+#[test]
+fn short_stored_budgets_are_read() {
+    assert_filled::<Record>(
+        r#"{"accounts":{}}"#,
+        r#"{"accounts":{},"writers":{},"tombstones":[]}"#,
+    );
+    assert_filled::<Account>(
+        r#"{"topups":{},"lines":{}}"#,
+        r#"{"topups":{},"lines":{},"folded":0,"bills":[]}"#,
+    );
+    assert_filled::<Line>(
+        r#"{"granted":1,"settled":2}"#,
+        r#"{"granted":1,"settled":2,"written_off":0,"posted":[],"released":0}"#,
+    );
+}
+
+#[test]
+fn messages_on_budgets_keep_their_encoding() {
+    assert_kept::<Reserve>(include_str!("data/outer/reserves.json"));
+    assert_kept::<ReserveReply>(include_str!("data/outer/reserve_replies.json"));
+    assert_kept::<Settled>(include_str!("data/outer/settled.json"));
+    assert_kept::<Post>(include_str!("data/outer/posts.json"));
+    assert_kept::<Doubt>(include_str!("data/outer/doubts.json"));
+    assert_kept::<Act>(include_str!("data/outer/acts.json"));
+    assert_kept::<ActReply>(include_str!("data/outer/act_replies.json"));
+    assert_kept::<Sizing>(include_str!("data/outer/sizings.json"));
+}
+
+/// These are written only, in the dump.
+#[test]
+fn dumped_holds_keep_their_encoding() {
+    let at = || serde_json::from_str(r#"{"upstream":"engine-1","run":"r-7"}"#).expect("a sample");
+    let held = Held {
+        request: "q-1".to_string(),
+        body: u64::MAX,
+        entries: ["r1.6a".to_string(), "r2.6b".to_string()].into(),
+        at: at(),
+        tokens: 500,
+        paid: 10,
+        uncertain: true,
+        probe_at: Some(77),
+    };
+    let sample = r#"{"request":"q-1","body":18446744073709551615,"entries":["r1.6a","r2.6b"],"at":{"upstream":"engine-1","run":"r-7"},"tokens":500,"paid":10,"uncertain":true,"probe_at":77}"#;
+    assert_eq!(serde_json::to_string(&held).expect("JSON"), sample);
+    let joint = JointLocal {
+        key: "r1.6a+r2.6b+1+alpha".to_string(),
+        opened: 40,
+        asked: Some((5, 60)),
+        is_watched: true,
+        closing: false,
+    };
+    let sample = r#"{"key":"r1.6a+r2.6b+1+alpha","opened":40,"asked":[5,60],"is_watched":true,"closing":false}"#;
+    assert_eq!(serde_json::to_string(&joint).expect("JSON"), sample);
+}
+
+/// Reads each sample and writes it again.
+fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+    let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
+    assert!(!samples.is_empty());
+    for sample in samples {
+        let value: serde_json::Result<T> = serde_json::from_str(sample.get());
+        let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
+        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        assert_eq!(written, sample.get());
+    }
+}
+
+/// Reads a sample without the fields that may be left out, and writes it with them.
+fn assert_filled<T: Serialize + DeserializeOwned>(short: &str, whole: &str) {
+    let value: T = serde_json::from_str(short).expect("a sample");
+    let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+    assert_eq!(written, whole);
+}
--- /dev/null
+++ b/crates/claim/tests/encoding.rs
@@ -0,0 +1,30 @@
+//! Claims in the store outlive versions: their encoding stays.
+
+use claim::{Answer, Claim, State, Word};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+
+#[test]
+fn stored_claims_keep_their_encoding() {
+    assert_kept::<Claim>(include_str!("data/outer/claims.json"));
+    assert_kept::<State>(include_str!("data/outer/states.json"));
+    assert_kept::<Answer>(include_str!("data/outer/answers.json"));
+}
+
+#[test]
+fn words_of_holders_keep_their_encoding() {
+    assert_kept::<Word>(include_str!("data/outer/words.json"));
+}
+
+/// Reads each sample and writes it again.
+fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+    let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
+    assert!(!samples.is_empty());
+    for sample in samples {
+        let value: serde_json::Result<T> = serde_json::from_str(sample.get());
+        let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
+        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        assert_eq!(written, sample.get());
+    }
+}
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -407,3 +407,7 @@
     shared.log(Event::Released, what);
     Ok(reply)
 }
+
+#[cfg(test)]
+#[path = "../tests/encoding/admin.rs"]
+mod encoding;
--- /dev/null
+++ b/crates/err/tests/encoding.rs
@@ -0,0 +1,33 @@
+//! Callers and instances of other versions read these: their encoding stays.
+
+use err::{Error, Kind, Ran};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+
+#[test]
+fn errors_keep_their_encoding() {
+    assert_kept::<Kind>(include_str!("data/outer/kinds.json"));
+    assert_kept::<Ran>(include_str!("data/outer/ran.json"));
+    assert_kept::<Error>(include_str!("data/outer/errors.json"));
+}
+
+/// The log of refusals names these.
+#[test]
+fn words_on_a_run_keep_their_texts() {
+    assert_eq!(format!("{:?}", Ran::No), "No");
+    assert_eq!(format!("{:?}", Ran::Unknown), "Unknown");
+    assert_eq!(format!("{:?}", Ran::Yes), "Yes");
+}
+
+/// Reads each sample and writes it again.
+fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+    let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
+    assert!(!samples.is_empty());
+    for sample in samples {
+        let value: serde_json::Result<T> = serde_json::from_str(sample.get());
+        let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
+        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        assert_eq!(written, sample.get());
+    }
+}
--- /dev/null
+++ b/crates/kv/tests/encoding.rs
@@ -0,0 +1,42 @@
+//! What the service reads and answers: its encoding stays.
+
+use kv::wire::{self, KeyValue};
+use kv::{Expect, Put, Txn};
+
+#[test]
+fn keys_with_values_keep_their_encoding() {
+    let sample = r#"{"key":"YQ==","value":"b25l","mod_revision":"7"}"#;
+    let value: KeyValue = serde_json::from_str(sample).expect("a sample");
+    assert_eq!(serde_json::to_string(&value).expect("JSON"), sample);
+    let value: KeyValue = serde_json::from_str("{}").expect("a sample");
+    let whole = r#"{"key":"","value":"","mod_revision":null}"#;
+    assert_eq!(serde_json::to_string(&value).expect("JSON"), whole);
+}
+
+#[test]
+fn transactions_keep_their_encoding() {
+    let expect = Expect {
+        key: "a".to_string(),
+        revision: 3,
+    };
+    let put = Put {
+        key: "b".to_string(),
+        value: b"one".to_vec(),
+        lease: 9,
+    };
+    let txn = Txn {
+        expect: vec![expect],
+        put: vec![put],
+        delete: vec!["c".to_string()],
+    };
+    let sample = r#"{
+        "compare": [{"key": "YQ==", "target": "MOD", "result": "EQUAL", "mod_revision": "3"}],
+        "success": [
+            {"request_put": {"key": "Yg==", "value": "b25l", "lease": "9"}},
+            {"request_delete_range": {"key": "Yw=="}}
+        ],
+        "failure": [{"request_range": {"key": "YQ=="}}]
+    }"#;
+    let sample: serde_json::Value = serde_json::from_str(sample).expect("a sample");
+    assert_eq!(wire::txn(&txn), sample);
+}
--- /dev/null
+++ b/crates/peer/tests/encoding.rs
@@ -0,0 +1,26 @@
+//! Instances of other versions read the gossip, and the entries in the store: their encoding stays.
+
+use peer::{Beat, Member, Standing, Told};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+
+#[test]
+fn gossip_keeps_its_encoding() {
+    assert_kept::<Told>(include_str!("data/outer/told.json"));
+    assert_kept::<Member>(include_str!("data/outer/members.json"));
+    assert_kept::<Beat>(include_str!("data/outer/beats.json"));
+    assert_kept::<Standing>(include_str!("data/outer/standings.json"));
+}
+
+/// Reads each sample and writes it again.
+fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+    let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
+    assert!(!samples.is_empty());
+    for sample in samples {
+        let value: serde_json::Result<T> = serde_json::from_str(sample.get());
+        let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
+        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        assert_eq!(written, sample.get());
+    }
+}
--- /dev/null
+++ b/crates/route/tests/encoding.rs
@@ -0,0 +1,85 @@
+//! The store, upstreams and the dump hold these: their encoding stays.
+
+use route::{Choice, Key, Kind, Load, Spec, Upstream, Why};
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+
+#[test]
+fn upstreams_in_the_store_keep_their_encoding() {
+    assert_kept::<Spec>(include_str!("data/outer/specs.json"));
+    assert_kept::<Kind>(include_str!("data/outer/kinds.json"));
+    assert_kept::<Load>(include_str!("data/outer/loads.json"));
+    assert_filled::<Spec>(
+        r#"{"id":"e","kind":"engine","url":"u","zone":"z","serves":[]}"#,
+        r#"{"id":"e","kind":"engine","url":"u","zone":"z","serves":[],"leaving":false}"#,
+    );
+    assert_filled::<Load>(
+        r#"{"slots":8,"running":2,"waiting":1}"#,
+        r#"{"slots":8,"running":2,"waiting":1,"draining":false}"#,
+    );
+}
+
+/// These are written only, in the dump.
+#[test]
+fn dumped_upstreams_keep_their_encoding() {
+    let spec: Spec = serde_json::from_str(r#"{"id":"engine-1","kind":"engine","url":"http://10.0.0.2:80","zone":"zone-1","serves":["m1","m2"],"leaving":true}"#).expect("a sample");
+    let upstream = Upstream {
+        versions: [("m1".to_string(), "v2".to_string())].into(),
+        load: serde_json::from_str(r#"{"slots":8,"running":2,"waiting":1,"draining":true}"#)
+            .expect("a sample"),
+        load_at: Some(55),
+        inflight: 3,
+        since_report: 4,
+        failures: 5,
+        ejected_until: 6,
+        ejections: 7,
+        leaving: true,
+        ..Upstream::new(spec)
+    };
+    let sample = r#"{"spec":{"id":"engine-1","kind":"engine","url":"http://10.0.0.2:80","zone":"zone-1","serves":["m1","m2"],"leaving":true},"versions":{"m1":"v2"},"load":{"slots":8,"running":2,"waiting":1,"draining":true},"load_at":55,"inflight":3,"since_report":4,"failures":5,"ejected_until":6,"ejections":7,"leaving":true}"#;
+    assert_eq!(serde_json::to_string(&upstream).expect("JSON"), sample);
+}
+
+#[test]
+fn choices_keep_their_encoding() {
+    let whys = [Why::Prefix, Why::OwnZone, Why::LeastOfTwo, Why::Joined];
+    let sample = r#"["prefix","own_zone","least_of_two","joined"]"#;
+    assert_eq!(serde_json::to_string(&whys).expect("JSON"), sample);
+    let choice = Choice {
+        key: Key(3),
+        id: "engine-1".to_string(),
+        url: "http://10.0.0.2:80".to_string(),
+        why: Why::Prefix,
+    };
+    let sample = r#"{"key":3,"id":"engine-1","url":"http://10.0.0.2:80","why":"prefix"}"#;
+    assert_eq!(serde_json::to_string(&choice).expect("JSON"), sample);
+}
+
+/// The steps of a request name these.
+#[test]
+fn reasons_of_choices_keep_their_texts() {
+    assert_eq!(format!("{:?}", Why::Prefix), "Prefix");
+    assert_eq!(format!("{:?}", Why::OwnZone), "OwnZone");
+    assert_eq!(format!("{:?}", Why::LeastOfTwo), "LeastOfTwo");
+    assert_eq!(format!("{:?}", Why::Joined), "Joined");
+}
+
+/// Reads each sample and writes it again.
+fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+    let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
+    assert!(!samples.is_empty());
+    for sample in samples {
+        let value: serde_json::Result<T> = serde_json::from_str(sample.get());
+        let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
+        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        assert_eq!(written, sample.get());
+    }
+}
+
+/// Reads a sample without the fields that may be left out, and writes it with them.
+fn assert_filled<T: Serialize + DeserializeOwned>(short: &str, whole: &str) {
+    let value: T = serde_json::from_str(short).expect("a sample");
+    let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+    assert_eq!(written, whole);
+}
