--- a/crates/budget/tests/encoding.rs
+++ b/crates/budget/tests/encoding.rs
@@ -6,7 +6,7 @@
 use budget::msg::{Doubt, Reserve, RunAt};
 use budget::ranges::Ranges;
 use budget::record::{Joint, Release, Segment};
-use budget::{Account, Act, ActReply, Bill, Line, Post, Record, ReserveReply, Settled};
+use budget::{Account, Act, ActReply, Bill, Line, Post, Record, ReserveReply, Role, Settled};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -80,6 +80,15 @@
     assert_eq!(serde_json::to_string(&joint).expect("JSON"), sample);
 }
 
+/// The dump and the steps of a request name these.
+#[test]
+fn roles_and_settlements_keep_their_texts() {
+    let roles = [Role::Home, Role::Standby, Role::None];
+    assert_eq!(format!("{roles:?}"), "[Home, Standby, None]");
+    let settled: [Result<Settled, ()>; 2] = [Ok(Settled::Recorded), Ok(Settled::Copied)];
+    assert_eq!(format!("{settled:?}"), "[Ok(Recorded), Ok(Copied)]");
+}
+
 /// Reads each sample and writes it again.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
--- a/crates/claim/tests/encoding.rs
+++ b/crates/claim/tests/encoding.rs
@@ -17,6 +17,13 @@
     assert_kept::<Word>(include_str!("data/outer/words.json"));
 }
 
+/// The steps of a request name these.
+#[test]
+fn words_of_holders_keep_their_texts() {
+    let words = [Word::Running, Word::NotRun, Word::Unknown, Word::Silent];
+    assert_eq!(format!("{words:?}"), "[Running, NotRun, Unknown, Silent]");
+}
+
 /// Reads each sample and writes it again.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
--- a/crates/conf/tests/encoding.rs
+++ b/crates/conf/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! Operators, stores and instances of other versions hold these: their encoding stays.
 
 use conf::bundle::Change;
-use conf::{Bundle, Chunk, Config, Customer, Fleet, Head, Settings, Template};
+use conf::{Bundle, Chunk, Config, Customer, Fault, Fleet, Head, Settings, Template};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -47,6 +47,16 @@
     assert_eq!(serde_json::to_string(&policy).expect("JSON"), sample);
 }
 
+/// Operators get these.
+#[test]
+fn faults_keep_their_text() {
+    let fault = Fault {
+        path: "/zone".to_string(),
+        what: "is missing".to_string(),
+    };
+    assert_eq!(fault.to_string(), "at /zone: is missing");
+}
+
 /// Reads each sample and writes it again.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
--- a/crates/entry/tests/encoding.rs
+++ b/crates/entry/tests/encoding.rs
@@ -1,10 +1,12 @@
 //! Instances of other versions and operators read these: their encoding stays.
 
 use entry::journal::Journal;
+use entry::metric::Metrics;
 use entry::msg::{
     DropOutMsg, ExtendMsg, GossipMsg, KeepMsg, OpenMsg, PullMsg, PullReply, RecallMsg, ReserveMsg,
     SettleMsg, VoidMsg,
 };
+use entry::pipe::relay::End;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -36,6 +38,37 @@
     );
 }
 
+#[test]
+fn ends_of_attempts_keep_their_texts() {
+    let text = |end: End| format!("{end:?}");
+    let why = || "reset".to_string();
+    assert_eq!(text(End::Whole(30)), "Whole(30)");
+    assert_eq!(text(End::NotRun(why())), r#"NotRun("reset")"#);
+    assert_eq!(text(End::Broken(why())), r#"Broken("reset")"#);
+    assert_eq!(text(End::Gone), "Gone");
+    assert_eq!(text(End::CallerLeft), "CallerLeft");
+    assert_eq!(text(End::Overrun), "Overrun");
+    assert_eq!(text(End::Late), "Late");
+}
+
+/// Guards names that monitoring reads.
+#[test]
+fn metrics_keep_their_names_and_labels() {
+    let metrics = Metrics::open();
+    metrics.ended("ok");
+    metrics.message("settle", 5);
+    metrics.platform("read", 7);
+    let text = metrics.text();
+    // Without their values, which follow the last space.
+    let line = |l: &str| match l.rsplit_once(' ') {
+        Some((name, _)) if !l.starts_with('#') => name.to_string(),
+        _ => l.to_string(),
+    };
+    let lines: Vec<String> = text.lines().map(line).collect();
+    let sample = include_str!("data/outer/metrics.txt");
+    assert_eq!(lines, sample.lines().collect::<Vec<_>>());
+}
+
 /// Reads each sample and writes it again.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
--- a/crates/err/tests/encoding.rs
+++ b/crates/err/tests/encoding.rs
@@ -20,6 +20,18 @@
     assert_eq!(format!("{:?}", Ran::Yes), "Yes");
 }
 
+#[test]
+fn answers_keep_their_encoding() {
+    let error: Error = serde_json::from_str(
+        r#"{"kind":"overloaded","message":"busy","ran":"no","retry_after_secs":1}"#,
+    )
+    .expect("a sample");
+    assert_eq!(error.to_string(), "overloaded: busy");
+    let body = r#"{"error":{"type":"invalid_request_error","code":"overloaded","message":"busy","ran":"no"}}"#;
+    let body: serde_json::Value = serde_json::from_str(body).expect("a sample");
+    assert_eq!(error.body(), body);
+}
+
 /// Reads each sample and writes it again.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
--- a/crates/peer/tests/encoding.rs
+++ b/crates/peer/tests/encoding.rs
@@ -13,6 +13,13 @@
     assert_kept::<Standing>(include_str!("data/outer/standings.json"));
 }
 
+/// The log names these.
+#[test]
+fn standings_keep_their_texts() {
+    let standings = [Standing::Live, Standing::Leaving, Standing::Left];
+    assert_eq!(format!("{standings:?}"), "[Live, Leaving, Left]");
+}
+
 /// Reads each sample and writes it again.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
--- a/crates/proxy/src/calls.rs
+++ b/crates/proxy/src/calls.rs
@@ -228,3 +228,7 @@
         Box::pin(self.counted("lease_end", self.store.end_lease(lease), |()| "done"))
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/encoding/calls.rs"]
+mod encoding;
--- /dev/null
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -0,0 +1,48 @@
+//! How calls of the store are named in the log, and all metrics: monitoring reads both, and they stay.
+
+use std::sync::Arc;
+
+use clock::Clock;
+use dial::Dialer;
+
+use super::{Call, Calls};
+use crate::log::Log;
+use crate::metric::Metrics;
+use crate::reach::Reach;
+use crate::suspects::Suspects;
+
+fn call() -> Call {
+    Call {
+        task: "budgets",
+        call: "write",
+        end: "done",
+        store: "in_reach",
+    }
+}
+
+#[test]
+fn calls_of_the_store_keep_their_text() {
+    assert_eq!(call().to_string(), "budgets.write.done.in_reach");
+}
+
+#[test]
+fn metrics_keep_their_names_and_labels() {
+    let clock = Clock::start();
+    let log = Arc::new(Log::open(clock));
+    let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
+    let calls = Calls::open(clock, reach);
+    let suspects = Suspects::open("r1", clock, log, Dialer::default());
+    let metrics = Metrics::open(&calls, &suspects);
+    calls.count(call());
+    metrics.ended("chat", "ok");
+    metrics.first("chat", 5);
+    let text = metrics.text();
+    // Without their values, which follow the last space.
+    let line = |l: &str| match l.rsplit_once(' ') {
+        Some((name, _)) if !l.starts_with('#') => name.to_string(),
+        _ => l.to_string(),
+    };
+    let lines: Vec<String> = text.lines().map(line).collect();
+    let sample = include_str!("../data/outer/metrics.txt");
+    assert_eq!(lines, sample.lines().collect::<Vec<_>>());
+}
--- a/crates/proxy/tests/encoding/mod.rs
+++ b/crates/proxy/tests/encoding/mod.rs
@@ -1,5 +1,7 @@
 //! What instances of other versions read and send, and what stands in the store: its encoding stays.
 
+mod texts;
+
 use crate::bank::{Draw, Drawn};
 use crate::datagram::Datagram;
 use crate::fleet::Member;
--- /dev/null
+++ b/crates/proxy/tests/encoding/texts.rs
@@ -0,0 +1,77 @@
+//! Texts in details of log lines that types print by themselves: operators and reports read them, and they stay.
+
+use dial::ConnectError;
+use err::Ran;
+use kv::Failure;
+use place::{Denied, RateLimit};
+
+use crate::attempt::Failed;
+use crate::peers::Gift;
+
+/// A text in a variant.
+fn why() -> String {
+    "reset".to_string()
+}
+
+#[test]
+fn failed_attempts_keep_their_texts() {
+    let text = |failed: Failed| format!("{failed:?}");
+    assert_eq!(text(Failed::NotRun(why())), r#"NotRun("reset")"#);
+    assert_eq!(text(Failed::Unanswered(why())), r#"Unanswered("reset")"#);
+    assert_eq!(text(Failed::Unknown(why())), r#"Unknown("reset")"#);
+    assert_eq!(text(Failed::Late), "Late");
+    let text = |denied: Denied| format!("{:?}", Failed::Denied(denied));
+    let retry_ms = 40;
+    assert_eq!(text(Denied::Unknown), "Denied(Unknown)");
+    assert_eq!(text(Denied::NoneLeft), "Denied(NoneLeft)");
+    assert_eq!(text(Denied::Evacuated), "Denied(Evacuated)");
+    assert_eq!(text(Denied::Outside), "Denied(Outside)");
+    let resting = text(Denied::Resting { retry_ms });
+    assert_eq!(resting, "Denied(Resting { retry_ms: 40 })");
+    let cold = text(Denied::Cold { retry_ms });
+    assert_eq!(cold, "Denied(Cold { retry_ms: 40 })");
+    let limited = text(Denied::Limited { retry_ms });
+    assert_eq!(limited, "Denied(Limited { retry_ms: 40 })");
+    let busy = text(Denied::Busy { retry_ms });
+    assert_eq!(busy, "Denied(Busy { retry_ms: 40 })");
+}
+
+#[test]
+fn failed_connections_keep_their_texts() {
+    let text = |e: ConnectError| format!("{e:?}");
+    assert_eq!(text(ConnectError::Full), "Full");
+    assert_eq!(text(ConnectError::Refused(why())), r#"Refused("reset")"#);
+    let unreachable = text(ConnectError::Unreachable(why()));
+    assert_eq!(unreachable, r#"Unreachable("reset")"#);
+    assert_eq!(text(ConnectError::TimedOut), "TimedOut");
+}
+
+#[test]
+fn failed_calls_of_the_store_keep_their_texts() {
+    let text = |e: Failure| format!("{e:?}");
+    assert_eq!(text(Failure::Refused(why())), r#"Refused("reset")"#);
+    assert_eq!(text(Failure::Unknown(why())), r#"Unknown("reset")"#);
+}
+
+#[test]
+fn gifts_keep_their_text() {
+    let sample = r#"{"customer":"alpha","given":{"from":"r1.6a","to":"r2.6b","total":90},"spent":{"from":"r1.6a","to":"r2.6b","total":30}}"#;
+    let gift: Gift = serde_json::from_str(sample).expect("a sample");
+    let text = r#"Gift { customer: "alpha", given: Told { from: "r1.6a", to: "r2.6b", total: 90 }, spent: Told { from: "r1.6a", to: "r2.6b", total: 30 } }"#;
+    assert_eq!(format!("{gift:?}"), text);
+    let given: [Result<bool, String>; 2] = [Ok(true), Err(why())];
+    assert_eq!(format!("{given:?}"), r#"[Ok(true), Err("reset")]"#);
+}
+
+#[test]
+fn refusals_keep_their_texts() {
+    let ran = [Ran::No, Ran::Unknown, Ran::Yes];
+    assert_eq!(format!("{ran:?}"), "[No, Unknown, Yes]");
+    assert_eq!(format!("{:?}", Some(40_u64)), "Some(40)");
+}
+
+#[test]
+fn rate_limits_keep_their_text() {
+    let limit = RateLimit::from_per_sec(2.5).map(RateLimit::as_per_sec);
+    assert_eq!(format!("{limit:?}"), "Some(2.5)");
+}
--- a/crates/suspect/tests/encoding.rs
+++ b/crates/suspect/tests/encoding.rs
@@ -3,7 +3,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
-use suspect::{Digest, Ended, Word};
+use suspect::{Blame, Digest, Ended, Word};
 
 #[test]
 fn words_of_suspects_keep_their_encoding() {
@@ -12,6 +12,26 @@
     assert_kept::<Word>(include_str!("data/outer/words.json"));
 }
 
+/// Logs and callers get these texts.
+#[test]
+fn words_of_suspects_keep_their_texts() {
+    let digest: Digest = serde_json::from_str("[81985529216486895,7]").expect("a sample");
+    assert_eq!(digest.to_string(), "0123456789abcdef");
+    let whole = "0123456789abcdef0000000000000007";
+    assert_eq!(format!("{digest:.32}"), whole);
+    let end = |upstream: &str, by: &str, ago_ms| (upstream.to_string(), by.to_string(), ago_ms);
+    let blame = Blame {
+        ends: vec![
+            end("engine-1@5", "r1.6a", 250),
+            end("engine-2@6", "r2.6b", 0),
+        ],
+        trials: 2,
+        retry_ms: Some(40),
+    };
+    let text = "upstreams ended under this request: engine-1@5 (seen by r1.6a 250 ms ago) engine-2@6 (seen by r2.6b 0 ms ago) trials=2";
+    assert_eq!(blame.to_string(), text);
+}
+
 /// Reads each sample and writes it again.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
