--- /dev/null
+++ b/crates/entry/tests/encoding.rs
@@ -0,0 +1,82 @@
+//! Instances of other versions and operators read these: their encoding stays.
+
+use entry::journal::Journal;
+use entry::metric::Metrics;
+use entry::msg::{
+    DropOutMsg, ExtendMsg, GossipMsg, KeepMsg, OpenMsg, PullMsg, PullReply, RecallMsg, ReserveMsg,
+    SettleMsg, VoidMsg,
+};
+use entry::pipe::relay::End;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
+
+#[test]
+fn instance_messages_keep_their_encoding() {
+    assert_kept::<ReserveMsg>(include_str!("data/outer/reserve_msgs.json"));
+    assert_kept::<ExtendMsg>(include_str!("data/outer/extend_msgs.json"));
+    assert_kept::<VoidMsg>(include_str!("data/outer/void_msgs.json"));
+    assert_kept::<DropOutMsg>(include_str!("data/outer/drop_out_msgs.json"));
+    assert_kept::<SettleMsg>(include_str!("data/outer/settle_msgs.json"));
+    assert_kept::<KeepMsg>(include_str!("data/outer/keep_msgs.json"));
+    assert_kept::<RecallMsg>(include_str!("data/outer/recall_msgs.json"));
+    assert_kept::<OpenMsg>(include_str!("data/outer/open_msgs.json"));
+    assert_kept::<GossipMsg>(include_str!("data/outer/gossip_msgs.json"));
+    assert_kept::<PullMsg>(include_str!("data/outer/pull_msgs.json"));
+    assert_kept::<PullReply>(include_str!("data/outer/pull_replies.json"));
+}
+
+/// These are written only, to operators.
+#[test]
+fn steps_of_requests_keep_their_encoding() {
+    let journal = Journal::default();
+    journal.add(12, "q-1", "asked");
+    let sample = r#"[{"at":12,"what":"asked"}]"#;
+    assert_eq!(
+        serde_json::to_string(&journal.get("q-1")).expect("JSON"),
+        sample
+    );
+}
+
+#[test]
+fn ends_of_attempts_keep_their_texts() {
+    let text = |end: End| format!("{end:?}");
+    let why = || "reset".to_string();
+    assert_eq!(text(End::Whole(30)), "Whole(30)");
+    assert_eq!(text(End::NotRun(why())), r#"NotRun("reset")"#);
+    assert_eq!(text(End::Broken(why())), r#"Broken("reset")"#);
+    assert_eq!(text(End::Gone), "Gone");
+    assert_eq!(text(End::CallerLeft), "CallerLeft");
+    assert_eq!(text(End::Overrun), "Overrun");
+    assert_eq!(text(End::Late), "Late");
+}
+
+/// Guards names that monitoring reads.
+#[test]
+fn metrics_keep_their_names_and_labels() {
+    let metrics = Metrics::open();
+    metrics.ended("ok");
+    metrics.message("settle", 5);
+    metrics.platform("read", 7);
+    let text = metrics.text();
+    // Without their values, which follow the last space.
+    let line = |l: &str| match l.rsplit_once(' ') {
+        Some((name, _)) if !l.starts_with('#') => name.to_string(),
+        _ => l.to_string(),
+    };
+    let lines: Vec<String> = text.lines().map(line).collect();
+    let sample = include_str!("data/outer/metrics.txt");
+    assert_eq!(lines, sample.lines().collect::<Vec<_>>());
+}
+
+/// Reads each sample and writes it again.
+fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+    let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
+    assert!(!samples.is_empty());
+    for sample in samples {
+        let value: serde_json::Result<T> = serde_json::from_str(sample.get());
+        let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
+        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        assert_eq!(written, sample.get());
+    }
+}
