--- a/crates/place/src/cold.rs
+++ b/crates/place/src/cold.rs
@@ -12,14 +12,14 @@
 
 /// How a service's upstreams behave while they are cold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Cold {
+pub struct ColdStart {
     /// How long one is cold that says nothing of it, in milliseconds.
     pub lasts_ms: u64,
     /// Requests that one bears in a second from all instances together; none where there is no such bound.
     pub most: Option<f64>,
 }
 
-impl Cold {
+impl ColdStart {
     /// Returns the requests that one instance may have at a cold upstream within a second.
     pub(crate) fn own_part(&self) -> Option<usize> {
         self.most.map(|most| (most / VIEWS) as usize)
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -23,14 +23,16 @@
 mod usual;
 mod want;
 
-pub use cold::Cold;
+pub use cold::ColdStart;
 pub use limit::{RateLimit, VersionedLimit};
 pub use link::Link;
-pub use missing::Missing;
-pub use pool::{Listed, Pool};
-pub use retry::{Bounds, Retries};
-pub use room::Room;
+pub use missing::MissingEntries;
+pub use pool::{EntryChange, Pool};
+pub use retry::{RetryBudget, RetryLimits};
+pub use room::RequestMemory;
 pub use senders::Senders;
 pub use share::connections;
-pub use upstream::{Held, Key, Load, Outcome, Part, Spec, Ticket, Upstream};
-pub use want::{Choice, Denied, Want};
+pub use upstream::{
+    AttemptId, InstanceLoad, Load, Outcome, PromptSegment, Spec, Upstream, UpstreamKey,
+};
+pub use want::{Choice, ChooseError, Criteria};
--- a/crates/place/src/missing.rs
+++ b/crates/place/src/missing.rs
@@ -16,14 +16,14 @@
 
 /// Judges missing entries.
 #[derive(Clone, Debug, Default)]
-pub struct Missing {
+pub struct MissingEntries {
     back_at: u64,
     dropped: usize,
     /// Missing entries that are still listed, with the latest revision at which they were missing.
     deferred: BTreeMap<String, i64>,
 }
 
-impl Missing {
+impl MissingEntries {
     /// Returns whether one more missing entry is taken for gone. `back_at` is when the store answered
     /// again, 0 if it always did; `listed` counts the entries known.
     pub fn is_gone(&mut self, now: u64, back_at: u64, listed: usize) -> bool {
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -6,13 +6,13 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::cold::Cold;
+use crate::cold::ColdStart;
 use crate::rate::{homes, is_full, may_use, rate_one, Rated};
 use crate::said::Said;
 use crate::senders::Senders;
-use crate::upstream::{Held, Key, Load, Outcome, Spec, Ticket, Upstream};
+use crate::upstream::{AttemptId, InstanceLoad, Load, Outcome, Spec, Upstream, UpstreamKey};
 use crate::usual::Usual;
-use crate::want::{Choice, Denied, Want};
+use crate::want::{Choice, ChooseError, Criteria};
 
 mod throttle;
 
@@ -28,18 +28,18 @@
 
 /// What an entry of the list is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EntryChange {
     /// An upstream that was not known.
     New,
     /// A known upstream started again under its name: nothing of its earlier incarnation holds any more.
-    Reborn {
+    Restarted {
         /// The incarnation that ended.
         ended: String,
     },
     /// A known upstream leaves.
     Leaving,
     /// Nothing new.
-    Known,
+    Unchanged,
 }
 
 /// All upstreams.
@@ -47,12 +47,12 @@
 pub struct Pool {
     upstreams: Vec<Option<Upstream>>,
     /// Places of upstreams that were dropped.
-    free: Vec<Key>,
-    by_id: HashMap<String, Key>,
+    free: Vec<UpstreamKey>,
+    by_id: HashMap<String, UpstreamKey>,
     /// By the hash of the incarnation.
-    by_hash: HashMap<u64, Key>,
+    by_hash: HashMap<u64, UpstreamKey>,
     /// At which upstreams another instance had something, by its last report.
-    held_by: HashMap<u64, SmallVec<[Key; 4]>>,
+    held_by: HashMap<u64, SmallVec<[UpstreamKey; 4]>>,
     /// The hashed name of this instance.
     me: u64,
     usual: HashMap<String, Usual>,
@@ -63,7 +63,7 @@
     /// The region of each zone.
     regions: BTreeMap<String, String>,
     /// How the upstreams of a service behave while they are cold.
-    cold: HashMap<String, Cold>,
+    cold: HashMap<String, ColdStart>,
     senders: Senders,
 }
 
@@ -74,7 +74,7 @@
     }
 
     /// Sets how the upstreams of each service behave while they are cold.
-    pub fn set_cold(&mut self, cold: HashMap<String, Cold>) {
+    pub fn set_cold(&mut self, cold: HashMap<String, ColdStart>) {
         self.cold = cold;
     }
 
@@ -110,22 +110,22 @@
         &self.evacuated
     }
 
-    fn cold(&self, service: &str) -> Cold {
+    fn cold(&self, service: &str) -> ColdStart {
         self.cold.get(service).copied().unwrap_or_default()
     }
 
     /// Takes an entry of the list.
-    pub fn list(&mut self, now: u64, spec: Spec) -> Listed {
+    pub fn list(&mut self, now: u64, spec: Spec) -> EntryChange {
         if spec.leaving {
             self.said.leaving(&spec.incarnation());
         }
         let Some(key) = self.by_id.get(&spec.id).copied() else {
             self.add(now, spec);
-            return Listed::New;
+            return EntryChange::New;
         };
         let up = self.get_mut(key);
         if up.spec.is_reborn_since(&spec) {
-            return Listed::Known;
+            return EntryChange::Unchanged;
         }
         if spec.is_reborn_since(&up.spec) {
             let ended = up.spec.incarnation();
@@ -133,7 +133,7 @@
             self.drop_idle(key);
             let key = self.add(now, spec);
             self.get_mut(key).reborn = true;
-            return Listed::Reborn { ended };
+            return EntryChange::Restarted { ended };
         }
         let news = spec.leaving && !up.leaving;
         let before = up.hash();
@@ -143,14 +143,14 @@
         self.by_hash.insert(hash, key);
         self.place(now, key);
         if news {
-            Listed::Leaving
+            EntryChange::Leaving
         } else {
-            Listed::Known
+            EntryChange::Unchanged
         }
     }
 
     /// Takes what an upstream's entry says of its zone, and of how long it is cold.
-    fn place(&mut self, now: u64, key: Key) {
+    fn place(&mut self, now: u64, key: UpstreamKey) {
         let usual = self.cold(&self.get(key).spec.service);
         let evacuated = self.evacuated.contains(&self.get(key).spec.zone);
         let up = self.get_mut(key);
@@ -159,11 +159,11 @@
         self.update_throttle(now, key);
     }
 
-    fn add(&mut self, now: u64, spec: Spec) -> Key {
+    fn add(&mut self, now: u64, spec: Spec) -> UpstreamKey {
         let id = spec.id.clone();
         let key = self.free.pop().unwrap_or_else(|| {
             self.upstreams.push(None);
-            Key(self.upstreams.len() as u32 - 1)
+            UpstreamKey(self.upstreams.len() as u32 - 1)
         });
         let mut up = Upstream::new(spec);
         let incarnation = up.spec.incarnation();
@@ -207,7 +207,7 @@
 
     /// Notes that an upstream wants nothing for some milliseconds; returns whether that is longer than it said before. What it
     /// said before holds until its time.
-    pub fn rests(&mut self, now: u64, key: Key, ms: u64) -> bool {
+    pub fn rests(&mut self, now: u64, key: UpstreamKey, ms: u64) -> bool {
         let until = now + ms.min(REST_MOST_MS);
         let up = self.get_mut(key);
         let longer = until > up.rests_until;
@@ -218,7 +218,7 @@
     }
 
     /// Returns the incarnation of an upstream, by its newest entry.
-    pub fn incarnation(&self, key: Key) -> String {
+    pub fn incarnation(&self, key: UpstreamKey) -> String {
         self.get(key).spec.incarnation()
     }
 
@@ -229,7 +229,7 @@
     }
 
     /// Returns whether an upstream is listed, and nothing says that it leaves.
-    pub fn stays(&self, key: Key) -> bool {
+    pub fn stays(&self, key: UpstreamKey) -> bool {
         let up = self.get(key);
         !up.gone && !up.leaving
     }
@@ -240,22 +240,22 @@
         leaving.map(|u| u.spec.incarnation()).collect()
     }
 
-    fn by_incarnation(&self, incarnation: &str) -> Option<Key> {
+    fn by_incarnation(&self, incarnation: &str) -> Option<UpstreamKey> {
         let hash = xxh3_64(incarnation.as_bytes());
         self.by_hash.get(&hash).copied()
     }
 
-    fn get(&self, key: Key) -> &Upstream {
+    fn get(&self, key: UpstreamKey) -> &Upstream {
         let up = self.upstreams[key.0 as usize].as_ref();
         up.expect("kept while requests run there")
     }
 
-    fn get_mut(&mut self, key: Key) -> &mut Upstream {
+    fn get_mut(&mut self, key: UpstreamKey) -> &mut Upstream {
         let up = self.upstreams[key.0 as usize].as_mut();
         up.expect("kept while requests run there")
     }
 
-    fn drop_idle(&mut self, key: Key) {
+    fn drop_idle(&mut self, key: UpstreamKey) {
         let up = self.get(key);
         if up.gone && up.inflight == 0 {
             let (id, hash) = (up.spec.id.clone(), up.hash());
@@ -277,7 +277,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub fn choose(&mut self, now: u64, want: &Want<'_>) -> Result<Choice, Denied> {
+    pub fn choose(&mut self, now: u64, want: &Criteria<'_>) -> Result<Choice, ChooseError> {
         if self.senders.expire(now) {
             self.update_throttles(now);
         }
@@ -289,18 +289,18 @@
             let order = order.unwrap_or(Ordering::Equal);
             order.then_with(|| turn(a).cmp(&turn(b)))
         };
-        let best = rated.iter().min_by(by_cost).ok_or(Denied::NoneLeft)?;
+        let best = rated.iter().min_by(by_cost).ok_or(ChooseError::NoneLeft)?;
         let left = want.deadline.saturating_sub(now);
         if best.expect_ms > left as f64 {
             let retry_ms = (best.expect_ms as u64).saturating_sub(left);
-            return Err(Denied::Busy {
+            return Err(ChooseError::Busy {
                 retry_ms: retry_ms.max(RETRY_LEAST_MS),
             });
         }
         let (key, unread, expect_ms) = (best.key, best.unread, best.expect_ms);
         let work = best.work;
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = AttemptId(self.tickets);
         let read_ms = work * self.usual(want.service).read_ms;
         let up = self.get_mut(key);
         up.begin(now, ticket, read_ms);
@@ -322,21 +322,21 @@
     }
 
     /// Returns the upstreams that may take a request, with what it would cost there.
-    fn rate(&self, now: u64, want: &Want<'_>) -> Result<Vec<Rated>, Denied> {
+    fn rate(&self, now: u64, want: &Criteria<'_>) -> Result<Vec<Rated>, ChooseError> {
         let of_service = |u: &&Upstream| u.spec.service == want.service;
         if !self.listed().any(|u| of_service(&u)) {
-            return Err(Denied::Unknown);
+            return Err(ChooseError::Unknown);
         }
         let all = self.upstreams.iter().enumerate();
-        let all = all.filter_map(|(i, u)| Some((Key(i as u32), u.as_ref()?)));
+        let all = all.filter_map(|(i, u)| Some((UpstreamKey(i as u32), u.as_ref()?)));
         let cold = self.cold(want.service);
         let staying = all.filter(|(_, u)| of_service(u) && u.takes(now));
         let staying = staying.filter(|(_, u)| self.may_reach(u, want) && u.is_open(now, cold));
-        let staying: SmallVec<[(Key, &Upstream); 32]> = staying.collect();
+        let staying: SmallVec<[(UpstreamKey, &Upstream); 32]> = staying.collect();
         if staying.is_empty() {
             self.why_none(now, want)?;
         }
-        let fit: SmallVec<[(Key, &Upstream); 32]> = {
+        let fit: SmallVec<[(UpstreamKey, &Upstream); 32]> = {
             let fit = staying.iter().filter(|(_, u)| may_use(u, now, want));
             fit.copied().collect()
         };
@@ -355,19 +355,19 @@
         }
         if rated.is_empty() && full > 0 {
             let retry_ms = RETRY_LEAST_MS + want.random % RETRY_LEAST_MS;
-            return Err(Denied::Busy { retry_ms });
+            return Err(ChooseError::Busy { retry_ms });
         }
         Ok(rated)
     }
 
     /// Returns whether an upstream is in a region that a request may reach.
-    fn may_reach(&self, up: &Upstream, want: &Want<'_>) -> bool {
+    fn may_reach(&self, up: &Upstream, want: &Criteria<'_>) -> bool {
         let region = self.regions.get(&up.spec.zone);
         want.regions.is_empty() || region.is_some_and(|r| want.regions.contains(r))
     }
 
     /// Returns why no upstream of a service takes a request, where that is more than that all leave.
-    fn why_none(&self, now: u64, want: &Want<'_>) -> Result<(), Denied> {
+    fn why_none(&self, now: u64, want: &Criteria<'_>) -> Result<(), ChooseError> {
         let of_service = self.listed().filter(|u| u.spec.service == want.service);
         let stay: SmallVec<[&Upstream; 32]> = of_service.filter(|u| !u.leaving).collect();
         if stay.is_empty() {
@@ -376,13 +376,13 @@
         let reached = stay.into_iter().filter(|u| self.may_reach(u, want));
         let reached: SmallVec<[&Upstream; 32]> = reached.collect();
         if reached.is_empty() {
-            return Err(Denied::Outside);
+            return Err(ChooseError::Outside);
         }
         if reached.iter().all(|u| u.evacuated) {
-            return Err(Denied::Evacuated);
+            return Err(ChooseError::Evacuated);
         }
         if let Some(retry_ms) = soonest(now, reached.iter().map(|u| u.rests_until)) {
-            return Err(Denied::Resting { retry_ms });
+            return Err(ChooseError::Resting { retry_ms });
         }
         let limited = reached
             .iter()
@@ -390,21 +390,21 @@
         if let Some(retry_ms) = limited.filter_map(|u| u.limit_retry_ms(now)).min() {
             let retry_ms = retry_ms.max(RETRY_LEAST_MS);
             let retry_ms = retry_ms + want.random % retry_ms;
-            return Err(Denied::Limited { retry_ms });
+            return Err(ChooseError::Limited { retry_ms });
         }
         let cold = soonest(now, reached.iter().filter_map(|u| u.cold_until(now)));
-        cold.map_or(Ok(()), |retry_ms| Err(Denied::Cold { retry_ms }))
+        cold.map_or(Ok(()), |retry_ms| Err(ChooseError::Cold { retry_ms }))
     }
 
     /// Returns what this instance has at its upstreams, for the others.
-    pub fn held(&self, now: u64) -> Vec<(u64, Held)> {
+    pub fn held(&self, now: u64) -> Vec<(u64, InstanceLoad)> {
         let busy = self.upstreams.iter().flatten().filter(|u| u.inflight > 0);
         busy.map(|u| (u.hash(), u.held(now))).collect()
     }
 
     /// Takes the word of another instance on what it has at its upstreams.
-    pub fn hear(&mut self, now: u64, from: u64, held: &HashMap<u64, Held>) {
-        let nothing = Held {
+    pub fn hear(&mut self, now: u64, from: u64, held: &HashMap<u64, InstanceLoad>) {
+        let nothing = InstanceLoad {
             reading_ms: 0.0,
             inflight: 0,
         };
@@ -429,7 +429,7 @@
     }
 
     /// Takes an upstream's word on its load.
-    pub fn report(&mut self, now: u64, key: Key, load: Load) {
+    pub fn report(&mut self, now: u64, key: UpstreamKey, load: Load) {
         self.get_mut(key).report(now, load);
     }
 
@@ -443,7 +443,7 @@
     }
 
     /// Counts the end of a request.
-    pub fn end(&mut self, now: u64, key: Key, ticket: Ticket, outcome: Outcome) {
+    pub fn end(&mut self, now: u64, key: UpstreamKey, ticket: AttemptId, outcome: Outcome) {
         self.get_mut(key).end(now, ticket, outcome);
         self.drop_idle(key);
     }
--- a/crates/place/src/pool/throttle.rs
+++ b/crates/place/src/pool/throttle.rs
@@ -3,7 +3,7 @@
 use super::Pool;
 use crate::limit::{RateLimit, VersionedLimit};
 use crate::senders::Senders;
-use crate::upstream::{Key, Upstream};
+use crate::upstream::{Upstream, UpstreamKey};
 
 impl Pool {
     /// Records the request rate limit, or its absence, in an upstream's answer to a request sent at `sent_at`. Returns the new
@@ -11,7 +11,7 @@
     pub fn set_limit(
         &mut self,
         now: u64,
-        key: Key,
+        key: UpstreamKey,
         sent_at: u64,
         limit: Option<RateLimit>,
     ) -> Option<VersionedLimit> {
@@ -57,7 +57,7 @@
         }
     }
 
-    pub(super) fn update_throttle(&mut self, now: u64, key: Key) {
+    pub(super) fn update_throttle(&mut self, now: u64, key: UpstreamKey) {
         if let Some(up) = &mut self.upstreams[key.0 as usize] {
             update(up, now, &self.senders);
         }
--- a/crates/place/src/rate.rs
+++ b/crates/place/src/rate.rs
@@ -1,8 +1,8 @@
 //! What a request would cost at an upstream: the time that it would take there, and what it costs others.
 
-use crate::upstream::{Key, Upstream};
+use crate::upstream::{Upstream, UpstreamKey};
 use crate::usual::{Usual, CALL_MS_FIRST, FIRST_MS};
-use crate::want::Want;
+use crate::want::Criteria;
 
 /// A token is read against all tokens before it: with so many of them before it, it takes twice as long.
 const CONTEXT_DOUBLES: f64 = 24_000.0;
@@ -25,21 +25,21 @@
 
 /// An upstream that may take a request, with what that would cost.
 pub(crate) struct Rated {
-    pub(crate) key: Key,
+    pub(crate) key: UpstreamKey,
     pub(crate) unread: u32,
     pub(crate) work: f64,
     pub(crate) expect_ms: f64,
     pub(crate) cost_ms: f64,
 }
 
-pub(crate) fn may_use(up: &Upstream, now: u64, want: &Want<'_>) -> bool {
+pub(crate) fn may_use(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
     if up.health.is_out(now) {
         return false;
     }
     !up.health.is_on_trial() || (up.inflight == 0 && want.repeatable)
 }
 
-pub(crate) fn is_full(up: &Upstream, now: u64, want: &Want<'_>) -> bool {
+pub(crate) fn is_full(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
     let pct = if want.prompt > 0 { FULL_PCT } else { QUEUE_PCT };
     up.occupancy(now) * 100 >= up.slots() * pct
 }
@@ -50,8 +50,8 @@
 /// beginning would be read by as many engines as there are instances.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Homes {
-    first: Option<Key>,
-    next: Option<Key>,
+    first: Option<UpstreamKey>,
+    next: Option<UpstreamKey>,
 }
 
 /// Whose turn it is to read a beginning.
@@ -63,7 +63,7 @@
 }
 
 impl Homes {
-    pub(crate) fn turn(&self, key: Key) -> Turn {
+    pub(crate) fn turn(&self, key: UpstreamKey) -> Turn {
         if self.first == Some(key) {
             Turn::First
         } else if self.next == Some(key) {
@@ -74,12 +74,12 @@
     }
 }
 
-pub(crate) fn homes(want: &Want<'_>, from: &[(Key, &Upstream)]) -> Homes {
+pub(crate) fn homes(want: &Criteria<'_>, from: &[(UpstreamKey, &Upstream)]) -> Homes {
     let Some(shared) = want.parts.len().checked_sub(2) else {
         return Homes::default();
     };
     let what = want.parts[shared].id;
-    let rank = |(_, up): &&(Key, &Upstream)| up.rank(what);
+    let rank = |(_, up): &&(UpstreamKey, &Upstream)| up.rank(what);
     let first = from.iter().max_by_key(rank).map(|(key, _)| *key);
     let others = from.iter().filter(|(key, _)| Some(*key) != first);
     let next = others.max_by_key(rank).map(|(key, _)| *key);
@@ -87,10 +87,10 @@
 }
 
 pub(crate) fn rate_one(
-    key: Key,
+    key: UpstreamKey,
     up: &Upstream,
     now: u64,
-    want: &Want<'_>,
+    want: &Criteria<'_>,
     turn: Turn,
     usual: Usual,
 ) -> Rated {
@@ -136,7 +136,7 @@
 }
 
 /// Returns the tokens of a prompt that an upstream will have to read, as far as known.
-fn unread(up: &Upstream, now: u64, want: &Want<'_>, home: bool) -> u32 {
+fn unread(up: &Upstream, now: u64, want: &Criteria<'_>, home: bool) -> u32 {
     let shared = want.parts.len().saturating_sub(1);
     let mut kept = 0;
     for (i, part) in want.parts.iter().enumerate() {
--- a/crates/place/src/retry.rs
+++ b/crates/place/src/retry.rs
@@ -13,7 +13,7 @@
 
 /// The bound.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct RetryLimits {
     /// Repetitions as a share of the requests.
     pub ratio: f64,
     /// Repetitions besides.
@@ -22,11 +22,11 @@
     pub window_ms: u64,
 }
 
-impl Default for Bounds {
+impl Default for RetryLimits {
     /// A tenth of the requests and ten besides, in ten seconds: what keeps a failing service from
     /// being drowned by its own clients.
     fn default() -> Self {
-        Bounds {
+        RetryLimits {
             ratio: 0.1,
             slack: 10.0,
             window_ms: 10_000,
@@ -42,15 +42,15 @@
 
 /// Requests and repetitions of late, by service.
 #[derive(Debug, Default)]
-pub struct Retries {
-    bounds: Bounds,
+pub struct RetryBudget {
+    bounds: RetryLimits,
     seen: HashMap<String, Seen>,
 }
 
-impl Retries {
+impl RetryBudget {
     /// Makes a budget.
-    pub fn new(bounds: Bounds) -> Retries {
-        Retries {
+    pub fn new(bounds: RetryLimits) -> RetryBudget {
+        RetryBudget {
             bounds,
             seen: HashMap::new(),
         }
--- a/crates/place/src/room.rs
+++ b/crates/place/src/room.rs
@@ -13,17 +13,17 @@
 
 /// The memory for requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Room {
+pub struct RequestMemory {
     /// Bytes that may be taken; none when there is no limit.
     most: Option<usize>,
     taken: usize,
 }
 
-impl Room {
+impl RequestMemory {
     /// Returns the room of a process with a limit in megabytes.
-    pub fn new(memory_mb: Option<u64>) -> Room {
+    pub fn new(memory_mb: Option<u64>) -> RequestMemory {
         let bytes = memory_mb.map(|mb| (mb as usize) << 20);
-        Room {
+        RequestMemory {
             most: bytes.map(|b| b / 100 * USABLE_PCT),
             taken: 0,
         }
--- a/crates/place/src/sent.rs
+++ b/crates/place/src/sent.rs
@@ -2,7 +2,7 @@
 
 use smallvec::SmallVec;
 
-use crate::upstream::Ticket;
+use crate::upstream::AttemptId;
 
 /// Window in which requests to a cold upstream are counted, in milliseconds.
 const SECOND_MS: u64 = 1_000;
@@ -11,7 +11,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
-    ticket: Ticket,
+    ticket: AttemptId,
     /// Earliest time at which it stops counting, in milliseconds.
     counts_until: u64,
     /// Whether the upstream was cold when the request was sent.
@@ -39,12 +39,12 @@
     }
 
     /// Returns whether a request counts and is still in flight.
-    pub(crate) fn holds(&self, ticket: Ticket) -> bool {
+    pub(crate) fn holds(&self, ticket: AttemptId) -> bool {
         self.under_way.iter().any(|r| r.ticket == ticket)
     }
 
     /// Counts a request for at least `window_ms`.
-    pub(crate) fn begin(&mut self, now: u64, ticket: Ticket, window_ms: u64, cold: bool) {
+    pub(crate) fn begin(&mut self, now: u64, ticket: AttemptId, window_ms: u64, cold: bool) {
         self.until.retain(|until| *until > now);
         let counts_until = now + window_ms;
         self.under_way.push(InFlight {
@@ -56,7 +56,7 @@
 
     /// Records the head of a request's answer, or the end of the request; `answered` tells whether there was an answer. A request
     /// to a cold upstream may have arrived at any time up to now, so its window starts now.
-    pub(crate) fn end(&mut self, now: u64, ticket: Ticket, answered: bool) {
+    pub(crate) fn end(&mut self, now: u64, ticket: AttemptId, answered: bool) {
         let Some(i) = self.under_way.iter().position(|r| r.ticket == ticket) else {
             return;
         };
--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::cold::Cold;
+use crate::cold::ColdStart;
 use crate::health::Health;
 use crate::known::Known;
 use crate::limit::{RateLimit, Share, VersionedLimit};
@@ -27,11 +27,11 @@
 
 /// Names an upstream in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Key(pub u32);
+pub struct UpstreamKey(pub u32);
 
 /// Names a request at its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct AttemptId(pub u64);
 
 /// An upstream as its list shows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
 
 /// A part of a prompt that requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct PromptSegment {
     /// Its name.
     pub id: u64,
     /// Its tokens.
@@ -94,30 +94,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was answered.
-    Well,
+    Success,
     /// It was answered with an error.
-    Error,
+    ErrorResponse,
     /// It was refused without having run.
     Refused,
     /// The answer broke off, or was none.
-    Broken,
+    InvalidResponse,
     /// It could not be reached, or said nothing in time.
-    Silent,
+    Unresponsive,
     /// The caller left, or its time was over: this says nothing of the upstream.
-    Dropped,
+    Abandoned,
 }
 
 /// A request that waits for its first token.
 #[derive(Clone, Copy, Debug)]
 struct Reading {
-    ticket: Ticket,
+    ticket: AttemptId,
     sent_at: u64,
     read_ms: f64,
 }
 
 /// What an instance has at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Held {
+pub struct InstanceLoad {
     /// How long the upstream still reads its prompts, in milliseconds.
     pub reading_ms: f64,
     /// Its requests there.
@@ -129,7 +129,7 @@
 struct Heard {
     from: u64,
     at: u64,
-    held: Held,
+    held: InstanceLoad,
 }
 
 /// One upstream.
@@ -253,12 +253,12 @@
     }
 
     /// Takes what its entry says of how long it is cold.
-    pub(crate) fn warms_up(&mut self, now: u64, usual: Cold) {
+    pub(crate) fn warms_up(&mut self, now: u64, usual: ColdStart) {
         self.cold_until = now + self.spec.cold_ms.unwrap_or(usual.lasts_ms);
     }
 
     /// Takes that it comes back into service: it may have become cold since its entry was written.
-    pub(crate) fn comes_back(&mut self, now: u64, usual: Cold) {
+    pub(crate) fn comes_back(&mut self, now: u64, usual: ColdStart) {
         self.cold_at_least = now + usual.lasts_ms;
     }
 
@@ -268,12 +268,12 @@
     }
 
     /// Returns whether it takes any number of requests: it is warm, or its service has no bound for cold ones.
-    fn is_unbounded(&self, now: u64, cold: Cold) -> bool {
+    fn is_unbounded(&self, now: u64, cold: ColdStart) -> bool {
         cold.most.is_none() || self.cold_until(now).is_none()
     }
 
     /// Returns whether this instance may send it one more request while it is cold or limited.
-    pub(crate) fn is_open(&self, now: u64, cold: Cold) -> bool {
+    pub(crate) fn is_open(&self, now: u64, cold: ColdStart) -> bool {
         let sends = || self.cold_from.is_some_and(|from| from <= now);
         let has_room = || {
             cold.own_part()
@@ -300,7 +300,7 @@
     }
 
     /// Returns whether a request that was chosen for it may be sent: it has not become cold or limited since.
-    pub(crate) fn may_get(&self, now: u64, ticket: Ticket, cold: Cold) -> bool {
+    pub(crate) fn may_get(&self, now: u64, ticket: AttemptId, cold: ColdStart) -> bool {
         let unbounded = self.is_unbounded(now, cold) && self.limit().is_none();
         self.takes(now) && (unbounded || self.sent.holds(ticket))
     }
@@ -364,15 +364,15 @@
     }
 
     /// Returns what this instance has there.
-    pub fn held(&self, now: u64) -> Held {
-        Held {
+    pub fn held(&self, now: u64) -> InstanceLoad {
+        InstanceLoad {
             reading_ms: self.own_reading_ms(now),
             inflight: self.inflight,
         }
     }
 
     /// Takes the word of another instance on what it has there.
-    pub fn hear(&mut self, now: u64, from: u64, held: Held) {
+    pub fn hear(&mut self, now: u64, from: u64, held: InstanceLoad) {
         self.heard
             .retain(|h| h.from != from && now < h.at + HEARD_MS);
         let heard = Heard {
@@ -395,7 +395,7 @@
     }
 
     /// Counts a request sent there, whose prompt takes `read_ms` to read.
-    pub fn begin(&mut self, now: u64, ticket: Ticket, read_ms: f64) {
+    pub fn begin(&mut self, now: u64, ticket: AttemptId, read_ms: f64) {
         self.inflight += 1;
         self.since_report += 1;
         let cold = self.cold_until(now).is_some();
@@ -413,7 +413,7 @@
 
     /// Takes the first token, or the answer, of a request; `alone_ms` is what it would have taken on
     /// an upstream of its service's usual speed with nothing else to do.
-    pub fn first(&mut self, now: u64, ticket: Ticket, alone_ms: f64) {
+    pub fn first(&mut self, now: u64, ticket: AttemptId, alone_ms: f64) {
         self.sent.end(now, ticket, true);
         let Some(i) = self.reading.iter().position(|r| r.ticket == ticket) else {
             return;
@@ -461,18 +461,21 @@
     ///
     /// Panics when more requests end than began: an end counted twice would let in more than the
     /// upstream can bear.
-    pub fn end(&mut self, now: u64, ticket: Ticket, outcome: Outcome) {
+    pub fn end(&mut self, now: u64, ticket: AttemptId, outcome: Outcome) {
         assert!(self.inflight > 0, "{}: an end too many", self.spec.id);
         self.inflight -= 1;
         self.reading.retain(|r| r.ticket != ticket);
-        let answered = matches!(outcome, Outcome::Well | Outcome::Error | Outcome::Refused);
+        let answered = matches!(
+            outcome,
+            Outcome::Success | Outcome::ErrorResponse | Outcome::Refused
+        );
         self.sent.end(now, ticket, answered);
         match outcome {
-            Outcome::Well => self.health.well(now),
-            Outcome::Error => self.health.error(now),
-            Outcome::Broken => self.health.broken(now),
-            Outcome::Silent => self.health.silent(now),
-            Outcome::Refused | Outcome::Dropped => {}
+            Outcome::Success => self.health.well(now),
+            Outcome::ErrorResponse => self.health.error(now),
+            Outcome::InvalidResponse => self.health.broken(now),
+            Outcome::Unresponsive => self.health.silent(now),
+            Outcome::Refused | Outcome::Abandoned => {}
         }
     }
 }
--- a/crates/place/src/want.rs
+++ b/crates/place/src/want.rs
@@ -1,22 +1,22 @@
 //! What a request wants of an upstream, and what it gets.
 
-use crate::upstream::{Key, Part, Spec, Ticket};
+use crate::upstream::{AttemptId, PromptSegment, Spec, UpstreamKey};
 
 /// What a request wants.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct Criteria<'a> {
     /// The service.
     pub service: &'a str,
     /// The own availability zone.
     pub zone: &'a str,
     /// The parts of its prompt, in order; the last one is its own.
-    pub parts: &'a [Part],
+    pub parts: &'a [PromptSegment],
     /// Tokens of its prompt; 0 for a plain call.
     pub prompt: u32,
     /// Regions whose upstreams it may reach; empty where it may reach all.
     pub regions: &'a [String],
     /// Upstreams that were tried.
-    pub tried: &'a [Key],
+    pub tried: &'a [UpstreamKey],
     /// When its answer is no longer wanted, in milliseconds.
     pub deadline: u64,
     /// Whether it may run more than once.
@@ -29,11 +29,11 @@
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The upstream.
-    pub key: Key,
+    pub key: UpstreamKey,
     /// As its list shows it.
     pub spec: Spec,
     /// The request there.
-    pub ticket: Ticket,
+    pub ticket: AttemptId,
     /// Tokens that it will have to read, as far as known.
     pub unread: u32,
     /// The same, weighed by how many tokens stand before them.
@@ -44,7 +44,7 @@
 
 /// Why no upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denied {
+pub enum ChooseError {
     /// None is known.
     Unknown,
     /// All that are known were tried, leave, or are out.
--- a/crates/place/tests/choice.rs
+++ b/crates/place/tests/choice.rs
@@ -4,7 +4,10 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use place::{Choice, Denied, Held, Listed, Load, Outcome, Part, Pool, Spec, Want};
+use place::{
+    Choice, ChooseError, Criteria, EntryChange, InstanceLoad, Load, Outcome, Pool, PromptSegment,
+    Spec,
+};
 
 use crate::common::call;
 
@@ -19,16 +22,16 @@
 
 fn pool(n: u32, service: &str) -> Pool {
     let mut pool = Pool::default();
-    (0..n).for_each(|i| assert_eq!(pool.list(0, spec(i, service)), Listed::New));
+    (0..n).for_each(|i| assert_eq!(pool.list(0, spec(i, service)), EntryChange::New));
     pool
 }
 
-fn part(id: u64, tokens: u32) -> Part {
-    Part { id, tokens }
+fn part(id: u64, tokens: u32) -> PromptSegment {
+    PromptSegment { id, tokens }
 }
 
-fn chat(parts: &[Part]) -> Want<'_> {
-    Want {
+fn chat(parts: &[PromptSegment]) -> Criteria<'_> {
+    Criteria {
         parts,
         prompt: parts.iter().map(|p| p.tokens).sum(),
         ..call("z0")
@@ -39,7 +42,7 @@
 fn serve(pool: &mut Pool, now: u64, choice: &Choice) {
     let done = now + choice.expect_ms as u64;
     pool.first(done, choice, now);
-    pool.end(done, choice.key, choice.ticket, Outcome::Well);
+    pool.end(done, choice.key, choice.ticket, Outcome::Success);
 }
 
 /// The load: a hundred long beginnings, each asked for again and again, seen by nine instances that
@@ -95,7 +98,7 @@
         serve(&mut pool, 0, &first);
         let up = pool.listed().find(|u| u.spec.id == first.spec.id);
         let hash = up.unwrap().hash();
-        let held = Held {
+        let held = InstanceLoad {
             reading_ms,
             inflight: 2,
         };
@@ -125,7 +128,7 @@
         let up = pool.listed().find(|u| u.spec.id == home.spec.id);
         up.unwrap().hash()
     };
-    let busy = Held {
+    let busy = InstanceLoad {
         reading_ms: 3_000.0,
         inflight: 8,
     };
@@ -136,7 +139,7 @@
     // The word is old by then, and the reading done.
     let parts = [part(1, 13_000), part(4, 3_700)];
     // The other one has the beginning by now as well: from the own zone the first one is nearer.
-    let near = Want {
+    let near = Criteria {
         zone: &home.spec.zone,
         ..chat(&parts)
     };
@@ -165,14 +168,14 @@
 fn an_upstream_that_can_not_be_reached_is_left_alone() {
     let mut pool = pool(3, "pool");
     let dead = pool.choose(0, &call("z0")).unwrap();
-    pool.end(250, dead.key, dead.ticket, Outcome::Silent);
+    pool.end(250, dead.key, dead.ticket, Outcome::Unresponsive);
     for i in 0..20 {
         let choice = pool.choose(260 + i, &call("z0")).unwrap();
         assert_ne!(choice.spec.id, dead.spec.id);
         serve(&mut pool, 260 + i, &choice);
     }
     // Afterwards one request at a time tries it, and none that may not be repeated.
-    let once = Want {
+    let once = Criteria {
         repeatable: false,
         ..call("z0")
     };
@@ -186,7 +189,7 @@
     let mut pool = pool(4, "pool");
     for i in 0..12 {
         if let Ok(choice) = pool.choose(i, &call("z0")) {
-            pool.end(i, choice.key, choice.ticket, Outcome::Silent);
+            pool.end(i, choice.key, choice.ticket, Outcome::Unresponsive);
         }
     }
     assert!(pool.choose(20, &call("z0")).is_ok());
@@ -199,18 +202,21 @@
     let choice = pool.choose(0, &call("z0")).unwrap();
     assert_eq!(choice.spec.id, "i1");
     let tried = [choice.key];
-    let again = Want {
+    let again = Criteria {
         tried: &tried,
         ..call("z0")
     };
-    assert_eq!(pool.choose(1, &again).unwrap_err(), Denied::NoneLeft);
+    assert_eq!(pool.choose(1, &again).unwrap_err(), ChooseError::NoneLeft);
     assert_eq!(pool.delist("i1").as_deref(), Some("i1"));
-    assert_eq!(pool.choose(2, &call("z0")).unwrap_err(), Denied::NoneLeft);
-    let nobody = Want {
+    assert_eq!(
+        pool.choose(2, &call("z0")).unwrap_err(),
+        ChooseError::NoneLeft
+    );
+    let nobody = Criteria {
         service: "other",
         ..call("z0")
     };
-    assert_eq!(pool.choose(3, &nobody).unwrap_err(), Denied::Unknown);
+    assert_eq!(pool.choose(3, &nobody).unwrap_err(), ChooseError::Unknown);
 }
 
 /// The load: more than the engines can read in time. What can't make its deadline is refused at once.
@@ -220,7 +226,7 @@
     let mut refused = None;
     for i in 0..60 {
         let parts = [part(i, 40_000), part(1_000 + i, 10_000)];
-        let want = Want {
+        let want = Criteria {
             deadline: 5_000,
             ..chat(&parts)
         };
@@ -231,7 +237,7 @@
     }
     let (after, denied) = refused.expect("a bound");
     assert!((2..20).contains(&after), "{after}");
-    assert!(matches!(denied, Denied::Busy { retry_ms } if retry_ms > 0));
+    assert!(matches!(denied, ChooseError::Busy { retry_ms } if retry_ms > 0));
 }
 
 #[test]
--- a/crates/place/tests/cold.rs
+++ b/crates/place/tests/cold.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use place::{Cold, Denied, Outcome, Pool, Spec};
+use place::{ChooseError, ColdStart, Outcome, Pool, Spec};
 
 use crate::common::call;
 use crate::fleet::Fleet;
@@ -30,8 +30,8 @@
     }
 }
 
-fn cold() -> HashMap<String, Cold> {
-    let cold = Cold {
+fn cold() -> HashMap<String, ColdStart> {
+    let cold = ColdStart {
         lasts_ms: COLD_MS,
         most: Some(BOUND as f64),
     };
@@ -140,7 +140,7 @@
     let mut given_up = 0;
     for now in SETTLED_MS..SETTLED_MS + 4_000 {
         while let Ok(choice) = pool.choose(now, &call("a")) {
-            pool.end(now, choice.key, choice.ticket, Outcome::Silent);
+            pool.end(now, choice.key, choice.ticket, Outcome::Unresponsive);
             given_up += 1;
         }
     }
@@ -164,7 +164,7 @@
     pool.list(10, spec(1, "a", Some(2_000)));
     assert!(!pool.may_send(10, &choice));
     let denied = pool.choose(20, &call("a")).unwrap_err();
-    assert_eq!(denied, Denied::Cold { retry_ms: 1_990 });
+    assert_eq!(denied, ChooseError::Cold { retry_ms: 1_990 });
     assert!(pool.choose(2_010, &call("a")).is_ok(), "warm again");
 }
 
@@ -176,7 +176,7 @@
     pool.list(100, spec(0, "a", None));
     assert_eq!(
         pool.choose(100, &call("a")).unwrap_err(),
-        Denied::Cold { retry_ms: COLD_MS }
+        ChooseError::Cold { retry_ms: COLD_MS }
     );
     assert!(pool.choose(100 + COLD_MS, &call("a")).is_ok());
     let mut free = Pool::default();
--- a/crates/place/tests/common/fleet.rs
+++ b/crates/place/tests/common/fleet.rs
@@ -74,7 +74,7 @@
                 self.updates.push((now + SPREAD_MS, upstream, limit));
             }
             pool.first(now, &r.choice, r.sent_at);
-            pool.end(now, r.choice.key, r.choice.ticket, Outcome::Well);
+            pool.end(now, r.choice.key, r.choice.ticket, Outcome::Success);
         }
         let (due, later) = self.updates.drain(..).partition(|u| u.0 <= now);
         self.updates = later;
--- a/crates/place/tests/common/mod.rs
+++ b/crates/place/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use place::{Spec, Want};
+use place::{Criteria, Spec};
 
 /// Returns an upstream of the service `pool` in a zone.
 pub(crate) fn spec(id: &str, zone: &str) -> Spec {
@@ -19,8 +19,8 @@
 }
 
 /// Returns a plain call of that service, by an instance in a zone.
-pub(crate) fn call(zone: &str) -> Want<'_> {
-    Want {
+pub(crate) fn call(zone: &str) -> Criteria<'_> {
+    Criteria {
         service: "pool",
         zone,
         parts: &[],
--- a/crates/place/tests/limit.rs
+++ b/crates/place/tests/limit.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use place::{Denied, Outcome, Pool, RateLimit, Spec, VersionedLimit};
+use place::{ChooseError, Outcome, Pool, RateLimit, Spec, VersionedLimit};
 
 use crate::common::call;
 use crate::fleet::Fleet;
@@ -189,7 +189,7 @@
     pool.list(0, spec(0));
     assert!(matches!(
         pool.choose(10, &call("a")).unwrap_err(),
-        Denied::Limited { .. }
+        ChooseError::Limited { .. }
     ));
     pool.delist("u0");
     pool.list(20, spec(0));
@@ -211,7 +211,7 @@
     assert_eq!(pool.set_limit(30, earlier.key, 10, None), None);
     assert_eq!(pool.limited_count(), 1);
     let key = earlier.key;
-    pool.end(30, key, earlier.ticket, Outcome::Well);
+    pool.end(30, key, earlier.ticket, Outcome::Success);
     // A stricter limit applies regardless of when its request was sent.
     let stricter = pool.set_limit(40, key, 10, limit(0.5));
     assert_eq!(stricter, Some(versioned(0.5, 2)));
@@ -236,7 +236,7 @@
     for _ in 0..20 {
         let choice = pool.choose(SETTLED_MS + 10, &call("a")).unwrap();
         *sent.get_mut(&choice.spec.id).unwrap() += 1;
-        pool.end(SETTLED_MS + 10, choice.key, choice.ticket, Outcome::Well);
+        pool.end(SETTLED_MS + 10, choice.key, choice.ticket, Outcome::Success);
     }
     assert!(sent["u0"] <= 1, "{sent:?}");
     sent.insert("u1".to_string(), 0);
@@ -245,13 +245,13 @@
         match pool.choose(SETTLED_MS + 20, &call("a")) {
             Ok(choice) => {
                 *sent.get_mut(&choice.spec.id).unwrap() += 1;
-                pool.end(SETTLED_MS + 20, choice.key, choice.ticket, Outcome::Well);
+                pool.end(SETTLED_MS + 20, choice.key, choice.ticket, Outcome::Success);
             }
             Err(denied) => break denied,
         }
     };
     assert!(sent["u0"] <= 1 && sent["u1"] <= 1, "{sent:?}");
-    let Denied::Limited { retry_ms } = denied else {
+    let ChooseError::Limited { retry_ms } = denied else {
         panic!("{denied:?}");
     };
     assert!((300..=2_000).contains(&retry_ms), "{retry_ms}");
--- a/crates/place/tests/lives.rs
+++ b/crates/place/tests/lives.rs
@@ -2,19 +2,21 @@
 
 mod common;
 
-use place::{Choice, Held, Listed, Load, Outcome, Part, Pool, Spec, Want};
+use place::{
+    Choice, Criteria, EntryChange, InstanceLoad, Load, Outcome, Pool, PromptSegment, Spec,
+};
 use std::collections::HashMap;
 
-const PARTS: [Part; 3] = [
-    Part {
+const PARTS: [PromptSegment; 3] = [
+    PromptSegment {
         id: 1,
         tokens: 2_000,
     },
-    Part {
+    PromptSegment {
         id: 2,
         tokens: 6_000,
     },
-    Part { id: 3, tokens: 500 },
+    PromptSegment { id: 3, tokens: 500 },
 ];
 
 fn spec(born: u64) -> Spec {
@@ -26,7 +28,7 @@
 }
 
 fn choose(pool: &mut Pool, now: u64) -> Choice {
-    let want = Want {
+    let want = Criteria {
         parts: &PARTS,
         prompt: 8_500,
         deadline: now + 10_000,
@@ -57,14 +59,14 @@
     );
     let told = HashMap::from([(
         pool.listed().next().expect("listed").hash(),
-        Held {
+        InstanceLoad {
             reading_ms: 9_000.0,
             inflight: 5,
         },
     )]);
     pool.hear(20, 77, &told);
     let ended = "e@100".to_string();
-    assert_eq!(pool.list(0, spec(200)), Listed::Reborn { ended });
+    assert_eq!(pool.list(0, spec(200)), EntryChange::Restarted { ended });
     let up = pool.listed().next().expect("the later incarnation");
     assert_eq!((up.inflight, up.occupancy(30)), (0, 0));
     // What others still say of the earlier incarnation does not concern the later one.
@@ -83,7 +85,7 @@
         },
     );
     for choice in [&first, &known] {
-        pool.end(60, choice.key, choice.ticket, Outcome::Silent);
+        pool.end(60, choice.key, choice.ticket, Outcome::Unresponsive);
     }
     let up = pool.listed().next().expect("listed");
     assert_eq!(up.inflight, 1);
@@ -109,13 +111,13 @@
 fn an_older_entry_changes_nothing() {
     let mut pool = Pool::default();
     pool.list(0, spec(200));
-    assert_eq!(pool.list(0, spec(100)), Listed::Known);
+    assert_eq!(pool.list(0, spec(100)), EntryChange::Unchanged);
     assert_eq!(pool.listed().next().expect("listed").spec.born, Some(200));
     // One that does not say is of the incarnation that is known.
     let silent = Spec {
         born: None,
         ..spec(0)
     };
-    assert_eq!(pool.list(0, silent), Listed::Known);
+    assert_eq!(pool.list(0, silent), EntryChange::Unchanged);
     assert_eq!(pool.listed().next().expect("listed").spec.born, Some(200));
 }
--- a/crates/place/tests/missing.rs
+++ b/crates/place/tests/missing.rs
@@ -1,10 +1,10 @@
 //! Missing entries after an outage of the store.
 
-use place::Missing;
+use place::MissingEntries;
 
 #[test]
 fn without_an_outage_what_is_missing_is_gone() {
-    let mut missing = Missing::default();
+    let mut missing = MissingEntries::default();
     assert!((0..20).all(|i| missing.is_gone(100 + i, 0, 20)));
 }
 
@@ -13,7 +13,7 @@
 /// missing after an outage was kept for 2.5 s.
 #[test]
 fn one_that_leaves_right_after_an_outage_is_gone_at_once() {
-    let mut missing = Missing::default();
+    let mut missing = MissingEntries::default();
     assert!(missing.is_gone(11_200, 10_000, 21));
     assert!(missing.is_gone(11_300, 10_000, 20));
 }
@@ -22,7 +22,7 @@
 /// store is out. Cause: all of them were taken for gone.
 #[test]
 fn many_that_vanish_in_an_outage_are_kept_until_they_may_be_back() {
-    let mut missing = Missing::default();
+    let mut missing = MissingEntries::default();
     let mut listed = 20;
     for _ in 0..20 {
         listed -= usize::from(missing.is_gone(10_100, 10_000, listed));
@@ -34,7 +34,7 @@
 /// Guards against missing entries that stay listed indefinitely because they exceed the share that may be dropped at once.
 #[test]
 fn deferred_entries_are_checked_again() {
-    let mut missing = Missing::default();
+    let mut missing = MissingEntries::default();
     assert_eq!(missing.recheck_at(), None);
     let names = ["a", "b", "c", "d"];
     for (i, name) in names.iter().enumerate() {
--- a/crates/place/tests/retries.rs
+++ b/crates/place/tests/retries.rs
@@ -1,8 +1,8 @@
 //! The budget of repetitions.
 
-use place::{Bounds, Retries};
+use place::{RetryBudget, RetryLimits};
 
-const BOUNDS: Bounds = Bounds {
+const BOUNDS: RetryLimits = RetryLimits {
     ratio: 0.2,
     slack: 58.0,
     window_ms: 10_000,
@@ -12,7 +12,7 @@
 /// for a minute. Cause: each instance took the whole bound for itself.
 #[test]
 fn nine_instances_together_keep_to_the_bound_in_every_span() {
-    let mut instances: Vec<Retries> = (0..9).map(|_| Retries::new(BOUNDS)).collect();
+    let mut instances: Vec<RetryBudget> = (0..9).map(|_| RetryBudget::new(BOUNDS)).collect();
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
     for t in (0..60_000).step_by(10) {
         let i = (t / 10 % 9) as usize;
@@ -37,7 +37,7 @@
 
 #[test]
 fn services_do_not_share() {
-    let mut retries = Retries::new(BOUNDS);
+    let mut retries = RetryBudget::new(BOUNDS);
     while retries.take(0, "a", 9) {}
     assert!(retries.take(0, "b", 9));
 }
--- a/crates/place/tests/room.rs
+++ b/crates/place/tests/room.rs
@@ -1,12 +1,12 @@
 //! Memory for requests under way.
 
-use place::Room;
+use place::RequestMemory;
 
 /// Symptom: a process is killed for its memory, and all of its requests with it. Sequence: requests
 /// with bodies of 100 kB come faster than they are answered. Cause: nothing bounded how many.
 #[test]
 fn what_does_not_fit_is_refused_until_there_is_room() {
-    let mut room = Room::new(Some(88));
+    let mut room = RequestMemory::new(Some(88));
     let mut taken = Vec::new();
     while let Some(bytes) = room.take(100_000) {
         taken.push(bytes);
@@ -21,6 +21,6 @@
 
 #[test]
 fn without_a_limit_everything_fits() {
-    let mut room = Room::new(None);
+    let mut room = RequestMemory::new(None);
     assert!((0..100_000).all(|_| room.take(1 << 20).is_some()));
 }
--- a/crates/place/tests/said.rs
+++ b/crates/place/tests/said.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use place::{Choice, Denied, Outcome, Pool, Spec, Want};
+use place::{Choice, ChooseError, Criteria, Outcome, Pool, Spec};
 
 const HOUR: u64 = 3_600_000;
 
@@ -22,8 +22,8 @@
     pool
 }
 
-fn choose(pool: &mut Pool, now: u64) -> Result<Choice, Denied> {
-    let want = Want {
+fn choose(pool: &mut Pool, now: u64) -> Result<Choice, ChooseError> {
+    let want = Criteria {
         service: "desk",
         deadline: now + 1_000,
         random: 0,
@@ -45,7 +45,7 @@
     pool.leaving("a");
     assert!(!pool.may_send(0, &choice));
     end(&mut pool, 0, &choice);
-    assert_eq!(choose(&mut pool, 0).unwrap_err(), Denied::NoneLeft);
+    assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
 }
 
 /// Its entry lapses in an outage and is back as it was before; another instance's word comes before its entry.
@@ -55,10 +55,10 @@
     pool.leaving("a");
     pool.delist("a");
     pool.list(0, spec("a"));
-    assert_eq!(choose(&mut pool, 0).unwrap_err(), Denied::NoneLeft);
+    assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
     assert!(!pool.leaving("b"), "it is not listed yet");
     pool.list(0, spec("b"));
-    assert_eq!(choose(&mut pool, 0).unwrap_err(), Denied::NoneLeft);
+    assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
     pool.list(0, spec("c"));
     let choice = choose(&mut pool, 0).expect("another incarnation");
     assert_eq!(choice.spec.id, "c");
@@ -100,10 +100,10 @@
     }
     assert_eq!(
         choose(&mut pool, 400).unwrap_err(),
-        Denied::Resting { retry_ms: 600 }
+        ChooseError::Resting { retry_ms: 600 }
     );
     pool.leaving("c");
-    let denied = Denied::Resting { retry_ms: 2_600 };
+    let denied = ChooseError::Resting { retry_ms: 2_600 };
     assert_eq!(choose(&mut pool, 400).unwrap_err(), denied);
     assert_eq!(
         choose(&mut pool, 3_000).expect("its time is over").spec.id,
@@ -122,12 +122,12 @@
     end(&mut pool, 100, &choice);
     pool.delist("a");
     pool.list(0, spec("a"));
-    let denied = Denied::Resting { retry_ms: 8_000 };
+    let denied = ChooseError::Resting { retry_ms: 8_000 };
     assert_eq!(choose(&mut pool, 1_000).unwrap_err(), denied);
     let choice = choose(&mut pool, 9_000).expect("its time is over");
     pool.rests(9_000, choice.key, u64::MAX);
     end(&mut pool, 9_000, &choice);
-    let denied = Denied::Resting { retry_ms: HOUR };
+    let denied = ChooseError::Resting { retry_ms: HOUR };
     assert_eq!(choose(&mut pool, 9_000).unwrap_err(), denied);
 }
 
@@ -155,5 +155,5 @@
     for i in 0..5_000 {
         pool.leaving(&format!("x{i}"));
     }
-    assert_eq!(choose(&mut pool, 0).unwrap_err(), Denied::NoneLeft);
+    assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
 }
--- a/crates/place/tests/zones.rs
+++ b/crates/place/tests/zones.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use place::{Cold, Denied, Pool, Spec, Want};
+use place::{ChooseError, ColdStart, Criteria, Pool, Spec};
 
 fn spec(id: &str, zone: &str) -> Spec {
     Spec {
@@ -13,8 +13,8 @@
     }
 }
 
-fn want(regions: &[String]) -> Want<'_> {
-    Want {
+fn want(regions: &[String]) -> Criteria<'_> {
+    Criteria {
         regions,
         ..common::call("a")
     }
@@ -23,7 +23,7 @@
 /// Two zones with an upstream each.
 fn pool() -> Pool {
     let mut pool = Pool::default();
-    let cold = Cold {
+    let cold = ColdStart {
         lasts_ms: 3_000,
         most: Some(17.0),
     };
@@ -47,12 +47,15 @@
         assert_eq!(pool.choose(30, &want(&[])).unwrap().spec.id, "u2");
     }
     pool.evacuate(40, "b", true);
-    assert_eq!(pool.choose(40, &want(&[])).unwrap_err(), Denied::Evacuated);
+    assert_eq!(
+        pool.choose(40, &want(&[])).unwrap_err(),
+        ChooseError::Evacuated
+    );
     pool.evacuate(50, "b", false);
     // It may have become cold meanwhile, whatever its entry said before.
     assert!(matches!(
         pool.choose(60, &want(&[])).unwrap_err(),
-        Denied::Cold { .. }
+        ChooseError::Cold { .. }
     ));
     pool.list(70, spec("u2", "b"));
     assert!(
@@ -72,9 +75,15 @@
     for _ in 0..20 {
         assert_eq!(pool.choose(10, &want(&south)).unwrap().spec.zone, "b");
     }
-    assert_eq!(pool.choose(10, &want(&west)).unwrap_err(), Denied::Outside);
+    assert_eq!(
+        pool.choose(10, &want(&west)).unwrap_err(),
+        ChooseError::Outside
+    );
     // A zone whose region nobody knows is in none.
     pool.list(10, spec("u3", "c"));
-    assert_eq!(pool.choose(10, &want(&west)).unwrap_err(), Denied::Outside);
+    assert_eq!(
+        pool.choose(10, &want(&west)).unwrap_err(),
+        ChooseError::Outside
+    );
     assert!(pool.choose(10, &want(&[])).is_ok());
 }
--- a/crates/proxy/src/ask.rs
+++ b/crates/proxy/src/ask.rs
@@ -1,6 +1,6 @@
 //! What a request asks for, in the product's terms.
 
-use place::Part;
+use place::PromptSegment;
 use smallvec::SmallVec;
 
 /// A request, as a dialect reads it from its head.
@@ -19,7 +19,7 @@
     /// The most tokens that its answer may have.
     pub answer_most: u32,
     /// The parts of its prompt, in order; the last one is its own.
-    pub parts: SmallVec<[Part; 4]>,
+    pub parts: SmallVec<[PromptSegment; 4]>,
     /// The last event that its caller has of this stream.
     pub after_event: Option<u64>,
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::http::response;
 use hyper::{Request, StatusCode, Uri};
-use place::{connections, Choice, Denied, Outcome, RateLimit, Want};
+use place::{connections, Choice, ChooseError, Criteria, Outcome, RateLimit};
 use suspect::Digest;
 use tokio::time::timeout_at;
 
@@ -48,7 +48,7 @@
             digest: job.digest,
             choice,
             sent_at: job.router.clock.now(),
-            outcome: Outcome::Dropped,
+            outcome: Outcome::Abandoned,
         }
     }
 
@@ -79,9 +79,11 @@
         pool.end(self.router.clock.now(), key, ticket, self.outcome);
         drop(pool);
         match self.outcome {
-            Outcome::Broken if stays => self.router.suspects.broke(&self.choice.spec, self.digest),
+            Outcome::InvalidResponse if stays => {
+                self.router.suspects.broke(&self.choice.spec, self.digest)
+            }
             // An error may be one that the upstream answers with before it runs anything.
-            Outcome::Well => self.router.suspects.answered(self.digest),
+            Outcome::Success => self.router.suspects.answered(self.digest),
             _ => {}
         }
     }
@@ -100,7 +102,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Failed {
     /// There is no upstream to try.
-    Denied(Denied),
+    Denied(ChooseError),
     /// It did not run, and will not.
     NotRun(String),
     /// It may have run; the upstream closed the connection before anything of its answer came, so that nobody
@@ -116,31 +118,31 @@
     fn refusal(self, job: &Job) -> Refusal {
         let left = job.left_ms();
         match self {
-            Failed::Denied(Denied::Busy { retry_ms }) => {
+            Failed::Denied(ChooseError::Busy { retry_ms }) => {
                 let message = format!("the upstreams of {} are busy", job.service);
                 Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
             }
-            Failed::Denied(Denied::Resting { retry_ms }) => {
+            Failed::Denied(ChooseError::Resting { retry_ms }) => {
                 let message = format!("the upstreams of {} want nothing for now", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_at(retry_ms)
             }
-            Failed::Denied(Denied::Limited { retry_ms }) => {
+            Failed::Denied(ChooseError::Limited { retry_ms }) => {
                 let message = format!("the request rate limits of {} are reached", job.service);
                 Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
             }
-            Failed::Denied(Denied::Cold { retry_ms }) => {
+            Failed::Denied(ChooseError::Cold { retry_ms }) => {
                 let message = format!("the upstreams of {} have just started", job.service);
                 Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
             }
-            Failed::Denied(Denied::Evacuated) => {
+            Failed::Denied(ChooseError::Evacuated) => {
                 let message = format!("all zones of {} are evacuated", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_in(RETRY_EVACUATED_MS, left)
             }
-            Failed::Denied(Denied::Outside) => {
+            Failed::Denied(ChooseError::Outside) => {
                 let message = format!("no upstream of {} is in an allowed region", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_in(RETRY_EVACUATED_MS, left)
             }
-            Failed::Denied(Denied::Unknown | Denied::NoneLeft) => {
+            Failed::Denied(ChooseError::Unknown | ChooseError::NoneLeft) => {
                 let message = format!("no upstream of {} is left", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_in(RETRY_NO_UPSTREAM_MS, left)
             }
@@ -259,7 +261,9 @@
                 log.request(Event::AttemptFailed, &job.ask.id, detail);
                 let outcome = match e {
                     ConnectError::Full => Outcome::Refused,
-                    ConnectError::Refused(_) | ConnectError::Unreachable(_) => Outcome::Silent,
+                    ConnectError::Refused(_) | ConnectError::Unreachable(_) => {
+                        Outcome::Unresponsive
+                    }
                     ConnectError::TimedOut => silence(job),
                 };
                 slot.end(outcome);
@@ -268,9 +272,9 @@
     }
 }
 
-fn choose(job: &Job) -> Result<Choice, Denied> {
+fn choose(job: &Job) -> Result<Choice, ChooseError> {
     let now = job.router.clock.now();
-    let want = Want {
+    let want = Criteria {
         service: &job.service,
         zone: &job.router.zone,
         parts: &job.ask.parts,
@@ -313,11 +317,11 @@
             return Err(Failed::NotRun(format!("upstream={upstream} {why}")));
         }
         Err(SendError::Closed(why)) => {
-            slot.end(Outcome::Broken);
+            slot.end(Outcome::InvalidResponse);
             return Err(Failed::Unanswered(format!("upstream={upstream} {why}")));
         }
         Err(SendError::Broken(why)) => {
-            slot.end(Outcome::Broken);
+            slot.end(Outcome::InvalidResponse);
             return Err(Failed::Unknown(format!("upstream={upstream} {why}")));
         }
     };
@@ -345,12 +349,12 @@
             )))
         }
         Word::Misdirected => {
-            slot.end(Outcome::Silent);
+            slot.end(Outcome::Unresponsive);
             let why = format!("upstream={upstream} is not at its address");
             Err(Failed::NotRun(why))
         }
         Word::NotOurs(why) => {
-            slot.end(Outcome::Broken);
+            slot.end(Outcome::InvalidResponse);
             let why = format!("upstream={upstream} status={status} {why}");
             Err(Failed::Unknown(why))
         }
@@ -416,9 +420,9 @@
 /// Returns what silence says of an upstream: nothing while the own link is full.
 fn silence(job: &Job) -> Outcome {
     if job.router.is_crowded() {
-        Outcome::Dropped
+        Outcome::Abandoned
     } else {
-        Outcome::Silent
+        Outcome::Unresponsive
     }
 }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -7,7 +7,7 @@
 use conf::Routing;
 use kv::{Change, Store};
 use notice::Notice;
-use place::{Cold, Pool};
+use place::{ColdStart, Pool};
 
 use crate::bank::Bank;
 use crate::dialect::Dialect;
@@ -138,7 +138,7 @@
 
     fn set_cold(&self, routing: &Routing) {
         let bounds = self.0.works.bounds;
-        let cold = |s: &conf::Service| Cold {
+        let cold = |s: &conf::Service| ColdStart {
             lasts_ms: s.cold_ms,
             most: (s.cold_per_sec > 0.0).then_some(s.cold_per_sec * bounds.over + bounds.slack),
         };
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -11,7 +11,7 @@
 
 use clock::Clock;
 use notice::Notice;
-use place::{Held, Pool};
+use place::{InstanceLoad, Pool};
 use relay::Head;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -145,7 +145,7 @@
             continue;
         }
         silent = held.is_empty();
-        let row = |(hash, h): (u64, Held)| (hash, h.reading_ms as u32, h.inflight);
+        let row = |(hash, h): (u64, InstanceLoad)| (hash, h.reading_ms as u32, h.inflight);
         let report = LoadReport {
             from,
             held: held.into_iter().map(row).collect(),
@@ -204,13 +204,13 @@
 
 fn receive_loads(pool: &Mutex<Pool>, report: &LoadReport, now: u64) {
     let row = |(hash, reading, inflight): &(u64, u32, u32)| {
-        let held = Held {
+        let held = InstanceLoad {
             reading_ms: f64::from(*reading),
             inflight: *inflight,
         };
         (*hash, held)
     };
-    let held: HashMap<u64, Held> = report.held.iter().map(row).collect();
+    let held: HashMap<u64, InstanceLoad> = report.held.iter().map(row).collect();
     let mut pool = pool.lock().expect("no panic inside");
     pool.hear(now, report.from, &held);
 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -11,7 +11,7 @@
 use conf::Settings;
 use dial::Dialer;
 use kv::Store;
-use place::{Bounds, Link, Pool, Retries, Room};
+use place::{Link, Pool, RequestMemory, RetryBudget, RetryLimits};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
@@ -176,9 +176,9 @@
             pool,
             listing: listing.clone(),
             dialer: dialer.clone(),
-            room: Mutex::new(Room::new(fleet_settings.memory_mb)),
+            room: Mutex::new(RequestMemory::new(fleet_settings.memory_mb)),
             link: Mutex::new(Link::new(fleet_settings.link_mbps)),
-            retries: Mutex::new(Retries::new(bounds(&fleet_settings))),
+            retries: Mutex::new(RetryBudget::new(bounds(&fleet_settings))),
             fleet: fleet.clone(),
             others: others.clone(),
             suspects: suspects.clone(),
@@ -334,9 +334,9 @@
     format!("{name}.{start:08x}{:08x}", rand::random::<u32>())
 }
 
-fn bounds(fleet: &conf::Fleet) -> Bounds {
-    let default = Bounds::default();
-    Bounds {
+fn bounds(fleet: &conf::Fleet) -> RetryLimits {
+    let default = RetryLimits::default();
+    RetryLimits {
         ratio: fleet.retry_ratio.unwrap_or(default.ratio),
         slack: fleet.retry_slack.unwrap_or(default.slack),
         window_ms: fleet
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use conf::{Repeat, Route, Service};
 use hyper::http::request;
-use place::Key;
+use place::UpstreamKey;
 use smallvec::SmallVec;
 use suspect::Digest;
 
@@ -83,7 +83,7 @@
     /// When its answer is no longer wanted, in milliseconds.
     pub(crate) deadline: u64,
     /// Upstreams that were tried.
-    pub(crate) tried: SmallVec<[Key; 4]>,
+    pub(crate) tried: SmallVec<[UpstreamKey; 4]>,
     /// How often it was sent.
     pub(crate) attempts: u32,
     pub(crate) charge: Option<Charge>,
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -8,7 +8,7 @@
 use dial::Dialer;
 use kv::{Change, Found, Store};
 use notice::Notice;
-use place::{Key, Listed, Missing, Pool, RateLimit, VersionedLimit};
+use place::{EntryChange, MissingEntries, Pool, RateLimit, UpstreamKey, VersionedLimit};
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
@@ -46,7 +46,7 @@
 struct Seen {
     revision: i64,
     entries: BTreeMap<String, Entry>,
-    missing: Missing,
+    missing: MissingEntries,
 }
 
 /// An entry as it was read.
@@ -151,7 +151,7 @@
     /// Records the request rate limit, or its absence, in an upstream's answer to a request, and gossips a change.
     pub(crate) fn set_limit(
         &self,
-        key: Key,
+        key: UpstreamKey,
         sent_at: u64,
         limit: Option<RateLimit>,
     ) -> Option<VersionedLimit> {
@@ -325,17 +325,17 @@
         let now = self.0.clock.now();
         let listed = self.0.pool.lock().expect("no panic inside").list(now, spec);
         let event = match listed {
-            Listed::Known => return None,
-            Listed::Reborn { ended } => {
+            EntryChange::Unchanged => return None,
+            EntryChange::Restarted { ended } => {
                 self.0.dialer.cut(&ended);
                 self.0.suspects.ended(&ended);
                 Event::UpstreamReborn
             }
-            Listed::New | Listed::Leaving if leaving => {
+            EntryChange::New | EntryChange::Leaving if leaving => {
                 self.0.dialer.forget(&incarnation);
                 Event::UpstreamLeaving
             }
-            Listed::New | Listed::Leaving => return Some(detail),
+            EntryChange::New | EntryChange::Leaving => return Some(detail),
         };
         self.0.log.note(event, detail);
         None
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -99,11 +99,11 @@
             return Ok(Done::Answered(pass_on(job, open, bytes)));
         }
         Ok(Read::Broken(why)) => {
-            slot.end(Outcome::Broken);
+            slot.end(Outcome::InvalidResponse);
             return Err(format!("upstream={upstream} the answer broke off: {why}"));
         }
         Err(_) => {
-            slot.end(Outcome::Silent);
+            slot.end(Outcome::Unresponsive);
             return Err(format!(
                 "upstream={upstream} the answer did not end in time"
             ));
@@ -112,9 +112,9 @@
     slot.first();
     let is_error = head.status.is_server_error();
     slot.end(if is_error {
-        Outcome::Error
+        Outcome::ErrorResponse
     } else {
-        Outcome::Well
+        Outcome::Success
     });
     job.router.dialer.keep(conn, reading.keep_alive);
     job.router.link(|l, now| l.passes(now, bytes.len()));
@@ -165,11 +165,11 @@
         let passed = timeout_at(until, pass(open.body, begun, &router, &tx)).await;
         match passed {
             Ok(Ok(())) => {
-                open.slot.end(Outcome::Well);
+                open.slot.end(Outcome::Success);
                 router.dialer.keep(open.conn, open.reading.keep_alive);
             }
             Ok(Err(why)) => {
-                open.slot.end(Outcome::Broken);
+                open.slot.end(Outcome::InvalidResponse);
                 log.request(Event::Cut, &id, why);
                 // A caller that left needs no end.
                 let _ = tx.send(Err(Cut)).await;
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -5,7 +5,7 @@
 
 use clock::Clock;
 use dial::Dialer;
-use place::{Link, Pool, Retries, Room};
+use place::{Link, Pool, RequestMemory, RetryBudget};
 use tokio::sync::watch;
 
 use crate::bank::Bank;
@@ -31,9 +31,9 @@
     pub(crate) pool: Arc<Mutex<Pool>>,
     pub(crate) listing: Listing,
     pub(crate) dialer: Dialer,
-    pub(crate) room: Mutex<Room>,
+    pub(crate) room: Mutex<RequestMemory>,
     pub(crate) link: Mutex<Link>,
-    pub(crate) retries: Mutex<Retries>,
+    pub(crate) retries: Mutex<RetryBudget>,
     pub(crate) fleet: Fleet,
     pub(crate) others: Others,
     pub(crate) suspects: Suspects,
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -77,7 +77,7 @@
     }
 
     fn end(self, job: &Job) {
-        self.slot.end(Outcome::Well);
+        self.slot.end(Outcome::Success);
         job.router.dialer.keep(self.conn, self.reading.keep_alive);
     }
 }
@@ -154,11 +154,11 @@
             first: None,
         }),
         Ok(Next::Broken(why)) => {
-            link.slot.end(Outcome::Broken);
+            link.slot.end(Outcome::InvalidResponse);
             Err(Failed::Unknown(format!("upstream={upstream} {why}")))
         }
         Err(_) => {
-            link.slot.end(Outcome::Silent);
+            link.slot.end(Outcome::Unresponsive);
             let why = format!("upstream={upstream} no event in time");
             Err(Failed::Unknown(why))
         }
@@ -203,7 +203,7 @@
                 End::Late => return self.cut("deadline").await,
                 End::Broken(why) => why,
             };
-            link.slot.end(Outcome::Broken);
+            link.slot.end(Outcome::InvalidResponse);
             // The connection is closed here, before another upstream goes on.
             drop(link.conn);
             link = match self.resume(&why).await {
@@ -268,7 +268,7 @@
         let streams = open.head.status.is_success();
         if !streams {
             let status = open.head.status;
-            open.slot.end(Outcome::Error);
+            open.slot.end(Outcome::ErrorResponse);
             return Err(format!("{why}; then status {status}"));
         }
         let detail = format_args!(
