--- a/crates/place/src/cold.rs
+++ b/crates/place/src/cold.rs
@@ -14,14 +14,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ColdStart {
     /// How long one is cold that says nothing of it, in milliseconds.
-    pub lasts_ms: u64,
+    pub duration_ms: u64,
     /// Requests that one bears in a second from all instances together; none where there is no such bound.
-    pub most: Option<f64>,
+    pub max_per_sec: Option<f64>,
 }
 
 impl ColdStart {
     /// Returns the requests that one instance may have at a cold upstream within a second.
     pub(crate) fn own_part(&self) -> Option<usize> {
-        self.most.map(|most| (most / VIEWS) as usize)
+        self.max_per_sec.map(|max| (max / VIEWS) as usize)
     }
 }
--- a/crates/place/src/health.rs
+++ b/crates/place/src/health.rs
@@ -24,31 +24,31 @@
 
 impl Health {
     /// Returns the share of requests that fail, lately.
-    pub fn failing(&self, now: u64) -> f64 {
+    pub fn failure_rate(&self, now: u64) -> f64 {
         let gone = now.saturating_sub(self.at) as f64;
         self.failing * (0.5f64).powf(gone / FORGET_MS)
     }
 
     /// Returns whether it is left alone for now.
-    pub fn is_out(&self, now: u64) -> bool {
+    pub fn is_ejected(&self, now: u64) -> bool {
         now < self.out_until
     }
 
     /// Returns whether it was left alone and has not answered since: one request at a time shows
     /// whether it does.
-    pub fn is_on_trial(&self) -> bool {
+    pub fn is_on_probation(&self) -> bool {
         self.on_trial
     }
 
     /// Counts an answer that was well.
-    pub fn well(&mut self, now: u64) {
+    pub fn record_success(&mut self, now: u64) {
         self.count(now, 0.0);
         self.on_trial = false;
         self.outs = 0;
     }
 
     /// Counts a failure that says little of the upstream: an error that it answered with.
-    pub fn error(&mut self, now: u64) {
+    pub fn record_error(&mut self, now: u64) {
         self.count(now, 1.0);
         self.on_trial = false;
         if self.failing > BAD_SHARE {
@@ -57,7 +57,7 @@
     }
 
     /// Counts a connection that broke, or an answer that was none.
-    pub fn broken(&mut self, now: u64) {
+    pub fn record_invalid(&mut self, now: u64) {
         self.count(now, 1.0);
         if self.on_trial || self.failing > BAD_SHARE {
             self.leave_alone(now);
@@ -65,19 +65,19 @@
     }
 
     /// Counts that it could not be reached, or said nothing in time.
-    pub fn silent(&mut self, now: u64) {
+    pub fn record_unresponsive(&mut self, now: u64) {
         self.count(now, 1.0);
         self.leave_alone(now);
     }
 
     fn count(&mut self, now: u64, failed: f64) {
-        let before = self.failing(now);
+        let before = self.failure_rate(now);
         self.failing = before + (failed - before) * RESULT_WEIGHT;
         self.at = self.at.max(now);
     }
 
     fn leave_alone(&mut self, now: u64) {
-        if self.is_out(now) {
+        if self.is_ejected(now) {
             return;
         }
         let wait = (OUT_MS << self.outs.min(8)).min(OUT_MOST_MS);
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -31,7 +31,7 @@
 pub use retry::{RetryBudget, RetryLimits};
 pub use room::RequestMemory;
 pub use senders::Senders;
-pub use share::connections;
+pub use share::max_connections;
 pub use upstream::{
     AttemptId, InstanceLoad, Load, Outcome, PromptSegment, Spec, Upstream, UpstreamKey,
 };
--- a/crates/place/src/link.rs
+++ b/crates/place/src/link.rs
@@ -65,21 +65,21 @@
     }
 
     /// Counts a request that came from its caller.
-    pub fn came(&mut self, now: u64, bytes: usize) {
+    pub fn record_request_received(&mut self, now: u64, bytes: usize) {
         let Some(per_ms) = self.per_ms else { return };
         self.inward.add(now, bytes as f64 + HEAD_BYTES, per_ms);
         self.note(now);
     }
 
     /// Counts a request that goes to an upstream.
-    pub fn goes(&mut self, now: u64, bytes: usize) {
+    pub fn record_request_sent(&mut self, now: u64, bytes: usize) {
         let Some(per_ms) = self.per_ms else { return };
         self.outward.add(now, bytes as f64 + HEAD_BYTES, per_ms);
         self.note(now);
     }
 
     /// Counts an answer, or a part of one, that comes from an upstream and goes to its caller.
-    pub fn passes(&mut self, now: u64, bytes: usize) {
+    pub fn record_response(&mut self, now: u64, bytes: usize) {
         let Some(per_ms) = self.per_ms else { return };
         self.inward.add(now, bytes as f64 + PACKET_BYTES, per_ms);
         self.outward.add(now, bytes as f64 + PACKET_BYTES, per_ms);
@@ -87,7 +87,7 @@
     }
 
     fn note(&mut self, now: u64) {
-        if self.inward_ms(now).max(self.outward_ms(now)) > CROWDED_MS {
+        if self.inward_ms(now).max(self.outbound_delay_ms(now)) > CROWDED_MS {
             self.rest_until = now + REST_MS;
         }
     }
@@ -97,28 +97,28 @@
     }
 
     /// Returns how long the last byte waits on its way out, in milliseconds.
-    pub fn outward_ms(&self, now: u64) -> f64 {
+    pub fn outbound_delay_ms(&self, now: u64) -> f64 {
         self.per_ms.map_or(0.0, |p| self.outward.get(now, p) / p)
     }
 
     /// Returns whether it is crowded, when that has changed since it was last asked for.
-    pub fn turned(&mut self, now: u64) -> Option<bool> {
-        let crowded = self.is_crowded(now);
+    pub fn take_congestion_change(&mut self, now: u64) -> Option<bool> {
+        let crowded = self.is_congested(now);
         let turned = crowded != self.told;
         self.told = crowded;
         turned.then_some(crowded)
     }
 
     /// Returns whether new connections are wanted elsewhere.
-    pub fn is_crowded(&self, now: u64) -> bool {
+    pub fn is_congested(&self, now: u64) -> bool {
         now < self.rest_until
     }
 
     /// Returns whether a request with a body of some bytes is better served elsewhere.
     ///
     /// Only the way out decides: a request that is here has come in already, and its answer is small.
-    pub fn is_full_for(&self, now: u64, bytes: usize) -> bool {
+    pub fn is_saturated_for(&self, now: u64, bytes: usize) -> bool {
         let long = self.per_ms.is_some_and(|p| bytes as f64 > SHORT_MS * p);
-        long && self.outward_ms(now) > FULL_MS
+        long && self.outbound_delay_ms(now) > FULL_MS
     }
 }
--- a/crates/place/src/missing.rs
+++ b/crates/place/src/missing.rs
@@ -26,7 +26,7 @@
 impl MissingEntries {
     /// Returns whether one more missing entry is taken for gone. `back_at` is when the store answered
     /// again, 0 if it always did; `listed` counts the entries known.
-    pub fn is_gone(&mut self, now: u64, back_at: u64, listed: usize) -> bool {
+    pub fn accept_removal(&mut self, now: u64, back_at: u64, listed: usize) -> bool {
         if back_at != self.back_at {
             self.back_at = back_at;
             self.dropped = 0;
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -74,21 +74,21 @@
     }
 
     /// Sets how the upstreams of each service behave while they are cold.
-    pub fn set_cold(&mut self, cold: HashMap<String, ColdStart>) {
+    pub fn set_cold_starts(&mut self, cold: HashMap<String, ColdStart>) {
         self.cold = cold;
     }
 
     /// Takes the hashed names of the listed instances, this one's first.
-    pub fn list_senders(&mut self, now: u64, me: u64, names: &[u64]) {
+    pub fn set_instances(&mut self, now: u64, me: u64, names: &[u64]) {
         self.me = me;
         // Instances that are gone say nothing more; what they had is forgotten soon.
         self.held_by.clear();
-        self.senders.list(now, me, names);
+        self.senders.set_instances(now, me, names);
         self.update_throttles(now);
     }
 
     /// Takes that a zone is evacuated, or no longer.
-    pub fn evacuate(&mut self, now: u64, zone: &str, evacuated: bool) {
+    pub fn set_evacuated(&mut self, now: u64, zone: &str, evacuated: bool) {
         if evacuated {
             self.evacuated.insert(zone.to_string());
         } else {
@@ -106,7 +106,7 @@
     }
 
     /// Returns the zones that are evacuated.
-    pub fn evacuated(&self) -> &BTreeSet<String> {
+    pub fn evacuated_zones(&self) -> &BTreeSet<String> {
         &self.evacuated
     }
 
@@ -115,9 +115,9 @@
     }
 
     /// Takes an entry of the list.
-    pub fn list(&mut self, now: u64, spec: Spec) -> EntryChange {
+    pub fn upsert(&mut self, now: u64, spec: Spec) -> EntryChange {
         if spec.leaving {
-            self.said.leaving(&spec.incarnation());
+            self.said.mark_leaving(&spec.incarnation());
         }
         let Some(key) = self.by_id.get(&spec.id).copied() else {
             self.add(now, spec);
@@ -129,16 +129,16 @@
         }
         if spec.is_reborn_since(&up.spec) {
             let ended = up.spec.incarnation();
-            up.gone = true;
+            up.delisted = true;
             self.drop_idle(key);
             let key = self.add(now, spec);
             self.get_mut(key).reborn = true;
             return EntryChange::Restarted { ended };
         }
         let news = spec.leaving && !up.leaving;
-        let before = up.hash();
+        let before = up.incarnation_hash();
         up.relist(spec);
-        let hash = up.hash();
+        let hash = up.incarnation_hash();
         self.by_hash.remove(&before);
         self.by_hash.insert(hash, key);
         self.place(now, key);
@@ -168,9 +168,9 @@
         let mut up = Upstream::new(spec);
         let incarnation = up.spec.incarnation();
         up.leaving |= self.said.is_leaving(&incarnation);
-        up.rests_until = self.said.rests_until(&incarnation);
+        up.paused_until = self.said.rests_until(&incarnation);
         up.set_versioned_limit(now, self.said.versioned_limit(&incarnation));
-        self.by_hash.insert(up.hash(), key);
+        self.by_hash.insert(up.incarnation_hash(), key);
         self.upstreams[key.0 as usize] = Some(up);
         self.by_id.insert(id, key);
         self.place(now, key);
@@ -181,16 +181,16 @@
     pub fn delist(&mut self, id: &str) -> Option<String> {
         let key = self.by_id.get(id).copied()?;
         let up = self.get_mut(key);
-        let was = !up.gone;
-        up.gone = true;
+        let was = !up.delisted;
+        up.delisted = true;
         let incarnation = up.spec.incarnation();
         self.drop_idle(key);
         was.then_some(incarnation)
     }
 
     /// Notes that an incarnation of an upstream is leaving, by whatever source; returns whether that is new.
-    pub fn leaving(&mut self, incarnation: &str) -> bool {
-        self.said.leaving(incarnation);
+    pub fn mark_leaving(&mut self, incarnation: &str) -> bool {
+        self.said.mark_leaving(incarnation);
         let Some(key) = self.by_incarnation(incarnation) else {
             return false;
         };
@@ -202,18 +202,18 @@
 
     /// Returns the listed upstreams.
     pub fn listed(&self) -> impl Iterator<Item = &Upstream> {
-        self.upstreams.iter().flatten().filter(|u| !u.gone)
+        self.upstreams.iter().flatten().filter(|u| !u.delisted)
     }
 
     /// Notes that an upstream wants nothing for some milliseconds; returns whether that is longer than it said before. What it
     /// said before holds until its time.
-    pub fn rests(&mut self, now: u64, key: UpstreamKey, ms: u64) -> bool {
+    pub fn pause(&mut self, now: u64, key: UpstreamKey, ms: u64) -> bool {
         let until = now + ms.min(REST_MOST_MS);
         let up = self.get_mut(key);
-        let longer = until > up.rests_until;
-        up.rests_until = up.rests_until.max(until);
+        let longer = until > up.paused_until;
+        up.paused_until = up.paused_until.max(until);
         let incarnation = up.spec.incarnation();
-        self.said.rests(&incarnation, until);
+        self.said.pause(&incarnation, until);
         longer
     }
 
@@ -225,17 +225,17 @@
     /// Returns whether a request that was chosen for an upstream may still be sent there.
     pub fn may_send(&self, now: u64, choice: &Choice) -> bool {
         let up = self.get(choice.key);
-        up.may_get(now, choice.ticket, self.cold(&up.spec.service))
+        up.may_get(now, choice.attempt, self.cold(&up.spec.service))
     }
 
     /// Returns whether an upstream is listed, and nothing says that it leaves.
-    pub fn stays(&self, key: UpstreamKey) -> bool {
+    pub fn is_active(&self, key: UpstreamKey) -> bool {
         let up = self.get(key);
-        !up.gone && !up.leaving
+        !up.delisted && !up.leaving
     }
 
     /// Returns the incarnations of upstreams that all sources together say are leaving.
-    pub fn all_leaving(&self) -> BTreeSet<String> {
+    pub fn leaving_incarnations(&self) -> BTreeSet<String> {
         let leaving = self.upstreams.iter().flatten().filter(|u| u.leaving);
         leaving.map(|u| u.spec.incarnation()).collect()
     }
@@ -257,8 +257,8 @@
 
     fn drop_idle(&mut self, key: UpstreamKey) {
         let up = self.get(key);
-        if up.gone && up.inflight == 0 {
-            let (id, hash) = (up.spec.id.clone(), up.hash());
+        if up.delisted && up.inflight == 0 {
+            let (id, hash) = (up.spec.id.clone(), up.incarnation_hash());
             // A later incarnation may have the name by now.
             if self.by_id.get(&id) == Some(&key) {
                 self.by_id.remove(&id);
@@ -304,16 +304,16 @@
         let read_ms = work * self.usual(want.service).read_ms;
         let up = self.get_mut(key);
         up.begin(now, ticket, read_ms);
-        for part in want.parts {
+        for part in want.segments {
             up.known.used(now, part.id);
         }
         Ok(Choice {
             key,
             spec: up.spec.clone(),
-            ticket,
-            unread,
-            work,
-            expect_ms,
+            attempt: ticket,
+            uncached_tokens: unread,
+            prefill_work: work,
+            expected_ms: expect_ms,
         })
     }
 
@@ -330,7 +330,7 @@
         let all = self.upstreams.iter().enumerate();
         let all = all.filter_map(|(i, u)| Some((UpstreamKey(i as u32), u.as_ref()?)));
         let cold = self.cold(want.service);
-        let staying = all.filter(|(_, u)| of_service(u) && u.takes(now));
+        let staying = all.filter(|(_, u)| of_service(u) && u.accepts_requests(now));
         let staying = staying.filter(|(_, u)| self.may_reach(u, want) && u.is_open(now, cold));
         let staying: SmallVec<[(UpstreamKey, &Upstream); 32]> = staying.collect();
         if staying.is_empty() {
@@ -381,12 +381,12 @@
         if reached.iter().all(|u| u.evacuated) {
             return Err(ChooseError::Evacuated);
         }
-        if let Some(retry_ms) = soonest(now, reached.iter().map(|u| u.rests_until)) {
+        if let Some(retry_ms) = soonest(now, reached.iter().map(|u| u.paused_until)) {
             return Err(ChooseError::Resting { retry_ms });
         }
         let limited = reached
             .iter()
-            .filter(|u| u.takes(now) && !u.is_within_limit(now));
+            .filter(|u| u.accepts_requests(now) && !u.is_within_limit(now));
         if let Some(retry_ms) = limited.filter_map(|u| u.limit_retry_ms(now)).min() {
             let retry_ms = retry_ms.max(RETRY_LEAST_MS);
             let retry_ms = retry_ms + want.random % retry_ms;
@@ -397,20 +397,21 @@
     }
 
     /// Returns what this instance has at its upstreams, for the others.
-    pub fn held(&self, now: u64) -> Vec<(u64, InstanceLoad)> {
+    pub fn own_loads(&self, now: u64) -> Vec<(u64, InstanceLoad)> {
         let busy = self.upstreams.iter().flatten().filter(|u| u.inflight > 0);
-        busy.map(|u| (u.hash(), u.held(now))).collect()
+        busy.map(|u| (u.incarnation_hash(), u.own_load(now)))
+            .collect()
     }
 
     /// Takes the word of another instance on what it has at its upstreams.
-    pub fn hear(&mut self, now: u64, from: u64, held: &HashMap<u64, InstanceLoad>) {
+    pub fn set_peer_loads(&mut self, now: u64, from: u64, held: &HashMap<u64, InstanceLoad>) {
         let nothing = InstanceLoad {
-            reading_ms: 0.0,
+            pending_prefill_ms: 0.0,
             inflight: 0,
         };
         for key in self.held_by.remove(&from).unwrap_or_default() {
             if let Some(up) = self.upstreams[key.0 as usize].as_mut() {
-                up.hear(now, from, nothing);
+                up.set_peer_load(now, from, nothing);
             }
         }
         let mut keys = SmallVec::new();
@@ -419,7 +420,7 @@
                 continue;
             };
             if let Some(up) = self.upstreams[key.0 as usize].as_mut() {
-                up.hear(now, from, *held);
+                up.set_peer_load(now, from, *held);
                 keys.push(*key);
             }
         }
@@ -429,17 +430,18 @@
     }
 
     /// Takes an upstream's word on its load.
-    pub fn report(&mut self, now: u64, key: UpstreamKey, load: Load) {
-        self.get_mut(key).report(now, load);
+    pub fn set_reported_load(&mut self, now: u64, key: UpstreamKey, load: Load) {
+        self.get_mut(key).set_reported_load(now, load);
     }
 
     /// Takes the first token, or the answer, of a request.
-    pub fn first(&mut self, now: u64, choice: &Choice, sent_at: u64) {
+    pub fn record_latency(&mut self, now: u64, choice: &Choice, sent_at: u64) {
         let took = now.saturating_sub(sent_at) as f64;
         let service = choice.spec.service.clone();
         let usual = self.usual.entry(service).or_default();
-        let alone_ms = usual.learn(choice.unread, choice.work, took);
-        self.get_mut(choice.key).first(now, choice.ticket, alone_ms);
+        let alone_ms = usual.learn(choice.uncached_tokens, choice.prefill_work, took);
+        self.get_mut(choice.key)
+            .record_latency(now, choice.attempt, alone_ms);
     }
 
     /// Counts the end of a request.
--- a/crates/place/src/pool/throttle.rs
+++ b/crates/place/src/pool/throttle.rs
@@ -67,11 +67,11 @@
 /// Updates what this instance may send to an upstream while it is cold or limited.
 pub(super) fn update(up: &mut Upstream, now: u64, senders: &Senders) {
     if up.cold_until(now).is_some() {
-        up.sends_cold(senders.sends_from(up.hash(), 1));
+        up.sends_cold(senders.sends_from(up.incarnation_hash(), 1));
     }
     let share = up.limit().and_then(|limit| {
         let sharers = limit.sharers(senders.count());
-        let starts_at = senders.sends_from(up.hash(), sharers)?;
+        let starts_at = senders.sends_from(up.incarnation_hash(), sharers)?;
         Some(limit.share(sharers, starts_at))
     });
     up.set_share(share);
--- a/crates/place/src/rate.rs
+++ b/crates/place/src/rate.rs
@@ -33,14 +33,18 @@
 }
 
 pub(crate) fn may_use(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
-    if up.health.is_out(now) {
+    if up.health.is_ejected(now) {
         return false;
     }
-    !up.health.is_on_trial() || (up.inflight == 0 && want.repeatable)
+    !up.health.is_on_probation() || (up.inflight == 0 && want.retryable)
 }
 
 pub(crate) fn is_full(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
-    let pct = if want.prompt > 0 { FULL_PCT } else { QUEUE_PCT };
+    let pct = if want.prompt_tokens > 0 {
+        FULL_PCT
+    } else {
+        QUEUE_PCT
+    };
     up.occupancy(now) * 100 >= up.slots() * pct
 }
 
@@ -75,10 +79,10 @@
 }
 
 pub(crate) fn homes(want: &Criteria<'_>, from: &[(UpstreamKey, &Upstream)]) -> Homes {
-    let Some(shared) = want.parts.len().checked_sub(2) else {
+    let Some(shared) = want.segments.len().checked_sub(2) else {
         return Homes::default();
     };
-    let what = want.parts[shared].id;
+    let what = want.segments[shared].id;
     let rank = |(_, up): &&(UpstreamKey, &Upstream)| up.rank(what);
     let first = from.iter().max_by_key(rank).map(|(key, _)| *key);
     let others = from.iter().filter(|(key, _)| Some(*key) != first);
@@ -95,22 +99,25 @@
     usual: Usual,
 ) -> Rated {
     let slowness = up.slowness(now);
-    let (unread, work) = if want.prompt > 0 {
+    let (unread, work) = if want.prompt_tokens > 0 {
         let unread = unread(up, now, want, turn == Turn::First);
-        (unread, work(unread, want.prompt))
+        (unread, work(unread, want.prompt_tokens))
     } else {
         (0, 0.0)
     };
-    let own = want.parts.last().map_or(want.prompt, |p| p.tokens);
+    let own = want
+        .segments
+        .last()
+        .map_or(want.prompt_tokens, |p| p.tokens);
     let again = f64::from(unread.saturating_sub(own)) * usual.read_ms;
     let again = match turn {
         Turn::First => 0.0,
         Turn::Next => again * AGAIN_PART * NEXT_PART,
         Turn::Later => again * AGAIN_PART,
     };
-    let expect_ms = if want.prompt > 0 {
+    let expect_ms = if want.prompt_tokens > 0 {
         let own = (FIRST_MS + work * usual.read_ms) * slowness;
-        let waits = (up.reading_ms(now) * slowness).max(up.delay(now));
+        let waits = (up.pending_prefill_ms(now) * slowness).max(up.queue_delay_ms(now));
         own + waits
     } else {
         let ahead = up.occupancy(now).saturating_sub(up.slots() - 1);
@@ -123,7 +130,7 @@
     } else {
         ZONE_MS
     };
-    let failing = up.health.failing(now) * FAILING_MS;
+    let failing = up.health.failure_rate(now) * FAILING_MS;
     // Full upstreams answer more slowly; among equals this also spreads the requests.
     let crowd = taken * expect_ms.min(CALL_MS_FIRST);
     Rated {
@@ -137,9 +144,9 @@
 
 /// Returns the tokens of a prompt that an upstream will have to read, as far as known.
 fn unread(up: &Upstream, now: u64, want: &Criteria<'_>, home: bool) -> u32 {
-    let shared = want.parts.len().saturating_sub(1);
+    let shared = want.segments.len().saturating_sub(1);
     let mut kept = 0;
-    for (i, part) in want.parts.iter().enumerate() {
+    for (i, part) in want.segments.iter().enumerate() {
         let presumed = home && !up.reborn && i < shared;
         let has = presumed || up.known.has(now, part.id);
         if !has {
@@ -148,7 +155,7 @@
         kept += part.tokens;
     }
     // The last token is read in any case.
-    want.prompt.saturating_sub(kept).max(1)
+    want.prompt_tokens.saturating_sub(kept).max(1)
 }
 
 /// Returns the work of reading the last tokens of a prompt, in tokens that stand at its beginning.
--- a/crates/place/src/retry.rs
+++ b/crates/place/src/retry.rs
@@ -57,7 +57,7 @@
     }
 
     /// Counts a request for a service.
-    pub fn request(&mut self, now: u64, service: &str) {
+    pub fn record_request(&mut self, now: u64, service: &str) {
         let horizon = now.saturating_sub(self.bounds.window_ms);
         let seen = self.seen.entry(service.to_string()).or_default();
         forget(&mut seen.requests, horizon);
@@ -65,7 +65,7 @@
     }
 
     /// Takes a repetition; returns whether there was one.
-    pub fn take(&mut self, now: u64, service: &str, sharers: usize) -> bool {
+    pub fn try_acquire(&mut self, now: u64, service: &str, sharers: usize) -> bool {
         let horizon = now.saturating_sub(self.bounds.window_ms);
         let seen = self.seen.entry(service.to_string()).or_default();
         forget(&mut seen.requests, horizon);
--- a/crates/place/src/room.rs
+++ b/crates/place/src/room.rs
@@ -30,7 +30,7 @@
     }
 
     /// Takes the room for a request with a body of some bytes; returns how much that is, if it fits.
-    pub fn take(&mut self, body: usize) -> Option<usize> {
+    pub fn reserve(&mut self, body: usize) -> Option<usize> {
         let bytes = body + REQUEST_BYTES;
         let fits = self.most.is_none_or(|most| self.taken + bytes <= most);
         fits.then(|| {
@@ -44,7 +44,7 @@
     /// # Panics
     ///
     /// Panics when more is given back than was taken: the limit would no longer hold.
-    pub fn give_back(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         let left = self.taken.checked_sub(bytes);
         self.taken = left.expect("room that was taken");
     }
--- a/crates/place/src/said.rs
+++ b/crates/place/src/said.rs
@@ -27,12 +27,12 @@
 
 impl Said {
     /// Notes that an incarnation leaves.
-    pub(crate) fn leaving(&mut self, incarnation: &str) {
+    pub(crate) fn mark_leaving(&mut self, incarnation: &str) {
         self.saying(incarnation).leaving = true;
     }
 
     /// Notes until when an incarnation wants nothing.
-    pub(crate) fn rests(&mut self, incarnation: &str, until: u64) {
+    pub(crate) fn pause(&mut self, incarnation: &str, until: u64) {
         let saying = self.saying(incarnation);
         saying.rests_until = saying.rests_until.max(until);
     }
--- a/crates/place/src/senders.rs
+++ b/crates/place/src/senders.rs
@@ -32,7 +32,7 @@
 
 impl Senders {
     /// Replaces the listed instances with those of the given hashed names.
-    pub fn list(&mut self, now: u64, me: u64, names: &[u64]) {
+    pub fn set_instances(&mut self, now: u64, me: u64, names: &[u64]) {
         self.me = me;
         let names: BTreeSet<u64> = names.iter().copied().collect();
         self.expire(now);
--- a/crates/place/src/share.rs
+++ b/crates/place/src/share.rs
@@ -12,7 +12,7 @@
 
 /// Returns the connections that one of some instances may have to an upstream that takes so many in all; none where it names
 /// no bound.
-pub fn connections(all: usize, sharers: usize) -> Option<usize> {
+pub fn max_connections(all: usize, sharers: usize) -> Option<usize> {
     let used = all * USED_PCT / 100;
     let equal = used / sharers.max(1);
     (all > 0).then_some(equal.max(used / HEAVY_PART).max(1))
--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -39,7 +39,7 @@
     /// Its name. One that starts again has a new one, or the same and another birth.
     pub id: String,
     /// When this incarnation of it began, in milliseconds since the Unix epoch; none where its list does not say.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
     /// The service that it answers for.
     pub service: String,
     /// Where it listens.
@@ -58,15 +58,15 @@
     /// Returns the name of this incarnation of it: a process that starts again under the same name has nothing of
     /// what the earlier one had.
     pub fn incarnation(&self) -> String {
-        match self.born {
-            Some(born) => format!("{}@{born}", self.id),
+        match self.started_at_ms {
+            Some(started_at_ms) => format!("{}@{started_at_ms}", self.id),
             None => self.id.clone(),
         }
     }
 
     /// Returns whether this is a later incarnation of the upstream that another entry of the same name shows.
     pub(crate) fn is_reborn_since(&self, earlier: &Spec) -> bool {
-        matches!((self.born, earlier.born), (Some(now), Some(then)) if now > then)
+        matches!((self.started_at_ms, earlier.started_at_ms), (Some(now), Some(then)) if now > then)
     }
 }
 
@@ -119,7 +119,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InstanceLoad {
     /// How long the upstream still reads its prompts, in milliseconds.
-    pub reading_ms: f64,
+    pub pending_prefill_ms: f64,
     /// Its requests there.
     pub inflight: u32,
 }
@@ -142,7 +142,7 @@
     /// Whether any source said that it is leaving; never taken back.
     pub leaving: bool,
     /// It wants nothing before this time.
-    pub rests_until: u64,
+    pub paused_until: u64,
     /// The request rate limit that it advertises.
     versioned_limit: VersionedLimit,
     /// When this instance last updated the limit, in milliseconds.
@@ -160,7 +160,7 @@
     /// Requests sent while it was throttled.
     sent: Sent,
     /// Whether it is no longer listed.
-    pub gone: bool,
+    pub delisted: bool,
     /// Its health.
     pub health: Health,
     pub(crate) known: Known,
@@ -191,7 +191,7 @@
             leaving: spec.leaving,
             spec,
             inflight: 0,
-            rests_until: 0,
+            paused_until: 0,
             versioned_limit: VersionedLimit::default(),
             limit_updated_at: 0,
             share: None,
@@ -200,7 +200,7 @@
             cold_at_least: 0,
             cold_from: None,
             sent: Sent::default(),
-            gone: false,
+            delisted: false,
             health: Health::default(),
             known: Known::default(),
             reborn: false,
@@ -222,7 +222,7 @@
     }
 
     /// Takes its word on its load.
-    pub fn report(&mut self, now: u64, load: Load) {
+    pub fn set_reported_load(&mut self, now: u64, load: Load) {
         self.load = load;
         self.load_at = Some(now);
         self.since_report = 0;
@@ -242,8 +242,8 @@
     }
 
     /// Returns whether it takes new work: it is listed, does not leave, its zone is in use, and it wants some.
-    pub fn takes(&self, now: u64) -> bool {
-        !self.gone && !self.leaving && !self.evacuated && self.rests_until <= now
+    pub fn accepts_requests(&self, now: u64) -> bool {
+        !self.delisted && !self.leaving && !self.evacuated && self.paused_until <= now
     }
 
     /// Returns until when it is cold, in milliseconds; none where it is warm.
@@ -254,12 +254,12 @@
 
     /// Takes what its entry says of how long it is cold.
     pub(crate) fn warms_up(&mut self, now: u64, usual: ColdStart) {
-        self.cold_until = now + self.spec.cold_ms.unwrap_or(usual.lasts_ms);
+        self.cold_until = now + self.spec.cold_ms.unwrap_or(usual.duration_ms);
     }
 
     /// Takes that it comes back into service: it may have become cold since its entry was written.
     pub(crate) fn comes_back(&mut self, now: u64, usual: ColdStart) {
-        self.cold_at_least = now + usual.lasts_ms;
+        self.cold_at_least = now + usual.duration_ms;
     }
 
     /// Takes from when on this instance sends to it while it is cold.
@@ -269,7 +269,7 @@
 
     /// Returns whether it takes any number of requests: it is warm, or its service has no bound for cold ones.
     fn is_unbounded(&self, now: u64, cold: ColdStart) -> bool {
-        cold.most.is_none() || self.cold_until(now).is_none()
+        cold.max_per_sec.is_none() || self.cold_until(now).is_none()
     }
 
     /// Returns whether this instance may send it one more request while it is cold or limited.
@@ -302,7 +302,7 @@
     /// Returns whether a request that was chosen for it may be sent: it has not become cold or limited since.
     pub(crate) fn may_get(&self, now: u64, ticket: AttemptId, cold: ColdStart) -> bool {
         let unbounded = self.is_unbounded(now, cold) && self.limit().is_none();
-        self.takes(now) && (unbounded || self.sent.holds(ticket))
+        self.accepts_requests(now) && (unbounded || self.sent.holds(ticket))
     }
 
     /// Returns the request rate limit that it advertises.
@@ -350,29 +350,32 @@
     }
 
     /// Returns the name that instances use among each other for this incarnation of it.
-    pub fn hash(&self) -> u64 {
+    pub fn incarnation_hash(&self) -> u64 {
         self.incarnation_hash
     }
 
     /// Takes what its list shows now of the same incarnation.
     pub(crate) fn relist(&mut self, spec: Spec) {
         self.leaving |= spec.leaving;
-        self.gone = false;
-        let born = spec.born.or(self.spec.born);
-        self.spec = Spec { born, ..spec };
+        self.delisted = false;
+        let started_at_ms = spec.started_at_ms.or(self.spec.started_at_ms);
+        self.spec = Spec {
+            started_at_ms,
+            ..spec
+        };
         self.incarnation_hash = xxh3_64(self.spec.incarnation().as_bytes());
     }
 
     /// Returns what this instance has there.
-    pub fn held(&self, now: u64) -> InstanceLoad {
+    pub fn own_load(&self, now: u64) -> InstanceLoad {
         InstanceLoad {
-            reading_ms: self.own_reading_ms(now),
+            pending_prefill_ms: self.own_reading_ms(now),
             inflight: self.inflight,
         }
     }
 
     /// Takes the word of another instance on what it has there.
-    pub fn hear(&mut self, now: u64, from: u64, held: InstanceLoad) {
+    pub fn set_peer_load(&mut self, now: u64, from: u64, held: InstanceLoad) {
         self.heard
             .retain(|h| h.from != from && now < h.at + HEARD_MS);
         let heard = Heard {
@@ -413,14 +416,14 @@
 
     /// Takes the first token, or the answer, of a request; `alone_ms` is what it would have taken on
     /// an upstream of its service's usual speed with nothing else to do.
-    pub fn first(&mut self, now: u64, ticket: AttemptId, alone_ms: f64) {
+    pub fn record_latency(&mut self, now: u64, ticket: AttemptId, alone_ms: f64) {
         self.sent.end(now, ticket, true);
         let Some(i) = self.reading.iter().position(|r| r.ticket == ticket) else {
             return;
         };
         let reading = self.reading.swap_remove(i);
         let took = now.saturating_sub(reading.sent_at) as f64;
-        let behind = self.delay(now);
+        let behind = self.queue_delay_ms(now);
         self.delay_ms = behind + ((took - alone_ms).max(0.0) - behind) * SAMPLE_WEIGHT;
         self.delay_at = now;
         let ratio = (took / alone_ms.max(1.0)).clamp(SLOWNESS.0, SLOWNESS.1);
@@ -436,15 +439,15 @@
     }
 
     /// Returns how long requests waited there beyond their own reading, lately, in milliseconds.
-    pub fn delay(&self, now: u64) -> f64 {
+    pub fn queue_delay_ms(&self, now: u64) -> f64 {
         let gone = now.saturating_sub(self.delay_at) as f64;
         self.delay_ms * (0.5f64).powf(gone / DELAY_FORGET_MS)
     }
 
     /// Returns how long it still reads the prompts that all instances sent, in milliseconds.
-    pub fn reading_ms(&self, now: u64) -> f64 {
+    pub fn pending_prefill_ms(&self, now: u64) -> f64 {
         let others = self.fresh(now);
-        let others = others.map(|h| h.held.reading_ms - (now - h.at) as f64);
+        let others = others.map(|h| h.held.pending_prefill_ms - (now - h.at) as f64);
         self.own_reading_ms(now) + others.filter(|ms| *ms > 0.0).sum::<f64>()
     }
 
@@ -471,10 +474,10 @@
         );
         self.sent.end(now, ticket, answered);
         match outcome {
-            Outcome::Success => self.health.well(now),
-            Outcome::ErrorResponse => self.health.error(now),
-            Outcome::InvalidResponse => self.health.broken(now),
-            Outcome::Unresponsive => self.health.silent(now),
+            Outcome::Success => self.health.record_success(now),
+            Outcome::ErrorResponse => self.health.record_error(now),
+            Outcome::InvalidResponse => self.health.record_invalid(now),
+            Outcome::Unresponsive => self.health.record_unresponsive(now),
             Outcome::Refused | Outcome::Abandoned => {}
         }
     }
--- a/crates/place/src/want.rs
+++ b/crates/place/src/want.rs
@@ -10,9 +10,9 @@
     /// The own availability zone.
     pub zone: &'a str,
     /// The parts of its prompt, in order; the last one is its own.
-    pub parts: &'a [PromptSegment],
+    pub segments: &'a [PromptSegment],
     /// Tokens of its prompt; 0 for a plain call.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// Regions whose upstreams it may reach; empty where it may reach all.
     pub regions: &'a [String],
     /// Upstreams that were tried.
@@ -20,7 +20,7 @@
     /// When its answer is no longer wanted, in milliseconds.
     pub deadline: u64,
     /// Whether it may run more than once.
-    pub repeatable: bool,
+    pub retryable: bool,
     /// Uniform over all values.
     pub random: u64,
 }
@@ -33,13 +33,13 @@
     /// As its list shows it.
     pub spec: Spec,
     /// The request there.
-    pub ticket: AttemptId,
+    pub attempt: AttemptId,
     /// Tokens that it will have to read, as far as known.
-    pub unread: u32,
+    pub uncached_tokens: u32,
     /// The same, weighed by how many tokens stand before them.
-    pub work: f64,
+    pub prefill_work: f64,
     /// When the first token, or the answer, is expected, in milliseconds from now.
-    pub expect_ms: f64,
+    pub expected_ms: f64,
 }
 
 /// Why no upstream was chosen.
--- a/crates/place/tests/choice.rs
+++ b/crates/place/tests/choice.rs
@@ -22,7 +22,7 @@
 
 fn pool(n: u32, service: &str) -> Pool {
     let mut pool = Pool::default();
-    (0..n).for_each(|i| assert_eq!(pool.list(0, spec(i, service)), EntryChange::New));
+    (0..n).for_each(|i| assert_eq!(pool.upsert(0, spec(i, service)), EntryChange::New));
     pool
 }
 
@@ -32,17 +32,17 @@
 
 fn chat(parts: &[PromptSegment]) -> Criteria<'_> {
     Criteria {
-        parts,
-        prompt: parts.iter().map(|p| p.tokens).sum(),
+        segments: parts,
+        prompt_tokens: parts.iter().map(|p| p.tokens).sum(),
         ..call("z0")
     }
 }
 
 /// Answers a request after the time that was expected.
 fn serve(pool: &mut Pool, now: u64, choice: &Choice) {
-    let done = now + choice.expect_ms as u64;
-    pool.first(done, choice, now);
-    pool.end(done, choice.key, choice.ticket, Outcome::Success);
+    let done = now + choice.expected_ms as u64;
+    pool.record_latency(done, choice, now);
+    pool.end(done, choice.key, choice.attempt, Outcome::Success);
 }
 
 /// The load: a hundred long beginnings, each asked for again and again, seen by nine instances that
@@ -60,7 +60,7 @@
             let choice = pools[instance].choose(now, &chat(&parts)).unwrap();
             let home = homes.entry(thing).or_insert(choice.spec.id.clone());
             assert_eq!(*home, choice.spec.id, "beginning {thing}");
-            assert_eq!(choice.unread, 3_700);
+            assert_eq!(choice.uncached_tokens, 3_700);
             serve(&mut pools[instance], now, &choice);
         }
     }
@@ -97,12 +97,12 @@
         let first = first.unwrap();
         serve(&mut pool, 0, &first);
         let up = pool.listed().find(|u| u.spec.id == first.spec.id);
-        let hash = up.unwrap().hash();
+        let hash = up.unwrap().incarnation_hash();
         let held = InstanceLoad {
-            reading_ms,
+            pending_prefill_ms: reading_ms,
             inflight: 2,
         };
-        pool.hear(10_000, 42, &HashMap::from([(hash, held)]));
+        pool.set_peer_loads(10_000, 42, &HashMap::from([(hash, held)]));
         let parts = [part(1, 13_000), part(100 + u64::from(from), 1_000)];
         let choice = pool.choose(10_001, &chat(&parts)).unwrap();
         (first.spec.id == choice.spec.id, choice.spec.id)
@@ -126,13 +126,13 @@
     serve(&mut pool, 0, &home);
     let hash = {
         let up = pool.listed().find(|u| u.spec.id == home.spec.id);
-        up.unwrap().hash()
+        up.unwrap().incarnation_hash()
     };
     let busy = InstanceLoad {
-        reading_ms: 3_000.0,
+        pending_prefill_ms: 3_000.0,
         inflight: 8,
     };
-    pool.hear(10_000, 42, &HashMap::from([(hash, busy)]));
+    pool.set_peer_loads(10_000, 42, &HashMap::from([(hash, busy)]));
     let parts = [part(1, 13_000), part(3, 3_700)];
     let other = pool.choose(10_010, &chat(&parts)).unwrap();
     assert_ne!(other.spec.id, home.spec.id);
@@ -168,7 +168,7 @@
 fn an_upstream_that_can_not_be_reached_is_left_alone() {
     let mut pool = pool(3, "pool");
     let dead = pool.choose(0, &call("z0")).unwrap();
-    pool.end(250, dead.key, dead.ticket, Outcome::Unresponsive);
+    pool.end(250, dead.key, dead.attempt, Outcome::Unresponsive);
     for i in 0..20 {
         let choice = pool.choose(260 + i, &call("z0")).unwrap();
         assert_ne!(choice.spec.id, dead.spec.id);
@@ -176,7 +176,7 @@
     }
     // Afterwards one request at a time tries it, and none that may not be repeated.
     let once = Criteria {
-        repeatable: false,
+        retryable: false,
         ..call("z0")
     };
     assert_ne!(pool.choose(1_000, &once).unwrap().spec.id, dead.spec.id);
@@ -189,7 +189,7 @@
     let mut pool = pool(4, "pool");
     for i in 0..12 {
         if let Ok(choice) = pool.choose(i, &call("z0")) {
-            pool.end(i, choice.key, choice.ticket, Outcome::Unresponsive);
+            pool.end(i, choice.key, choice.attempt, Outcome::Unresponsive);
         }
     }
     assert!(pool.choose(20, &call("z0")).is_ok());
@@ -198,7 +198,7 @@
 #[test]
 fn what_leaves_or_was_tried_gets_nothing() {
     let mut pool = pool(2, "pool");
-    assert!(pool.leaving("i0"));
+    assert!(pool.mark_leaving("i0"));
     let choice = pool.choose(0, &call("z0")).unwrap();
     assert_eq!(choice.spec.id, "i1");
     let tried = [choice.key];
@@ -249,7 +249,7 @@
         waiting: 40,
         slots: 64,
     };
-    pool.report(0, first.key, full);
+    pool.set_reported_load(0, first.key, full);
     for i in 0..20 {
         let choice = pool.choose(i, &call("z0")).unwrap();
         assert_ne!(choice.spec.id, first.spec.id);
@@ -265,7 +265,7 @@
         for me in 0..instances {
             let mut pool = pool(upstreams, "pool");
             let name = me.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-            pool.list_senders(0, name, &[name]);
+            pool.set_instances(0, name, &[name]);
             for now in 0..4 {
                 let choice = pool.choose(now * 1_000, &call("z0")).unwrap();
                 assert_eq!(choice.spec.zone, "z0");
--- a/crates/place/tests/cold.rs
+++ b/crates/place/tests/cold.rs
@@ -32,8 +32,8 @@
 
 fn cold() -> HashMap<String, ColdStart> {
     let cold = ColdStart {
-        lasts_ms: COLD_MS,
-        most: Some(BOUND as f64),
+        duration_ms: COLD_MS,
+        max_per_sec: Some(BOUND as f64),
     };
     HashMap::from([("pool".to_string(), cold)])
 }
@@ -42,7 +42,7 @@
 fn open(count: usize, way_ms: fn(u64) -> u64) -> Fleet {
     let mut fleet = Fleet::open(count, way_ms);
     for pool in &mut fleet.pools {
-        pool.set_cold(cold());
+        pool.set_cold_starts(cold());
     }
     fleet
 }
@@ -140,7 +140,7 @@
     let mut given_up = 0;
     for now in SETTLED_MS..SETTLED_MS + 4_000 {
         while let Ok(choice) = pool.choose(now, &call("a")) {
-            pool.end(now, choice.key, choice.ticket, Outcome::Unresponsive);
+            pool.end(now, choice.key, choice.attempt, Outcome::Unresponsive);
             given_up += 1;
         }
     }
@@ -152,8 +152,8 @@
 fn the_warm_one_serves_and_nobody_waits_for_the_cold_one() {
     let mut fleet = open(1, short);
     let pool = &mut fleet.pools[0];
-    pool.list(0, spec(0, "a", Some(COLD_MS)));
-    pool.list(0, spec(1, "a", Some(0)));
+    pool.upsert(0, spec(0, "a", Some(COLD_MS)));
+    pool.upsert(0, spec(1, "a", Some(0)));
     for _ in 0..20 {
         let choice = pool.choose(10, &call("a")).unwrap();
         assert_eq!(choice.spec.id, "u1");
@@ -161,7 +161,7 @@
     // It has become cold as well, by its entry: what was chosen before goes elsewhere, or is refused with the time.
     let choice = pool.choose(10, &call("a")).unwrap();
     assert!(pool.may_send(10, &choice));
-    pool.list(10, spec(1, "a", Some(2_000)));
+    pool.upsert(10, spec(1, "a", Some(2_000)));
     assert!(!pool.may_send(10, &choice));
     let denied = pool.choose(20, &call("a")).unwrap_err();
     assert_eq!(denied, ChooseError::Cold { retry_ms: 1_990 });
@@ -172,14 +172,14 @@
 #[test]
 fn an_upstream_of_which_nothing_is_said_is_cold_at_first() {
     let mut pool = Pool::default();
-    pool.set_cold(cold());
-    pool.list(100, spec(0, "a", None));
+    pool.set_cold_starts(cold());
+    pool.upsert(100, spec(0, "a", None));
     assert_eq!(
         pool.choose(100, &call("a")).unwrap_err(),
         ChooseError::Cold { retry_ms: COLD_MS }
     );
     assert!(pool.choose(100 + COLD_MS, &call("a")).is_ok());
     let mut free = Pool::default();
-    free.list(100, spec(0, "a", Some(COLD_MS)));
+    free.upsert(100, spec(0, "a", Some(COLD_MS)));
     assert!(free.choose(100, &call("a")).is_ok());
 }
--- a/crates/place/tests/common/fleet.rs
+++ b/crates/place/tests/common/fleet.rs
@@ -50,14 +50,14 @@
     /// Sets the instances that an instance sees.
     pub(crate) fn see(&mut self, now: u64, who: usize, seen: &[usize]) {
         let names: Vec<u64> = seen.iter().map(|i| *i as u64).collect();
-        self.pools[who].list_senders(now, who as u64, &names);
+        self.pools[who].set_instances(now, who as u64, &names);
     }
 
     /// Lists upstreams at all instances.
     pub(crate) fn list(&mut self, now: u64, specs: &[Spec]) {
         for pool in &mut self.pools {
             for spec in specs {
-                pool.list(now, spec.clone());
+                pool.upsert(now, spec.clone());
             }
         }
     }
@@ -73,8 +73,8 @@
                 let upstream = r.choice.spec.incarnation();
                 self.updates.push((now + SPREAD_MS, upstream, limit));
             }
-            pool.first(now, &r.choice, r.sent_at);
-            pool.end(now, r.choice.key, r.choice.ticket, Outcome::Success);
+            pool.record_latency(now, &r.choice, r.sent_at);
+            pool.end(now, r.choice.key, r.choice.attempt, Outcome::Success);
         }
         let (due, later) = self.updates.drain(..).partition(|u| u.0 <= now);
         self.updates = later;
--- a/crates/place/tests/common/mod.rs
+++ b/crates/place/tests/common/mod.rs
@@ -8,7 +8,7 @@
 pub(crate) fn spec(id: &str, zone: &str) -> Spec {
     Spec {
         id: id.to_string(),
-        born: None,
+        started_at_ms: None,
         service: "pool".to_string(),
         addr: SocketAddr::from(([127, 0, 0, 1], 9000)),
         zone: zone.to_string(),
@@ -23,12 +23,12 @@
     Criteria {
         service: "pool",
         zone,
-        parts: &[],
-        prompt: 0,
+        segments: &[],
+        prompt_tokens: 0,
         regions: &[],
         tried: &[],
         deadline: 1_000_000,
-        repeatable: true,
+        retryable: true,
         random: 7,
     }
 }
--- a/crates/place/tests/limit.rs
+++ b/crates/place/tests/limit.rs
@@ -186,17 +186,23 @@
         pool.merge_limit(0, "u0", versioned(0.0, 1)),
         "not listed yet"
     );
-    pool.list(0, spec(0));
+    pool.upsert(0, spec(0));
     assert!(matches!(
         pool.choose(10, &call("a")).unwrap_err(),
         ChooseError::Limited { .. }
     ));
     pool.delist("u0");
-    pool.list(20, spec(0));
+    pool.upsert(20, spec(0));
     assert!(pool.choose(20, &call("a")).is_err());
     pool.delist("u0");
-    let born = Some(1_700_000_000_000);
-    pool.list(30, Spec { born, ..spec(0) });
+    let started_at_ms = Some(1_700_000_000_000);
+    pool.upsert(
+        30,
+        Spec {
+            started_at_ms,
+            ..spec(0)
+        },
+    );
     assert!(pool.choose(30, &call("a")).is_ok());
 }
 
@@ -204,14 +210,14 @@
 #[test]
 fn only_an_answer_to_a_later_request_removes_a_limit() {
     let mut pool = Pool::default();
-    pool.list(0, spec(0));
+    pool.upsert(0, spec(0));
     let earlier = pool.choose(10, &call("a")).unwrap();
     assert!(pool.merge_limit(20, "u0", versioned(1.0, 1)));
     assert!(!pool.may_send(20, &earlier), "chosen before");
     assert_eq!(pool.set_limit(30, earlier.key, 10, None), None);
     assert_eq!(pool.limited_count(), 1);
     let key = earlier.key;
-    pool.end(30, key, earlier.ticket, Outcome::Success);
+    pool.end(30, key, earlier.attempt, Outcome::Success);
     // A stricter limit applies regardless of when its request was sent.
     let stricter = pool.set_limit(40, key, 10, limit(0.5));
     assert_eq!(stricter, Some(versioned(0.5, 2)));
@@ -228,15 +234,20 @@
 #[test]
 fn requests_over_a_limit_go_elsewhere_or_are_refused_with_a_retry_time() {
     let mut pool = Pool::default();
-    pool.list_senders(0, 1, &[1]);
-    pool.list(0, spec(0));
-    pool.list(0, spec(1));
+    pool.set_instances(0, 1, &[1]);
+    pool.upsert(0, spec(0));
+    pool.upsert(0, spec(1));
     pool.merge_limit(0, "u0", versioned(1.0, 1));
     let mut sent = BTreeMap::from([("u0".to_string(), 0), ("u1".to_string(), 0)]);
     for _ in 0..20 {
         let choice = pool.choose(SETTLED_MS + 10, &call("a")).unwrap();
         *sent.get_mut(&choice.spec.id).unwrap() += 1;
-        pool.end(SETTLED_MS + 10, choice.key, choice.ticket, Outcome::Success);
+        pool.end(
+            SETTLED_MS + 10,
+            choice.key,
+            choice.attempt,
+            Outcome::Success,
+        );
     }
     assert!(sent["u0"] <= 1, "{sent:?}");
     sent.insert("u1".to_string(), 0);
@@ -245,7 +256,12 @@
         match pool.choose(SETTLED_MS + 20, &call("a")) {
             Ok(choice) => {
                 *sent.get_mut(&choice.spec.id).unwrap() += 1;
-                pool.end(SETTLED_MS + 20, choice.key, choice.ticket, Outcome::Success);
+                pool.end(
+                    SETTLED_MS + 20,
+                    choice.key,
+                    choice.attempt,
+                    Outcome::Success,
+                );
             }
             Err(denied) => break denied,
         }
--- a/crates/place/tests/link.rs
+++ b/crates/place/tests/link.rs
@@ -7,14 +7,14 @@
     let (mut refused, mut longest) = (0, 0.0_f64);
     for i in 0..per_s * ms / 1000 {
         let now = from + i * 1000 / per_s;
-        link.came(now, bytes);
-        if link.is_full_for(now, bytes) {
+        link.record_request_received(now, bytes);
+        if link.is_saturated_for(now, bytes) {
             refused += 1;
         } else {
-            link.goes(now, bytes);
-            link.passes(now, 2_500);
+            link.record_request_sent(now, bytes);
+            link.record_response(now, 2_500);
         }
-        longest = longest.max(link.outward_ms(now));
+        longest = longest.max(link.outbound_delay_ms(now));
     }
     (refused, longest)
 }
@@ -24,14 +24,14 @@
     let mut link = Link::new(Some(1_000.0));
     let (refused, longest) = press(&mut link, 0, 500, 17_000, 10_000);
     assert_eq!(refused, 0);
-    assert!(longest < 5.0 && !link.is_crowded(10_000), "{longest}");
+    assert!(longest < 5.0 && !link.is_congested(10_000), "{longest}");
 }
 
 #[test]
 fn an_unknown_link_never_refuses() {
     let mut link = Link::new(None);
     assert_eq!(press(&mut link, 0, 500, 17_000, 10_000).0, 0);
-    assert!(!link.is_crowded(10_000));
+    assert!(!link.is_congested(10_000));
 }
 
 #[test]
@@ -40,7 +40,7 @@
     // 40 requests of 7.7 kB and answers of 2.5 kB a second: 0.42 of 1.25 MB/s.
     let (refused, _) = press(&mut link, 0, 40, 7_700, 20_000);
     assert_eq!(refused, 0);
-    assert!(!link.is_crowded(20_000));
+    assert!(!link.is_congested(20_000));
 }
 
 /// Symptom: an instance takes more than three seconds to learn that an upstream leaves, while its callers
@@ -50,13 +50,19 @@
 fn a_full_link_sends_callers_elsewhere_and_refuses_the_rest() {
     let mut link = Link::new(Some(10.0));
     assert_eq!(press(&mut link, 0, 130, 7_700, 500).0, 0);
-    assert!(link.is_crowded(500), "told before anything is refused");
-    assert_eq!((link.turned(500), link.turned(501)), (Some(true), None));
+    assert!(link.is_congested(500), "told before anything is refused");
+    assert_eq!(
+        (
+            link.take_congestion_change(500),
+            link.take_congestion_change(501)
+        ),
+        (Some(true), None)
+    );
     let (refused, longest) = press(&mut link, 500, 130, 7_700, 5_000);
     assert!((150..250).contains(&refused), "{refused} of 650");
     assert!(longest < 270.0, "{longest}");
-    assert!(!link.is_full_for(5_500, 600), "short ones pass");
-    assert!(link.is_crowded(9_000), "they would come back at once");
-    assert!(!link.is_crowded(12_000));
-    assert_eq!(link.turned(12_000), Some(false));
+    assert!(!link.is_saturated_for(5_500, 600), "short ones pass");
+    assert!(link.is_congested(9_000), "they would come back at once");
+    assert!(!link.is_congested(12_000));
+    assert_eq!(link.take_congestion_change(12_000), Some(false));
 }
--- a/crates/place/tests/lives.rs
+++ b/crates/place/tests/lives.rs
@@ -19,9 +19,9 @@
     PromptSegment { id: 3, tokens: 500 },
 ];
 
-fn spec(born: u64) -> Spec {
+fn spec(started_at_ms: u64) -> Spec {
     Spec {
-        born: Some(born),
+        started_at_ms: Some(started_at_ms),
         slots: 8,
         ..common::spec("e", "z")
     }
@@ -29,8 +29,8 @@
 
 fn choose(pool: &mut Pool, now: u64) -> Choice {
     let want = Criteria {
-        parts: &PARTS,
-        prompt: 8_500,
+        segments: &PARTS,
+        prompt_tokens: 8_500,
         deadline: now + 10_000,
         random: 1,
         ..common::call("z")
@@ -44,11 +44,15 @@
 #[test]
 fn nothing_of_an_earlier_life_holds() {
     let mut pool = Pool::default();
-    pool.list(0, spec(100));
+    pool.upsert(0, spec(100));
     let first = choose(&mut pool, 0);
     let known = choose(&mut pool, 10);
-    assert!(known.unread <= 500, "it has them now: {}", known.unread);
-    pool.report(
+    assert!(
+        known.uncached_tokens <= 500,
+        "it has them now: {}",
+        known.uncached_tokens
+    );
+    pool.set_reported_load(
         20,
         known.key,
         Load {
@@ -58,24 +62,28 @@
         },
     );
     let told = HashMap::from([(
-        pool.listed().next().expect("listed").hash(),
+        pool.listed().next().expect("listed").incarnation_hash(),
         InstanceLoad {
-            reading_ms: 9_000.0,
+            pending_prefill_ms: 9_000.0,
             inflight: 5,
         },
     )]);
-    pool.hear(20, 77, &told);
+    pool.set_peer_loads(20, 77, &told);
     let ended = "e@100".to_string();
-    assert_eq!(pool.list(0, spec(200)), EntryChange::Restarted { ended });
+    assert_eq!(pool.upsert(0, spec(200)), EntryChange::Restarted { ended });
     let up = pool.listed().next().expect("the later incarnation");
     assert_eq!((up.inflight, up.occupancy(30)), (0, 0));
     // What others still say of the earlier incarnation does not concern the later one.
-    pool.hear(40, 78, &told);
+    pool.set_peer_loads(40, 78, &told);
     assert_eq!(pool.listed().next().expect("listed").occupancy(40), 0);
     let again = choose(&mut pool, 50);
-    assert!(again.unread > 8_000, "it has nothing: {}", again.unread);
+    assert!(
+        again.uncached_tokens > 8_000,
+        "it has nothing: {}",
+        again.uncached_tokens
+    );
     // The ends of the earlier incarnation's requests, and its late report, reach nobody.
-    pool.report(
+    pool.set_reported_load(
         60,
         first.key,
         Load {
@@ -85,11 +93,11 @@
         },
     );
     for choice in [&first, &known] {
-        pool.end(60, choice.key, choice.ticket, Outcome::Unresponsive);
+        pool.end(60, choice.key, choice.attempt, Outcome::Unresponsive);
     }
     let up = pool.listed().next().expect("listed");
     assert_eq!(up.inflight, 1);
-    assert!(!up.health.is_out(61));
+    assert!(!up.health.is_ejected(61));
 }
 
 /// Symptom: an engine that has started again gets no work. Sequence: it was leaving; other instances, which
@@ -97,12 +105,12 @@
 #[test]
 fn a_leaving_ends_with_its_life() {
     let mut pool = Pool::default();
-    pool.list(0, spec(100));
-    assert!(pool.leaving("e@100"));
-    pool.list(0, spec(200));
-    assert!(!pool.leaving("e@100"), "it is gone");
+    pool.upsert(0, spec(100));
+    assert!(pool.mark_leaving("e@100"));
+    pool.upsert(0, spec(200));
+    assert!(!pool.mark_leaving("e@100"), "it is gone");
     assert!(pool.listed().all(|u| !u.leaving));
-    assert!(pool.leaving("e@200"));
+    assert!(pool.mark_leaving("e@200"));
 }
 
 /// Symptom: an engine's earlier incarnation is listed again. Sequence: a list that is seconds old comes after the
@@ -110,14 +118,20 @@
 #[test]
 fn an_older_entry_changes_nothing() {
     let mut pool = Pool::default();
-    pool.list(0, spec(200));
-    assert_eq!(pool.list(0, spec(100)), EntryChange::Unchanged);
-    assert_eq!(pool.listed().next().expect("listed").spec.born, Some(200));
+    pool.upsert(0, spec(200));
+    assert_eq!(pool.upsert(0, spec(100)), EntryChange::Unchanged);
+    assert_eq!(
+        pool.listed().next().expect("listed").spec.started_at_ms,
+        Some(200)
+    );
     // One that does not say is of the incarnation that is known.
     let silent = Spec {
-        born: None,
+        started_at_ms: None,
         ..spec(0)
     };
-    assert_eq!(pool.list(0, silent), EntryChange::Unchanged);
-    assert_eq!(pool.listed().next().expect("listed").spec.born, Some(200));
+    assert_eq!(pool.upsert(0, silent), EntryChange::Unchanged);
+    assert_eq!(
+        pool.listed().next().expect("listed").spec.started_at_ms,
+        Some(200)
+    );
 }
--- a/crates/place/tests/missing.rs
+++ b/crates/place/tests/missing.rs
@@ -5,7 +5,7 @@
 #[test]
 fn without_an_outage_what_is_missing_is_gone() {
     let mut missing = MissingEntries::default();
-    assert!((0..20).all(|i| missing.is_gone(100 + i, 0, 20)));
+    assert!((0..20).all(|i| missing.accept_removal(100 + i, 0, 20)));
 }
 
 /// Symptom: requests reach an upstream two seconds after it left. Sequence: an instance's path to the
@@ -14,8 +14,8 @@
 #[test]
 fn one_that_leaves_right_after_an_outage_is_gone_at_once() {
     let mut missing = MissingEntries::default();
-    assert!(missing.is_gone(11_200, 10_000, 21));
-    assert!(missing.is_gone(11_300, 10_000, 20));
+    assert!(missing.accept_removal(11_200, 10_000, 21));
+    assert!(missing.accept_removal(11_300, 10_000, 20));
 }
 
 /// Symptom: 503 for everything for two seconds after an outage. Sequence: all entries expire while the
@@ -25,10 +25,10 @@
     let mut missing = MissingEntries::default();
     let mut listed = 20;
     for _ in 0..20 {
-        listed -= usize::from(missing.is_gone(10_100, 10_000, listed));
+        listed -= usize::from(missing.accept_removal(10_100, 10_000, listed));
     }
     assert_eq!(listed, 15);
-    assert!(missing.is_gone(12_600, 10_000, listed));
+    assert!(missing.accept_removal(12_600, 10_000, listed));
 }
 
 /// Guards against missing entries that stay listed indefinitely because they exceed the share that may be dropped at once.
@@ -38,7 +38,7 @@
     assert_eq!(missing.recheck_at(), None);
     let names = ["a", "b", "c", "d"];
     for (i, name) in names.iter().enumerate() {
-        if !missing.is_gone(10_100, 10_000, names.len() - i.min(1)) {
+        if !missing.accept_removal(10_100, 10_000, names.len() - i.min(1)) {
             missing.defer(name, 7);
         }
     }
@@ -52,6 +52,6 @@
     let due = missing.take_due(at);
     let expected = ["b", "c", "d"].map(|name| (name.to_string(), 7));
     assert_eq!(due.into_iter().collect::<Vec<_>>(), expected);
-    assert!(missing.is_gone(at, 10_000, 3));
+    assert!(missing.accept_removal(at, 10_000, 3));
     assert_eq!(missing.recheck_at(), None);
 }
--- a/crates/place/tests/retries.rs
+++ b/crates/place/tests/retries.rs
@@ -16,9 +16,9 @@
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
     for t in (0..60_000).step_by(10) {
         let i = (t / 10 % 9) as usize;
-        instances[i].request(t, "desk");
+        instances[i].record_request(t, "desk");
         requests.push(t);
-        if instances[i].take(t, "desk", 9) {
+        if instances[i].try_acquire(t, "desk", 9) {
             repeats.push(t);
         }
     }
@@ -38,6 +38,6 @@
 #[test]
 fn services_do_not_share() {
     let mut retries = RetryBudget::new(BOUNDS);
-    while retries.take(0, "a", 9) {}
-    assert!(retries.take(0, "b", 9));
+    while retries.try_acquire(0, "a", 9) {}
+    assert!(retries.try_acquire(0, "b", 9));
 }
--- a/crates/place/tests/room.rs
+++ b/crates/place/tests/room.rs
@@ -8,19 +8,19 @@
 fn what_does_not_fit_is_refused_until_there_is_room() {
     let mut room = RequestMemory::new(Some(88));
     let mut taken = Vec::new();
-    while let Some(bytes) = room.take(100_000) {
+    while let Some(bytes) = room.reserve(100_000) {
         taken.push(bytes);
     }
     let all: usize = taken.iter().sum();
     assert!((300..400).contains(&taken.len()), "{}", taken.len());
     assert!(all < 88 * 1024 * 1024 * 6 / 10);
-    room.give_back(taken[0]);
-    assert!(room.take(100_000).is_some());
-    assert!(room.take(100_000).is_none());
+    room.release(taken[0]);
+    assert!(room.reserve(100_000).is_some());
+    assert!(room.reserve(100_000).is_none());
 }
 
 #[test]
 fn without_a_limit_everything_fits() {
     let mut room = RequestMemory::new(None);
-    assert!((0..100_000).all(|_| room.take(1 << 20).is_some()));
+    assert!((0..100_000).all(|_| room.reserve(1 << 20).is_some()));
 }
--- a/crates/place/tests/said.rs
+++ b/crates/place/tests/said.rs
@@ -17,7 +17,7 @@
 fn pool(ids: &[&str]) -> Pool {
     let mut pool = Pool::default();
     for id in ids {
-        pool.list(0, spec(id));
+        pool.upsert(0, spec(id));
     }
     pool
 }
@@ -33,7 +33,7 @@
 }
 
 fn end(pool: &mut Pool, now: u64, choice: &Choice) {
-    pool.end(now, choice.key, choice.ticket, Outcome::Refused);
+    pool.end(now, choice.key, choice.attempt, Outcome::Refused);
 }
 
 /// A request that was chosen for it before its word came is not sent there.
@@ -42,7 +42,7 @@
     let mut pool = pool(&["a"]);
     let choice = choose(&mut pool, 0).expect("it takes work");
     assert!(pool.may_send(0, &choice));
-    pool.leaving("a");
+    pool.mark_leaving("a");
     assert!(!pool.may_send(0, &choice));
     end(&mut pool, 0, &choice);
     assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
@@ -52,33 +52,33 @@
 #[test]
 fn a_life_that_leaves_is_listed_again_and_gets_nothing() {
     let mut pool = pool(&["a"]);
-    pool.leaving("a");
+    pool.mark_leaving("a");
     pool.delist("a");
-    pool.list(0, spec("a"));
+    pool.upsert(0, spec("a"));
     assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
-    assert!(!pool.leaving("b"), "it is not listed yet");
-    pool.list(0, spec("b"));
+    assert!(!pool.mark_leaving("b"), "it is not listed yet");
+    pool.upsert(0, spec("b"));
     assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
-    pool.list(0, spec("c"));
+    pool.upsert(0, spec("c"));
     let choice = choose(&mut pool, 0).expect("another incarnation");
     assert_eq!(choice.spec.id, "c");
 }
 
 #[test]
 fn a_later_life_under_the_name_starts_clean() {
-    let born = |born| Spec {
-        born: Some(born),
+    let born = |started_at_ms| Spec {
+        started_at_ms: Some(started_at_ms),
         ..spec("a")
     };
     let mut pool = Pool::default();
-    pool.list(0, born(100));
+    pool.upsert(0, born(100));
     let choice = choose(&mut pool, 0).expect("it takes work");
-    pool.rests(0, choice.key, HOUR);
+    pool.pause(0, choice.key, HOUR);
     end(&mut pool, 0, &choice);
-    pool.leaving("a@100");
-    pool.list(0, born(200));
+    pool.mark_leaving("a@100");
+    pool.upsert(0, born(200));
     assert!(choose(&mut pool, 0).is_ok(), "a later incarnation");
-    pool.list(0, born(100));
+    pool.upsert(0, born(100));
     assert!(
         choose(&mut pool, 0).is_ok(),
         "an older entry says nothing of it"
@@ -94,7 +94,7 @@
     for _ in 0..3 {
         let choice = choose(&mut pool, 0).expect("one that takes work");
         let (_, ms) = rests[rests.iter().position(|r| r.0 == choice.spec.id).unwrap()];
-        assert!(pool.rests(0, choice.key, ms), "new");
+        assert!(pool.pause(0, choice.key, ms), "new");
         end(&mut pool, 0, &choice);
         chosen.push(choice);
     }
@@ -102,7 +102,7 @@
         choose(&mut pool, 400).unwrap_err(),
         ChooseError::Resting { retry_ms: 600 }
     );
-    pool.leaving("c");
+    pool.mark_leaving("c");
     let denied = ChooseError::Resting { retry_ms: 2_600 };
     assert_eq!(choose(&mut pool, 400).unwrap_err(), denied);
     assert_eq!(
@@ -117,15 +117,15 @@
 fn a_time_holds_until_it_is_over() {
     let mut pool = pool(&["a"]);
     let choice = choose(&mut pool, 0).expect("it takes work");
-    assert!(pool.rests(0, choice.key, 9_000));
-    assert!(!pool.rests(100, choice.key, 200), "shorter");
+    assert!(pool.pause(0, choice.key, 9_000));
+    assert!(!pool.pause(100, choice.key, 200), "shorter");
     end(&mut pool, 100, &choice);
     pool.delist("a");
-    pool.list(0, spec("a"));
+    pool.upsert(0, spec("a"));
     let denied = ChooseError::Resting { retry_ms: 8_000 };
     assert_eq!(choose(&mut pool, 1_000).unwrap_err(), denied);
     let choice = choose(&mut pool, 9_000).expect("its time is over");
-    pool.rests(9_000, choice.key, u64::MAX);
+    pool.pause(9_000, choice.key, u64::MAX);
     end(&mut pool, 9_000, &choice);
     let denied = ChooseError::Resting { retry_ms: HOUR };
     assert_eq!(choose(&mut pool, 9_000).unwrap_err(), denied);
@@ -138,7 +138,7 @@
     let mut pool = pool(&ids.iter().map(String::as_str).collect::<Vec<_>>());
     for _ in 0..9 {
         let choice = choose(&mut pool, 0).expect("one is left");
-        pool.rests(0, choice.key, 60_000);
+        pool.pause(0, choice.key, 60_000);
         end(&mut pool, 0, &choice);
     }
     let last = choose(&mut pool, 10).expect("one is left");
@@ -151,9 +151,9 @@
 #[test]
 fn many_lives_that_leave_are_bounded_and_the_listed_ones_kept() {
     let mut pool = pool(&["a"]);
-    pool.leaving("a");
+    pool.mark_leaving("a");
     for i in 0..5_000 {
-        pool.leaving(&format!("x{i}"));
+        pool.mark_leaving(&format!("x{i}"));
     }
     assert_eq!(choose(&mut pool, 0).unwrap_err(), ChooseError::NoneLeft);
 }
--- a/crates/place/tests/zones.rs
+++ b/crates/place/tests/zones.rs
@@ -24,12 +24,12 @@
 fn pool() -> Pool {
     let mut pool = Pool::default();
     let cold = ColdStart {
-        lasts_ms: 3_000,
-        most: Some(17.0),
+        duration_ms: 3_000,
+        max_per_sec: Some(17.0),
     };
-    pool.set_cold(HashMap::from([("pool".to_string(), cold)]));
-    pool.list(0, spec("u1", "a"));
-    pool.list(0, spec("u2", "b"));
+    pool.set_cold_starts(HashMap::from([("pool".to_string(), cold)]));
+    pool.upsert(0, spec("u1", "a"));
+    pool.upsert(0, spec("u2", "b"));
     pool
 }
 
@@ -39,25 +39,25 @@
     let mut pool = pool();
     let before = pool.choose(10, &want(&[])).unwrap();
     assert_eq!(before.spec.zone, "a", "the own zone first");
-    pool.evacuate(20, "a", true);
+    pool.set_evacuated(20, "a", true);
     assert!(!pool.may_send(20, &before), "chosen before");
-    pool.list(30, spec("u1", "a"));
-    pool.list(30, spec("u3", "a"));
+    pool.upsert(30, spec("u1", "a"));
+    pool.upsert(30, spec("u3", "a"));
     for _ in 0..20 {
         assert_eq!(pool.choose(30, &want(&[])).unwrap().spec.id, "u2");
     }
-    pool.evacuate(40, "b", true);
+    pool.set_evacuated(40, "b", true);
     assert_eq!(
         pool.choose(40, &want(&[])).unwrap_err(),
         ChooseError::Evacuated
     );
-    pool.evacuate(50, "b", false);
+    pool.set_evacuated(50, "b", false);
     // It may have become cold meanwhile, whatever its entry said before.
     assert!(matches!(
         pool.choose(60, &want(&[])).unwrap_err(),
         ChooseError::Cold { .. }
     ));
-    pool.list(70, spec("u2", "b"));
+    pool.upsert(70, spec("u2", "b"));
     assert!(
         pool.choose(80, &want(&[])).is_err(),
         "an entry may be older"
@@ -80,7 +80,7 @@
         ChooseError::Outside
     );
     // A zone whose region nobody knows is in none.
-    pool.list(10, spec("u3", "c"));
+    pool.upsert(10, spec("u3", "c"));
     assert_eq!(
         pool.choose(10, &want(&west)).unwrap_err(),
         ChooseError::Outside
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::http::response;
 use hyper::{Request, StatusCode, Uri};
-use place::{connections, Choice, ChooseError, Criteria, Outcome, RateLimit};
+use place::{max_connections, Choice, ChooseError, Criteria, Outcome, RateLimit};
 use suspect::Digest;
 use tokio::time::timeout_at;
 
@@ -55,7 +55,7 @@
     /// Notes the first event, or the answer.
     pub(crate) fn first(&self) {
         let mut pool = self.router.pool.lock().expect("no panic inside");
-        pool.first(self.router.clock.now(), &self.choice, self.sent_at);
+        pool.record_latency(self.router.clock.now(), &self.choice, self.sent_at);
     }
 
     /// Returns whether the request may still be sent to its upstream.
@@ -73,9 +73,9 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let mut pool = self.router.pool.lock().expect("no panic inside");
-        let (key, ticket) = (self.choice.key, self.choice.ticket);
+        let (key, ticket) = (self.choice.key, self.choice.attempt);
         // An upstream that leaves closes what is left at its end: that is no crash.
-        let stays = pool.stays(key);
+        let stays = pool.is_active(key);
         pool.end(self.router.clock.now(), key, ticket, self.outcome);
         drop(pool);
         match self.outcome {
@@ -234,8 +234,8 @@
         }
         let choice = choose(job).map_err(Failed::Denied)?;
         job.tried.push(choice.key);
-        job.expected.unread = choice.unread;
-        job.expected.first_ms = choice.expect_ms;
+        job.expected.unread = choice.uncached_tokens;
+        job.expected.first_ms = choice.expected_ms;
         let slot = Slot::open(job, choice);
         let spec = &slot.choice.spec;
         let incarnation = spec.incarnation();
@@ -243,7 +243,7 @@
             return Ok((slot, conn));
         }
         let sharers = job.router.fleet.sharers();
-        let most = connections(job.traits.connections as usize, sharers);
+        let most = max_connections(job.traits.connections as usize, sharers);
         let target = Target {
             upstream: &incarnation,
             addr: spec.addr,
@@ -277,18 +277,18 @@
     let want = Criteria {
         service: &job.service,
         zone: &job.router.zone,
-        parts: &job.ask.parts,
-        prompt: job.ask.prompt,
+        segments: &job.ask.parts,
+        prompt_tokens: job.ask.prompt,
         regions: &job.regions,
         tried: &job.tried,
         deadline: job.deadline,
-        repeatable: job.is_repeatable(),
+        retryable: job.is_repeatable(),
         random: rand::random(),
     };
     let mut pool = job.router.pool.lock().expect("no panic inside");
     let choice = pool.choose(now, &want)?;
     let metrics = &job.router.metrics;
-    metrics.unread.inc_by(u64::from(choice.unread));
+    metrics.unread.inc_by(u64::from(choice.uncached_tokens));
     metrics.prompt.inc_by(u64::from(job.ask.prompt));
     Ok(choice)
 }
@@ -300,7 +300,8 @@
     after_event: Option<u64>,
 ) -> Result<Open, Failed> {
     let req = request(job, &slot, after_event);
-    job.router.link(|l, now| l.goes(now, job.body.len()));
+    job.router
+        .link(|l, now| l.record_request_sent(now, job.body.len()));
     let until = job.router.clock.at(silent_at(job, &slot));
     let Ok(sent) = timeout_at(until, conn.send(req)).await else {
         let waited = job.router.clock.now() - slot.sent_at;
@@ -330,7 +331,7 @@
     if let Some(load) = reading.load {
         let now = job.router.clock.now();
         let mut pool = job.router.pool.lock().expect("no panic inside");
-        pool.report(now, slot.choice.key, load);
+        pool.set_reported_load(now, slot.choice.key, load);
     }
     let status = head.status.as_u16();
     heed(job, &slot, &reading, head.status);
@@ -389,7 +390,7 @@
     let ms = u64::try_from(ms).unwrap_or(u64::MAX);
     let now = job.router.clock.now();
     let mut pool = job.router.pool.lock().expect("no panic inside");
-    let longer = pool.rests(now, slot.choice.key, ms);
+    let longer = pool.pause(now, slot.choice.key, ms);
     drop(pool);
     if longer {
         let detail = format_args!("upstream={incarnation} rests_ms={ms}");
@@ -433,7 +434,7 @@
         return job.deadline;
     }
     let objective = job.route.objective_ms as f64 * SILENT_OBJECTIVES;
-    let expected = slot.choice.expect_ms * SILENT_EXPECTED;
+    let expected = slot.choice.expected_ms * SILENT_EXPECTED;
     let wait = objective.max(expected) as u64;
     job.deadline.min(slot.sent_at + wait)
 }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -139,13 +139,14 @@
     fn set_cold(&self, routing: &Routing) {
         let bounds = self.0.works.bounds;
         let cold = |s: &conf::Service| ColdStart {
-            lasts_ms: s.cold_ms,
-            most: (s.cold_per_sec > 0.0).then_some(s.cold_per_sec * bounds.over + bounds.slack),
+            duration_ms: s.cold_ms,
+            max_per_sec: (s.cold_per_sec > 0.0)
+                .then_some(s.cold_per_sec * bounds.over + bounds.slack),
         };
         let services = routing.services.iter();
         let cold = services.map(|(name, s)| (name.clone(), cold(s)));
         let mut pool = self.0.works.pool.lock().expect("no panic inside");
-        pool.set_cold(cold.collect());
+        pool.set_cold_starts(cold.collect());
     }
 
     /// Takes a peer's report that a version revokes a key: it is refused from now on, though that version itself may
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -139,13 +139,13 @@
         load_peers.truncate(LOAD_PEERS_MOST);
         let rounds = (load_peers.len() / SMALL_FLEET + 1) as u32;
         sleep(ROUND * rounds).await;
-        let held = pool.lock().expect("no panic inside").held(clock.now());
+        let held = pool.lock().expect("no panic inside").own_loads(clock.now());
         // An instance that has nothing says so once.
         if held.is_empty() && silent {
             continue;
         }
         silent = held.is_empty();
-        let row = |(hash, h): (u64, InstanceLoad)| (hash, h.reading_ms as u32, h.inflight);
+        let row = |(hash, h): (u64, InstanceLoad)| (hash, h.pending_prefill_ms as u32, h.inflight);
         let report = LoadReport {
             from,
             held: held.into_iter().map(row).collect(),
@@ -205,12 +205,12 @@
 fn receive_loads(pool: &Mutex<Pool>, report: &LoadReport, now: u64) {
     let row = |(hash, reading, inflight): &(u64, u32, u32)| {
         let held = InstanceLoad {
-            reading_ms: f64::from(*reading),
+            pending_prefill_ms: f64::from(*reading),
             inflight: *inflight,
         };
         (*hash, held)
     };
     let held: HashMap<u64, InstanceLoad> = report.held.iter().map(row).collect();
     let mut pool = pool.lock().expect("no panic inside");
-    pool.hear(now, report.from, &held);
+    pool.set_peer_loads(now, report.from, &held);
 }
--- a/crates/proxy/src/evacuation.rs
+++ b/crates/proxy/src/evacuation.rs
@@ -88,10 +88,10 @@
     /// Has the upstreams of a zone get nothing more, or work again.
     pub(crate) fn apply(&self, zone: &str, evacuated: bool, source: &str) {
         let mut pool = self.0.pool.lock().expect("no panic inside");
-        if pool.evacuated().contains(zone) == evacuated {
+        if pool.evacuated_zones().contains(zone) == evacuated {
             return;
         }
-        pool.evacuate(self.0.clock.now(), zone, evacuated);
+        pool.set_evacuated(self.0.clock.now(), zone, evacuated);
         drop(pool);
         let event = if evacuated {
             Event::ZoneEvacuated
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -348,7 +348,7 @@
         self.0.feed.relay.place(&me, &zone, neighbours.collect());
         let mut pool = self.0.pool.lock().expect("no panic inside");
         let now = self.0.clock.now();
-        pool.list_senders(now, xxh3_64(self.0.key.as_bytes()), &roster.hashes());
+        pool.set_instances(now, xxh3_64(self.0.key.as_bytes()), &roster.hashes());
     }
 
     /// Ends the lease, and with it the own key.
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -35,7 +35,7 @@
     /// Takes the memory for the request; returns whether it fits.
     pub(crate) fn take_room(&mut self, body: usize) -> bool {
         let mut room = self.router.room.lock().expect("no panic inside");
-        let taken = room.take(body);
+        let taken = room.reserve(body);
         self.room = taken.unwrap_or_default();
         taken.is_some()
     }
@@ -44,7 +44,7 @@
 impl Drop for Busy {
     fn drop(&mut self) {
         let mut room = self.router.room.lock().expect("no panic inside");
-        room.give_back(self.room);
+        room.release(self.room);
         drop(room);
         self.router.busy.send_modify(|n| *n -= 1);
         self.router.metrics.inflight.dec();
@@ -116,7 +116,7 @@
         }
         let (now, sharers) = (self.router.clock.now(), self.router.fleet.sharers());
         let mut retries = self.router.retries.lock().expect("no panic inside");
-        retries.take(now, &self.service, sharers)
+        retries.try_acquire(now, &self.service, sharers)
     }
 
     /// Counts tokens of the answer that go to the caller.
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -61,7 +61,7 @@
     /// Returns whether an entry that is missing is taken for gone.
     fn is_gone(&mut self, now: u64, back_at: u64) -> bool {
         let listed = self.entries.len();
-        self.missing.is_gone(now, back_at, listed)
+        self.missing.accept_removal(now, back_at, listed)
     }
 }
 
@@ -98,7 +98,12 @@
 
     /// Returns the incarnations of upstreams that some source said are leaving.
     pub(crate) fn all_leaving(&self) -> Vec<String> {
-        let leaving = self.0.pool.lock().expect("no panic inside").all_leaving();
+        let leaving = self
+            .0
+            .pool
+            .lock()
+            .expect("no panic inside")
+            .leaving_incarnations();
         leaving.into_iter().collect()
     }
 
@@ -109,7 +114,7 @@
             .pool
             .lock()
             .expect("no panic inside")
-            .leaving(incarnation);
+            .mark_leaving(incarnation);
         if news {
             self.0.dialer.forget(incarnation);
             let detail = format_args!("upstream={incarnation} source={source}");
@@ -323,7 +328,12 @@
             self.spread_leaving(&incarnation);
         }
         let now = self.0.clock.now();
-        let listed = self.0.pool.lock().expect("no panic inside").list(now, spec);
+        let listed = self
+            .0
+            .pool
+            .lock()
+            .expect("no panic inside")
+            .upsert(now, spec);
         let event = match listed {
             EntryChange::Unchanged => return None,
             EntryChange::Restarted { ended } => {
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -41,16 +41,16 @@
             .map(|u| {
                 json!({
                     "id": u.spec.id, "service": u.spec.service, "zone": u.spec.zone,
-                    "leaving": u.leaving, "rests_ms": u.rests_until.saturating_sub(now), "inflight": u.inflight,
-                    "occupancy": u.occupancy(now), "out": u.health.is_out(now),
-                    "failing": u.health.failing(now), "delay_ms": u.delay(now),
+                    "leaving": u.leaving, "rests_ms": u.paused_until.saturating_sub(now), "inflight": u.inflight,
+                    "occupancy": u.occupancy(now), "out": u.health.is_ejected(now),
+                    "failing": u.health.failure_rate(now), "delay_ms": u.queue_delay_ms(now),
                     "slowness": u.slowness(now), "evacuated": u.evacuated,
                     "cold_ms": u.cold_until(now).map_or(0, |until| until - now),
                     "limit_per_sec": u.limit().map(RateLimit::as_per_sec),
                 })
             })
             .collect();
-        let evacuated = pool.evacuated().clone();
+        let evacuated = pool.evacuated_zones().clone();
         drop(pool);
         let suspects = router.suspects.list().into_iter().map(|word| {
             json!({
--- a/crates/proxy/src/pipe.rs
+++ b/crates/proxy/src/pipe.rs
@@ -107,7 +107,7 @@
         let traits = active.routing.services.get(&service).cloned();
         {
             let mut retries = self.retries.lock().expect("no panic inside");
-            retries.request(arrived, &service);
+            retries.record_request(arrived, &service);
         }
         let regions = active.routing.regions(&route, ask.key.as_deref());
         let regions = regions.ok_or_else(|| {
@@ -146,8 +146,8 @@
     /// Takes what a request needs here; the error says that another instance has more of it.
     fn room_for(&self, busy: &mut Busy, body: usize) -> Result<(), Refusal> {
         let full = self.link(|l, now| {
-            l.came(now, body);
-            l.is_full_for(now, body)
+            l.record_request_received(now, body);
+            l.is_saturated_for(now, body)
         });
         let why = if full {
             "this instance's link is full"
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -117,7 +117,8 @@
         Outcome::Success
     });
     job.router.dialer.keep(conn, reading.keep_alive);
-    job.router.link(|l, now| l.passes(now, bytes.len()));
+    job.router
+        .link(|l, now| l.record_response(now, bytes.len()));
     let res = whole(job, &head, bytes);
     if is_error && job.is_repeatable() {
         return Ok(Done::Error(res));
@@ -194,7 +195,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| e.to_string())?;
         if let Ok(data) = frame.into_data() {
-            router.link(|l, now| l.passes(now, data.len()));
+            router.link(|l, now| l.record_response(now, data.len()));
             tx.send(Ok(data)).await.map_err(left)?;
         }
     }
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -55,7 +55,7 @@
 
     /// Returns whether the own link is full, or was a moment ago.
     pub(crate) fn is_crowded(&self) -> bool {
-        self.link(|l, now| l.is_crowded(now))
+        self.link(|l, now| l.is_congested(now))
     }
 
     /// Looks at the own link, or counts what goes over it.
@@ -63,7 +63,9 @@
         let now = self.clock.now();
         let mut link = self.link.lock().expect("no panic inside");
         let seen = f(&mut link, now);
-        let turned = link.turned(now).map(|full| (full, link.outward_ms(now)));
+        let turned = link
+            .take_congestion_change(now)
+            .map(|full| (full, link.outbound_delay_ms(now)));
         drop(link);
         if let Some((full, waits_ms)) = turned {
             let event = if full {
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -252,7 +252,7 @@
         let tokens = self.job.traits.tokens_per_event;
         self.job.delivered(tokens);
         let bytes = event.bytes.len();
-        self.job.router.link(|l, now| l.passes(now, bytes));
+        self.job.router.link(|l, now| l.record_response(now, bytes));
         let sent = self.tx.send(Ok(event.bytes)).await;
         sent.is_err().then_some(End::CallerLeft)
     }
