--- a/crates/place/src/rate.rs
+++ b/crates/place/src/cost.rs
@@ -1,8 +1,8 @@
 //! What a request would cost at an upstream: the time that it would take there, and what it costs others.
 
+use crate::choice::Criteria;
+use crate::latency::{Usual, CALL_MS_FIRST, FIRST_MS};
 use crate::upstream::{Upstream, UpstreamKey};
-use crate::usual::{Usual, CALL_MS_FIRST, FIRST_MS};
-use crate::want::Criteria;
 
 /// A token is read against all tokens before it: with so many of them before it, it takes twice as long.
 const CONTEXT_DOUBLES: f64 = 24_000.0;
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -5,34 +5,34 @@
 //! same time and see late reports only. No I/O, clock or randomness: the time comes in with each
 //! event, in milliseconds.
 
-mod cold;
+mod announcements;
+mod choice;
+mod cold_start;
+mod connections;
+mod cost;
 mod health;
-mod known;
+mod latency;
 mod limit;
 mod link;
 mod missing;
 mod pool;
-mod rate;
-mod retry;
-mod room;
-mod said;
+mod prefix_cache;
+mod request_memory;
+mod retry_budget;
 mod senders;
-mod sent;
-mod share;
+mod throttled;
 mod upstream;
-mod usual;
-mod want;
 
-pub use cold::ColdStart;
+pub use choice::{Choice, ChooseError, Criteria};
+pub use cold_start::ColdStart;
+pub use connections::max_connections;
 pub use limit::{RateLimit, VersionedLimit};
 pub use link::Link;
 pub use missing::MissingEntries;
 pub use pool::{EntryChange, Pool};
-pub use retry::{RetryBudget, RetryLimits};
-pub use room::RequestMemory;
+pub use request_memory::RequestMemory;
+pub use retry_budget::{RetryBudget, RetryLimits};
 pub use senders::Senders;
-pub use share::max_connections;
 pub use upstream::{
     AttemptId, InstanceLoad, Load, Outcome, PromptSegment, Spec, Upstream, UpstreamKey,
 };
-pub use want::{Choice, ChooseError, Criteria};
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -6,13 +6,13 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::cold::ColdStart;
-use crate::rate::{homes, is_full, may_use, rate_one, Rated};
-use crate::said::Said;
+use crate::announcements::Said;
+use crate::choice::{Choice, ChooseError, Criteria};
+use crate::cold_start::ColdStart;
+use crate::cost::{homes, is_full, may_use, rate_one, Rated};
+use crate::latency::Usual;
 use crate::senders::Senders;
 use crate::upstream::{AttemptId, InstanceLoad, Load, Outcome, Spec, Upstream, UpstreamKey};
-use crate::usual::Usual;
-use crate::want::{Choice, ChooseError, Criteria};
 
 mod throttle;
 
--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -4,11 +4,11 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use crate::cold::ColdStart;
+use crate::cold_start::ColdStart;
 use crate::health::Health;
-use crate::known::Known;
 use crate::limit::{RateLimit, Share, VersionedLimit};
-use crate::sent::Sent;
+use crate::prefix_cache::Known;
+use crate::throttled::Sent;
 
 /// A report older than this says nothing any more, in milliseconds.
 const REPORT_STALE_MS: u64 = 3_000;
