--- a/crates/place/src/rate.rs
+++ b/crates/place/src/cost.rs
@@ -1,8 +1,8 @@
 //! What a request would cost at an upstream: the time that it would take there, and what it costs others.
 
-use crate::upstream::{Key, Upstream};
-use crate::usual::{Usual, CALL_MS_FIRST, FIRST_MS};
-use crate::want::Want;
+use crate::choice::Criteria;
+use crate::latency::{Usual, CALL_MS_FIRST, FIRST_MS};
+use crate::upstream::{Upstream, UpstreamKey};
 
 /// A token is read against all tokens before it: with so many of them before it, it takes twice as long.
 const CONTEXT_DOUBLES: f64 = 24_000.0;
@@ -25,22 +25,26 @@
 
 /// An upstream that may take a request, with what that would cost.
 pub(crate) struct Rated {
-    pub(crate) key: Key,
+    pub(crate) key: UpstreamKey,
     pub(crate) unread: u32,
     pub(crate) work: f64,
     pub(crate) expect_ms: f64,
     pub(crate) cost_ms: f64,
 }
 
-pub(crate) fn may_use(up: &Upstream, now: u64, want: &Want<'_>) -> bool {
-    if up.health.is_out(now) {
+pub(crate) fn may_use(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
+    if up.health.is_ejected(now) {
         return false;
     }
-    !up.health.is_on_trial() || (up.inflight == 0 && want.repeatable)
+    !up.health.is_on_probation() || (up.inflight == 0 && want.retryable)
 }
 
-pub(crate) fn is_full(up: &Upstream, now: u64, want: &Want<'_>) -> bool {
-    let pct = if want.prompt > 0 { FULL_PCT } else { QUEUE_PCT };
+pub(crate) fn is_full(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
+    let pct = if want.prompt_tokens > 0 {
+        FULL_PCT
+    } else {
+        QUEUE_PCT
+    };
     up.occupancy(now) * 100 >= up.slots() * pct
 }
 
@@ -50,8 +54,8 @@
 /// beginning would be read by as many engines as there are instances.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Homes {
-    first: Option<Key>,
-    next: Option<Key>,
+    first: Option<UpstreamKey>,
+    next: Option<UpstreamKey>,
 }
 
 /// Whose turn it is to read a beginning.
@@ -63,7 +67,7 @@
 }
 
 impl Homes {
-    pub(crate) fn turn(&self, key: Key) -> Turn {
+    pub(crate) fn turn(&self, key: UpstreamKey) -> Turn {
         if self.first == Some(key) {
             Turn::First
         } else if self.next == Some(key) {
@@ -74,12 +78,12 @@
     }
 }
 
-pub(crate) fn homes(want: &Want<'_>, from: &[(Key, &Upstream)]) -> Homes {
-    let Some(shared) = want.parts.len().checked_sub(2) else {
+pub(crate) fn homes(want: &Criteria<'_>, from: &[(UpstreamKey, &Upstream)]) -> Homes {
+    let Some(shared) = want.segments.len().checked_sub(2) else {
         return Homes::default();
     };
-    let what = want.parts[shared].id;
-    let rank = |(_, up): &&(Key, &Upstream)| up.rank(what);
+    let what = want.segments[shared].id;
+    let rank = |(_, up): &&(UpstreamKey, &Upstream)| up.rank(what);
     let first = from.iter().max_by_key(rank).map(|(key, _)| *key);
     let others = from.iter().filter(|(key, _)| Some(*key) != first);
     let next = others.max_by_key(rank).map(|(key, _)| *key);
@@ -87,30 +91,33 @@
 }
 
 pub(crate) fn rate_one(
-    key: Key,
+    key: UpstreamKey,
     up: &Upstream,
     now: u64,
-    want: &Want<'_>,
+    want: &Criteria<'_>,
     turn: Turn,
     usual: Usual,
 ) -> Rated {
     let slowness = up.slowness(now);
-    let (unread, work) = if want.prompt > 0 {
+    let (unread, work) = if want.prompt_tokens > 0 {
         let unread = unread(up, now, want, turn == Turn::First);
-        (unread, work(unread, want.prompt))
+        (unread, work(unread, want.prompt_tokens))
     } else {
         (0, 0.0)
     };
-    let own = want.parts.last().map_or(want.prompt, |p| p.tokens);
+    let own = want
+        .segments
+        .last()
+        .map_or(want.prompt_tokens, |p| p.tokens);
     let again = f64::from(unread.saturating_sub(own)) * usual.read_ms;
     let again = match turn {
         Turn::First => 0.0,
         Turn::Next => again * AGAIN_PART * NEXT_PART,
         Turn::Later => again * AGAIN_PART,
     };
-    let expect_ms = if want.prompt > 0 {
+    let expect_ms = if want.prompt_tokens > 0 {
         let own = (FIRST_MS + work * usual.read_ms) * slowness;
-        let waits = (up.reading_ms(now) * slowness).max(up.delay(now));
+        let waits = (up.pending_prefill_ms(now) * slowness).max(up.queue_delay_ms(now));
         own + waits
     } else {
         let ahead = up.occupancy(now).saturating_sub(up.slots() - 1);
@@ -123,7 +130,7 @@
     } else {
         ZONE_MS
     };
-    let failing = up.health.failing(now) * FAILING_MS;
+    let failing = up.health.failure_rate(now) * FAILING_MS;
     // Full upstreams answer more slowly; among equals this also spreads the requests.
     let crowd = taken * expect_ms.min(CALL_MS_FIRST);
     Rated {
@@ -136,10 +143,10 @@
 }
 
 /// Returns the tokens of a prompt that an upstream will have to read, as far as known.
-fn unread(up: &Upstream, now: u64, want: &Want<'_>, home: bool) -> u32 {
-    let shared = want.parts.len().saturating_sub(1);
+fn unread(up: &Upstream, now: u64, want: &Criteria<'_>, home: bool) -> u32 {
+    let shared = want.segments.len().saturating_sub(1);
     let mut kept = 0;
-    for (i, part) in want.parts.iter().enumerate() {
+    for (i, part) in want.segments.iter().enumerate() {
         let presumed = home && !up.reborn && i < shared;
         let has = presumed || up.known.has(now, part.id);
         if !has {
@@ -148,7 +155,7 @@
         kept += part.tokens;
     }
     // The last token is read in any case.
-    want.prompt.saturating_sub(kept).max(1)
+    want.prompt_tokens.saturating_sub(kept).max(1)
 }
 
 /// Returns the work of reading the last tokens of a prompt, in tokens that stand at its beginning.
--- a/crates/place/src/room.rs
+++ b/crates/place/src/request_memory.rs
@@ -13,24 +13,24 @@
 
 /// The memory for requests.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Room {
+pub struct RequestMemory {
     /// Bytes that may be taken; none when there is no limit.
     most: Option<usize>,
     taken: usize,
 }
 
-impl Room {
+impl RequestMemory {
     /// Returns the room of a process with a limit in megabytes.
-    pub fn new(memory_mb: Option<u64>) -> Room {
+    pub fn new(memory_mb: Option<u64>) -> RequestMemory {
         let bytes = memory_mb.map(|mb| (mb as usize) << 20);
-        Room {
+        RequestMemory {
             most: bytes.map(|b| b / 100 * USABLE_PCT),
             taken: 0,
         }
     }
 
     /// Takes the room for a request with a body of some bytes; returns how much that is, if it fits.
-    pub fn take(&mut self, body: usize) -> Option<usize> {
+    pub fn reserve(&mut self, body: usize) -> Option<usize> {
         let bytes = body + REQUEST_BYTES;
         let fits = self.most.is_none_or(|most| self.taken + bytes <= most);
         fits.then(|| {
@@ -44,7 +44,7 @@
     /// # Panics
     ///
     /// Panics when more is given back than was taken: the limit would no longer hold.
-    pub fn give_back(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         let left = self.taken.checked_sub(bytes);
         self.taken = left.expect("room that was taken");
     }
--- a/crates/place/src/retry.rs
+++ b/crates/place/src/retry_budget.rs
@@ -13,7 +13,7 @@
 
 /// The bound.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
+pub struct RetryLimits {
     /// Repetitions as a share of the requests.
     pub ratio: f64,
     /// Repetitions besides.
@@ -22,11 +22,11 @@
     pub window_ms: u64,
 }
 
-impl Default for Bounds {
+impl Default for RetryLimits {
     /// A tenth of the requests and ten besides, in ten seconds: what keeps a failing service from
     /// being drowned by its own clients.
     fn default() -> Self {
-        Bounds {
+        RetryLimits {
             ratio: 0.1,
             slack: 10.0,
             window_ms: 10_000,
@@ -42,22 +42,22 @@
 
 /// Requests and repetitions of late, by service.
 #[derive(Debug, Default)]
-pub struct Retries {
-    bounds: Bounds,
+pub struct RetryBudget {
+    bounds: RetryLimits,
     seen: HashMap<String, Seen>,
 }
 
-impl Retries {
+impl RetryBudget {
     /// Makes a budget.
-    pub fn new(bounds: Bounds) -> Retries {
-        Retries {
+    pub fn new(bounds: RetryLimits) -> RetryBudget {
+        RetryBudget {
             bounds,
             seen: HashMap::new(),
         }
     }
 
     /// Counts a request for a service.
-    pub fn request(&mut self, now: u64, service: &str) {
+    pub fn record_request(&mut self, now: u64, service: &str) {
         let horizon = now.saturating_sub(self.bounds.window_ms);
         let seen = self.seen.entry(service.to_string()).or_default();
         forget(&mut seen.requests, horizon);
@@ -65,7 +65,7 @@
     }
 
     /// Takes a repetition; returns whether there was one.
-    pub fn take(&mut self, now: u64, service: &str, sharers: usize) -> bool {
+    pub fn try_acquire(&mut self, now: u64, service: &str, sharers: usize) -> bool {
         let horizon = now.saturating_sub(self.bounds.window_ms);
         let seen = self.seen.entry(service.to_string()).or_default();
         forget(&mut seen.requests, horizon);
--- a/crates/place/tests/common/mod.rs
+++ b/crates/place/tests/common/mod.rs
@@ -2,13 +2,13 @@
 
 use std::net::SocketAddr;
 
-use place::{Spec, Want};
+use place::{Criteria, Spec};
 
 /// Returns an upstream of the service `pool` in a zone.
 pub(crate) fn spec(id: &str, zone: &str) -> Spec {
     Spec {
         id: id.to_string(),
-        born: None,
+        started_at_ms: None,
         service: "pool".to_string(),
         addr: SocketAddr::from(([127, 0, 0, 1], 9000)),
         zone: zone.to_string(),
@@ -19,16 +19,16 @@
 }
 
 /// Returns a plain call of that service, by an instance in a zone.
-pub(crate) fn call(zone: &str) -> Want<'_> {
-    Want {
+pub(crate) fn call(zone: &str) -> Criteria<'_> {
+    Criteria {
         service: "pool",
         zone,
-        parts: &[],
-        prompt: 0,
+        segments: &[],
+        prompt_tokens: 0,
         regions: &[],
         tried: &[],
         deadline: 1_000_000,
-        repeatable: true,
+        retryable: true,
         random: 7,
     }
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use hyper::http::response;
 use hyper::{Request, StatusCode, Uri};
-use place::{connections, Choice, Denied, Outcome, RateLimit, Want};
+use place::{max_connections, Choice, ChooseError, Criteria, Outcome, RateLimit};
 use suspect::Digest;
 use tokio::time::timeout_at;
 
@@ -48,14 +48,14 @@
             digest: job.digest,
             choice,
             sent_at: job.router.clock.now(),
-            outcome: Outcome::Dropped,
+            outcome: Outcome::Abandoned,
         }
     }
 
     /// Notes the first event, or the answer.
     pub(crate) fn first(&self) {
         let mut pool = self.router.pool.lock().expect("no panic inside");
-        pool.first(self.router.clock.now(), &self.choice, self.sent_at);
+        pool.record_latency(self.router.clock.now(), &self.choice, self.sent_at);
     }
 
     /// Returns whether the request may still be sent to its upstream.
@@ -73,15 +73,17 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let mut pool = self.router.pool.lock().expect("no panic inside");
-        let (key, ticket) = (self.choice.key, self.choice.ticket);
+        let (key, ticket) = (self.choice.key, self.choice.attempt);
         // An upstream that leaves closes what is left at its end: that is no crash.
-        let stays = pool.stays(key);
+        let stays = pool.is_active(key);
         pool.end(self.router.clock.now(), key, ticket, self.outcome);
         drop(pool);
         match self.outcome {
-            Outcome::Broken if stays => self.router.suspects.broke(&self.choice.spec, self.digest),
+            Outcome::InvalidResponse if stays => {
+                self.router.suspects.broke(&self.choice.spec, self.digest)
+            }
             // An error may be one that the upstream answers with before it runs anything.
-            Outcome::Well => self.router.suspects.answered(self.digest),
+            Outcome::Success => self.router.suspects.answered(self.digest),
             _ => {}
         }
     }
@@ -100,7 +102,7 @@
 #[derive(Clone, Debug)]
 pub(crate) enum Failed {
     /// There is no upstream to try.
-    Denied(Denied),
+    Denied(ChooseError),
     /// It did not run, and will not.
     NotRun(String),
     /// It may have run; the upstream closed the connection before anything of its answer came, so that nobody
@@ -116,31 +118,31 @@
     fn refusal(self, job: &Job) -> Refusal {
         let left = job.left_ms();
         match self {
-            Failed::Denied(Denied::Busy { retry_ms }) => {
+            Failed::Denied(ChooseError::Busy { retry_ms }) => {
                 let message = format!("the upstreams of {} are busy", job.service);
                 Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
             }
-            Failed::Denied(Denied::Resting { retry_ms }) => {
+            Failed::Denied(ChooseError::Resting { retry_ms }) => {
                 let message = format!("the upstreams of {} want nothing for now", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_at(retry_ms)
             }
-            Failed::Denied(Denied::Limited { retry_ms }) => {
+            Failed::Denied(ChooseError::Limited { retry_ms }) => {
                 let message = format!("the request rate limits of {} are reached", job.service);
                 Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
             }
-            Failed::Denied(Denied::Cold { retry_ms }) => {
+            Failed::Denied(ChooseError::Cold { retry_ms }) => {
                 let message = format!("the upstreams of {} have just started", job.service);
                 Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
             }
-            Failed::Denied(Denied::Evacuated) => {
+            Failed::Denied(ChooseError::Evacuated) => {
                 let message = format!("all zones of {} are evacuated", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_in(RETRY_EVACUATED_MS, left)
             }
-            Failed::Denied(Denied::Outside) => {
+            Failed::Denied(ChooseError::Outside) => {
                 let message = format!("no upstream of {} is in an allowed region", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_in(RETRY_EVACUATED_MS, left)
             }
-            Failed::Denied(Denied::Unknown | Denied::NoneLeft) => {
+            Failed::Denied(ChooseError::Unknown | ChooseError::NoneLeft) => {
                 let message = format!("no upstream of {} is left", job.service);
                 Refusal::new(Kind::NoUpstream, message).back_in(RETRY_NO_UPSTREAM_MS, left)
             }
@@ -232,8 +234,8 @@
         }
         let choice = choose(job).map_err(Failed::Denied)?;
         job.tried.push(choice.key);
-        job.expected.unread = choice.unread;
-        job.expected.first_ms = choice.expect_ms;
+        job.expected.unread = choice.uncached_tokens;
+        job.expected.first_ms = choice.expected_ms;
         let slot = Slot::open(job, choice);
         let spec = &slot.choice.spec;
         let incarnation = spec.incarnation();
@@ -241,7 +243,7 @@
             return Ok((slot, conn));
         }
         let sharers = job.router.fleet.sharers();
-        let most = connections(job.traits.connections as usize, sharers);
+        let most = max_connections(job.traits.connections as usize, sharers);
         let target = Target {
             upstream: &incarnation,
             addr: spec.addr,
@@ -259,7 +261,9 @@
                 log.request(Event::AttemptFailed, &job.ask.id, detail);
                 let outcome = match e {
                     ConnectError::Full => Outcome::Refused,
-                    ConnectError::Refused(_) | ConnectError::Unreachable(_) => Outcome::Silent,
+                    ConnectError::Refused(_) | ConnectError::Unreachable(_) => {
+                        Outcome::Unresponsive
+                    }
                     ConnectError::TimedOut => silence(job),
                 };
                 slot.end(outcome);
@@ -268,23 +272,23 @@
     }
 }
 
-fn choose(job: &Job) -> Result<Choice, Denied> {
+fn choose(job: &Job) -> Result<Choice, ChooseError> {
     let now = job.router.clock.now();
-    let want = Want {
+    let want = Criteria {
         service: &job.service,
         zone: &job.router.zone,
-        parts: &job.ask.parts,
-        prompt: job.ask.prompt,
+        segments: &job.ask.parts,
+        prompt_tokens: job.ask.prompt,
         regions: &job.regions,
         tried: &job.tried,
         deadline: job.deadline,
-        repeatable: job.is_repeatable(),
+        retryable: job.is_repeatable(),
         random: rand::random(),
     };
     let mut pool = job.router.pool.lock().expect("no panic inside");
     let choice = pool.choose(now, &want)?;
     let metrics = &job.router.metrics;
-    metrics.unread.inc_by(u64::from(choice.unread));
+    metrics.unread.inc_by(u64::from(choice.uncached_tokens));
     metrics.prompt.inc_by(u64::from(job.ask.prompt));
     Ok(choice)
 }
@@ -296,7 +300,8 @@
     after_event: Option<u64>,
 ) -> Result<Open, Failed> {
     let req = request(job, &slot, after_event);
-    job.router.link(|l, now| l.goes(now, job.body.len()));
+    job.router
+        .link(|l, now| l.record_request_sent(now, job.body.len()));
     let until = job.router.clock.at(silent_at(job, &slot));
     let Ok(sent) = timeout_at(until, conn.send(req)).await else {
         let waited = job.router.clock.now() - slot.sent_at;
@@ -313,11 +318,11 @@
             return Err(Failed::NotRun(format!("upstream={upstream} {why}")));
         }
         Err(SendError::Closed(why)) => {
-            slot.end(Outcome::Broken);
+            slot.end(Outcome::InvalidResponse);
             return Err(Failed::Unanswered(format!("upstream={upstream} {why}")));
         }
         Err(SendError::Broken(why)) => {
-            slot.end(Outcome::Broken);
+            slot.end(Outcome::InvalidResponse);
             return Err(Failed::Unknown(format!("upstream={upstream} {why}")));
         }
     };
@@ -326,7 +331,7 @@
     if let Some(load) = reading.load {
         let now = job.router.clock.now();
         let mut pool = job.router.pool.lock().expect("no panic inside");
-        pool.report(now, slot.choice.key, load);
+        pool.set_reported_load(now, slot.choice.key, load);
     }
     let status = head.status.as_u16();
     heed(job, &slot, &reading, head.status);
@@ -345,12 +350,12 @@
             )))
         }
         Word::Misdirected => {
-            slot.end(Outcome::Silent);
+            slot.end(Outcome::Unresponsive);
             let why = format!("upstream={upstream} is not at its address");
             Err(Failed::NotRun(why))
         }
         Word::NotOurs(why) => {
-            slot.end(Outcome::Broken);
+            slot.end(Outcome::InvalidResponse);
             let why = format!("upstream={upstream} status={status} {why}");
             Err(Failed::Unknown(why))
         }
@@ -385,7 +390,7 @@
     let ms = u64::try_from(ms).unwrap_or(u64::MAX);
     let now = job.router.clock.now();
     let mut pool = job.router.pool.lock().expect("no panic inside");
-    let longer = pool.rests(now, slot.choice.key, ms);
+    let longer = pool.pause(now, slot.choice.key, ms);
     drop(pool);
     if longer {
         let detail = format_args!("upstream={incarnation} rests_ms={ms}");
@@ -416,9 +421,9 @@
 /// Returns what silence says of an upstream: nothing while the own link is full.
 fn silence(job: &Job) -> Outcome {
     if job.router.is_crowded() {
-        Outcome::Dropped
+        Outcome::Abandoned
     } else {
-        Outcome::Silent
+        Outcome::Unresponsive
     }
 }
 
@@ -429,7 +434,7 @@
         return job.deadline;
     }
     let objective = job.route.objective_ms as f64 * SILENT_OBJECTIVES;
-    let expected = slot.choice.expect_ms * SILENT_EXPECTED;
+    let expected = slot.choice.expected_ms * SILENT_EXPECTED;
     let wait = objective.max(expected) as u64;
     job.deadline.min(slot.sent_at + wait)
 }
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -11,7 +11,7 @@
 
 use clock::Clock;
 use notice::Notice;
-use place::{Held, Pool};
+use place::{InstanceLoad, Pool};
 use relay::Head;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -139,13 +139,13 @@
         load_peers.truncate(LOAD_PEERS_MOST);
         let rounds = (load_peers.len() / SMALL_FLEET + 1) as u32;
         sleep(ROUND * rounds).await;
-        let held = pool.lock().expect("no panic inside").held(clock.now());
+        let held = pool.lock().expect("no panic inside").own_loads(clock.now());
         // An instance that has nothing says so once.
         if held.is_empty() && silent {
             continue;
         }
         silent = held.is_empty();
-        let row = |(hash, h): (u64, Held)| (hash, h.reading_ms as u32, h.inflight);
+        let row = |(hash, h): (u64, InstanceLoad)| (hash, h.pending_prefill_ms as u32, h.inflight);
         let report = LoadReport {
             from,
             held: held.into_iter().map(row).collect(),
@@ -204,13 +204,13 @@
 
 fn receive_loads(pool: &Mutex<Pool>, report: &LoadReport, now: u64) {
     let row = |(hash, reading, inflight): &(u64, u32, u32)| {
-        let held = Held {
-            reading_ms: f64::from(*reading),
+        let held = InstanceLoad {
+            pending_prefill_ms: f64::from(*reading),
             inflight: *inflight,
         };
         (*hash, held)
     };
-    let held: HashMap<u64, Held> = report.held.iter().map(row).collect();
+    let held: HashMap<u64, InstanceLoad> = report.held.iter().map(row).collect();
     let mut pool = pool.lock().expect("no panic inside");
-    pool.hear(now, report.from, &held);
+    pool.set_peer_loads(now, report.from, &held);
 }
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -8,7 +8,7 @@
 use dial::Dialer;
 use kv::{Change, Found, Store};
 use notice::Notice;
-use place::{Key, Listed, Missing, Pool, RateLimit, VersionedLimit};
+use place::{EntryChange, MissingEntries, Pool, RateLimit, UpstreamKey, VersionedLimit};
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
@@ -46,7 +46,7 @@
 struct Seen {
     revision: i64,
     entries: BTreeMap<String, Entry>,
-    missing: Missing,
+    missing: MissingEntries,
 }
 
 /// An entry as it was read.
@@ -61,7 +61,7 @@
     /// Returns whether an entry that is missing is taken for gone.
     fn is_gone(&mut self, now: u64, back_at: u64) -> bool {
         let listed = self.entries.len();
-        self.missing.is_gone(now, back_at, listed)
+        self.missing.accept_removal(now, back_at, listed)
     }
 }
 
@@ -98,7 +98,12 @@
 
     /// Returns the incarnations of upstreams that some source said are leaving.
     pub(crate) fn all_leaving(&self) -> Vec<String> {
-        let leaving = self.0.pool.lock().expect("no panic inside").all_leaving();
+        let leaving = self
+            .0
+            .pool
+            .lock()
+            .expect("no panic inside")
+            .leaving_incarnations();
         leaving.into_iter().collect()
     }
 
@@ -109,7 +114,7 @@
             .pool
             .lock()
             .expect("no panic inside")
-            .leaving(incarnation);
+            .mark_leaving(incarnation);
         if news {
             self.0.dialer.forget(incarnation);
             let detail = format_args!("upstream={incarnation} source={source}");
@@ -151,7 +156,7 @@
     /// Records the request rate limit, or its absence, in an upstream's answer to a request, and gossips a change.
     pub(crate) fn set_limit(
         &self,
-        key: Key,
+        key: UpstreamKey,
         sent_at: u64,
         limit: Option<RateLimit>,
     ) -> Option<VersionedLimit> {
@@ -323,19 +328,24 @@
             self.spread_leaving(&incarnation);
         }
         let now = self.0.clock.now();
-        let listed = self.0.pool.lock().expect("no panic inside").list(now, spec);
+        let listed = self
+            .0
+            .pool
+            .lock()
+            .expect("no panic inside")
+            .upsert(now, spec);
         let event = match listed {
-            Listed::Known => return None,
-            Listed::Reborn { ended } => {
+            EntryChange::Unchanged => return None,
+            EntryChange::Restarted { ended } => {
                 self.0.dialer.cut(&ended);
                 self.0.suspects.ended(&ended);
                 Event::UpstreamReborn
             }
-            Listed::New | Listed::Leaving if leaving => {
+            EntryChange::New | EntryChange::Leaving if leaving => {
                 self.0.dialer.forget(&incarnation);
                 Event::UpstreamLeaving
             }
-            Listed::New | Listed::Leaving => return Some(detail),
+            EntryChange::New | EntryChange::Leaving => return Some(detail),
         };
         self.0.log.note(event, detail);
         None
