--- a/crates/notice/src/gossip.rs
+++ b/crates/notice/src/gossip.rs
@@ -9,7 +9,7 @@
 pub const FANOUT: usize = 4;
 /// So many of them are in the own availability zone, where there are as many: each zone learns most by itself, and bytes between
 /// zones are dear.
-pub const NEAR: usize = 3;
+pub const SAME_ZONE_FANOUT: usize = 3;
 /// Rounds in which it is sent: datagrams are lost, and of twelve in all one arrives even where a link drops half of them.
 pub const ROUNDS: u8 = 3;
 /// Notices that pass with time are kept for as many upstreams as are listed, but at least so many; those that were learnt first go.
@@ -30,9 +30,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
     /// Those that were new here.
-    pub news: Vec<Notice>,
+    pub accepted: Vec<Notice>,
     /// The newer notices in place of those that are outdated: the peer has not received them.
-    pub outdated: Vec<Notice>,
+    pub sender_lacks: Vec<Notice>,
 }
 
 /// The notices that one instance knows.
@@ -51,19 +51,19 @@
 
 impl Gossip {
     /// Sets how many upstreams are listed: all of them may leave within seconds.
-    pub fn set_upstreams(&mut self, count: usize) {
+    pub fn set_upstream_count(&mut self, count: usize) {
         self.upstreams = count;
     }
 
     /// Takes a notice of this instance's own, or of a peer; returns whether it is new.
-    pub fn learn(&mut self, notice: Notice) -> bool {
+    pub fn insert(&mut self, notice: Notice) -> bool {
         let subject = notice.subject();
         let known = self.known.get(&subject);
-        if known.is_some_and(|k| k.notice.order() >= notice.order()) {
+        if known.is_some_and(|k| k.notice.precedence() >= notice.precedence()) {
             return false;
         }
         self.count += 1;
-        let passes = !notice.is_lasting();
+        let passes = !notice.is_persistent();
         let known = Known {
             notice,
             rounds_left: ROUNDS,
@@ -84,10 +84,10 @@
         let mut received = Received::default();
         for notice in batch {
             let known = self.known.get(&notice.subject()).map(|k| &k.notice);
-            if let Some(newer) = known.filter(|k| k.order() > notice.order()) {
-                received.outdated.push(newer.clone());
-            } else if self.learn(notice.clone()) {
-                received.news.push(notice);
+            if let Some(newer) = known.filter(|k| k.precedence() > notice.precedence()) {
+                received.sender_lacks.push(newer.clone());
+            } else if self.insert(notice.clone()) {
+                received.accepted.push(notice);
             }
         }
         received
@@ -95,7 +95,7 @@
 
     /// Returns the datagrams that are sent to some peers now; none when there is nothing new. Those that were sent least often come
     /// first, so that none waits for all the others' rounds.
-    pub fn due(&mut self) -> Vec<Vec<Notice>> {
+    pub fn next_round(&mut self) -> Vec<Vec<Notice>> {
         let mut due: Vec<&mut Known> = self.known.values_mut().collect();
         due.retain(|k| k.rounds_left > 0);
         due.sort_by_key(|k| (Reverse(k.rounds_left), k.learnt));
@@ -109,9 +109,9 @@
     }
 
     /// Returns what is sent to one peer in turn: what holds until it is replaced, and some of the rest.
-    pub fn page(&mut self) -> Vec<Notice> {
+    pub fn anti_entropy_batch(&mut self) -> Vec<Notice> {
         let lasting = self.known.values().map(|k| &k.notice);
-        let mut page: Vec<Notice> = lasting.filter(|n| n.is_lasting()).cloned().collect();
+        let mut page: Vec<Notice> = lasting.filter(|n| n.is_persistent()).cloned().collect();
         page.truncate(BATCH_MOST);
         let mut passing: Vec<&Subject> = self.passing.values().collect();
         passing.sort_unstable();
@@ -127,7 +127,7 @@
     }
 
     /// Returns the revision at which an upstream's entry was removed; none where nothing says so.
-    pub fn gone_at(&self, upstream: &str) -> Option<i64> {
+    pub fn removed_at(&self, upstream: &str) -> Option<i64> {
         let known = self.known.get(&Subject::Entry(upstream.to_string()))?;
         match &known.notice {
             Notice::Gone { revision, .. } => Some(*revision),
--- a/crates/notice/src/lib.rs
+++ b/crates/notice/src/lib.rs
@@ -11,5 +11,5 @@
 mod gossip;
 mod notice;
 
-pub use gossip::{Gossip, Received, FANOUT, NEAR, ROUNDS};
+pub use gossip::{Gossip, Received, FANOUT, ROUNDS, SAME_ZONE_FANOUT};
 pub use notice::{Notice, Subject};
--- a/crates/notice/src/notice.rs
+++ b/crates/notice/src/notice.rs
@@ -80,7 +80,7 @@
     }
 
     /// Returns its place in the order of notices about the same thing.
-    pub fn order(&self) -> u64 {
+    pub fn precedence(&self) -> u64 {
         let by_revision = |revision: i64| u64::try_from(revision).unwrap_or_default();
         match self {
             Notice::Version { version } | Notice::Revoked { version, .. } => *version,
@@ -97,7 +97,7 @@
     }
 
     /// Returns whether it holds until it is replaced: it is never forgotten, and each page has it.
-    pub(crate) fn is_lasting(&self) -> bool {
+    pub(crate) fn is_persistent(&self) -> bool {
         match self {
             Notice::Version { .. } => true,
             Notice::Evacuation { evacuated, .. } => *evacuated,
--- a/crates/notice/tests/spread.rs
+++ b/crates/notice/tests/spread.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use notice::{Gossip, Notice, FANOUT, NEAR};
+use notice::{Gossip, Notice, FANOUT, SAME_ZONE_FANOUT};
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -63,7 +63,10 @@
         let near = (from % ZONES..count).step_by(ZONES);
         let near = near.filter(|to| *to != from);
         let near: Vec<usize> = near.collect();
-        let mut chosen: Vec<usize> = near.choose_multiple(&mut self.rng, NEAR).copied().collect();
+        let mut chosen: Vec<usize> = near
+            .choose_multiple(&mut self.rng, SAME_ZONE_FANOUT)
+            .copied()
+            .collect();
         while chosen.len() < FANOUT.min(count - 1) {
             let to = self.rng.random_range(0..count);
             if to != from && !chosen.contains(&to) {
@@ -79,7 +82,7 @@
         self.sent = sent;
         let arrived: Vec<Sent> = arrived;
         for (_, from, to, batch) in arrived {
-            let outdated = self.peers[to].receive(batch).outdated;
+            let outdated = self.peers[to].receive(batch).sender_lacks;
             if !outdated.is_empty() {
                 self.send(now, to, from, outdated);
             }
@@ -88,14 +91,14 @@
         for i in 0..count {
             let offset = i as u64;
             if (now + offset) % ROUND_MS == 0 {
-                for batch in self.peers[i].due() {
+                for batch in self.peers[i].next_round() {
                     for to in self.round_of(i) {
                         self.send(now, i, to, batch.clone());
                     }
                 }
             }
             if (now + 7 * offset) % PAGE_MS == 0 {
-                let page = self.peers[i].page();
+                let page = self.peers[i].anti_entropy_batch();
                 let to = self.rng.random_range(0..count);
                 if !page.is_empty() {
                     self.send(now, i, to, page);
@@ -120,7 +123,7 @@
 /// Returns the gossip of an instance that has the largest list of upstreams.
 fn gossip() -> Gossip {
     let mut gossip = Gossip::default();
-    gossip.set_upstreams(10_000);
+    gossip.set_upstream_count(10_000);
     gossip
 }
 
@@ -138,7 +141,7 @@
     for count in [9, 80, 300, 970] {
         for seed in 0..5 {
             let mut fleet = Fleet::new(seed, count, 0.1);
-            fleet.peers[0].learn(evacuation(5, true));
+            fleet.peers[0].insert(evacuation(5, true));
             let took = fleet.known_by_all(0, &evacuation(5, true));
             let each = fleet.datagrams as f64 / count as f64;
             println!("{count} instances, seed {seed}: {took} ms, {each:.1} datagrams each");
@@ -152,7 +155,7 @@
 fn full_links_delay_a_notice_by_a_page_at_most() {
     for seed in 0..5 {
         let mut fleet = Fleet::new(seed, 80, 0.5);
-        fleet.peers[0].learn(evacuation(5, true));
+        fleet.peers[0].insert(evacuation(5, true));
         let took = fleet.known_by_all(0, &evacuation(5, true));
         assert!(took <= 2_500, "seed {seed}: {took} ms");
     }
@@ -164,10 +167,10 @@
 fn an_older_notice_takes_nothing_back() {
     for seed in 0..5 {
         let mut fleet = Fleet::new(seed, 80, 0.1);
-        fleet.peers[0].learn(evacuation(5, true));
+        fleet.peers[0].insert(evacuation(5, true));
         fleet.known_by_all(0, &evacuation(5, true));
         fleet.cut.insert(7);
-        fleet.peers[0].learn(evacuation(9, false));
+        fleet.peers[0].insert(evacuation(9, false));
         fleet.known_by_all(2_000, &evacuation(9, false));
         fleet.cut.clear();
         let took = fleet.known_by_all(60_000, &evacuation(9, false));
@@ -195,7 +198,7 @@
     ] {
         let mut gossip = Gossip::default();
         for i in order {
-            gossip.learn(notices[i].clone());
+            gossip.insert(notices[i].clone());
         }
         assert_eq!(gossip.all(), vec![evacuation(9, false)]);
     }
@@ -213,10 +216,10 @@
     for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [1, 0, 2]] {
         let mut gossip = Gossip::default();
         for i in order {
-            gossip.learn(notices[i].clone());
+            gossip.insert(notices[i].clone());
         }
         assert_eq!(gossip.all(), vec![limit(3, Some(500))]);
-        assert!(gossip.learn(limit(4, None)), "a later change");
+        assert!(gossip.insert(limit(4, None)), "a later change");
     }
 }
 
@@ -224,9 +227,9 @@
 #[test]
 fn memory_and_datagrams_stay_bounded() {
     let mut gossip = Gossip::default();
-    gossip.learn(evacuation(1, true));
+    gossip.insert(evacuation(1, true));
     for i in 0..5_000 {
-        gossip.learn(Notice::Leaving {
+        gossip.insert(Notice::Leaving {
             upstream: format!("u{i}"),
         });
     }
@@ -234,9 +237,9 @@
     assert!(all.len() <= 300, "{}", all.len());
     assert!(all.contains(&evacuation(1, true)));
     for _ in 0..40 {
-        let due = gossip.due();
+        let due = gossip.next_round();
         assert!(due.len() <= 8 && due.iter().all(|batch| batch.len() <= 16));
-        let page = gossip.page();
+        let page = gossip.anti_entropy_batch();
         assert!(page.len() <= 16 && page.contains(&evacuation(1, true)));
     }
 }
@@ -250,7 +253,7 @@
     for (count, upstreams) in [(30, 400), (300, 400), (985, 200), (2_000, 100)] {
         let mut fleet = Fleet::new(1, count, 0.1);
         for i in 0..upstreams {
-            fleet.peers[0].learn(leaving(i));
+            fleet.peers[0].insert(leaving(i));
         }
         for now in 0..=1_000 {
             fleet.step(now);
@@ -272,7 +275,7 @@
 fn notices_are_kept_for_as_many_upstreams_as_are_listed() {
     let mut gossip = gossip();
     for i in 0..4_500 {
-        gossip.learn(Notice::Leaving {
+        gossip.insert(Notice::Leaving {
             upstream: format!("u{i}"),
         });
     }
--- a/crates/proxy/src/notices.rs
+++ b/crates/proxy/src/notices.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use notice::{Gossip, Notice, Received, FANOUT, NEAR};
+use notice::{Gossip, Notice, Received, FANOUT, SAME_ZONE_FANOUT};
 use place::{RateLimit, VersionedLimit};
 use rand::seq::IndexedRandom;
 use sha2::{Digest, Sha256};
@@ -42,7 +42,7 @@
 
     /// Takes what this instance has learnt, and sends it to peers; returns whether it is new.
     pub(crate) fn learn(&self, notice: Notice) -> bool {
-        let news = self.gossip().learn(notice);
+        let news = self.gossip().insert(notice);
         if news {
             self.0.changed.notify_one();
         }
@@ -52,7 +52,7 @@
     /// Takes a batch from a peer.
     pub(crate) fn receive(&self, batch: Vec<Notice>) -> Received {
         let received = self.gossip().receive(batch);
-        if !received.news.is_empty() {
+        if !received.accepted.is_empty() {
             self.0.changed.notify_one();
         }
         received
@@ -60,12 +60,12 @@
 
     /// Sets how many upstreams are listed.
     pub(crate) fn set_upstreams(&self, count: usize) {
-        self.gossip().set_upstreams(count);
+        self.gossip().set_upstream_count(count);
     }
 
     /// Returns the notice about an upstream's removal from the list, as the revision of that.
     pub(crate) fn gone_at(&self, upstream: &str) -> Option<i64> {
-        self.gossip().gone_at(upstream)
+        self.gossip().removed_at(upstream)
     }
 
     /// Returns the zones that are or were evacuated, with the revisions at which that was so.
@@ -85,7 +85,7 @@
         loop {
             self.0.changed.notified().await;
             loop {
-                let due = self.gossip().due();
+                let due = self.gossip().next_round();
                 if due.is_empty() {
                     break;
                 }
@@ -100,7 +100,7 @@
     async fn send_pages(self, others: Others, config: Config) {
         loop {
             sleep(PAGE_EVERY).await;
-            let page = self.gossip().page();
+            let page = self.gossip().anti_entropy_batch();
             if !page.is_empty() {
                 send(&others, &config, page, 1);
             }
@@ -113,7 +113,7 @@
     let (listed, roster) = (others.fleet.others(), others.fleet.roster());
     let mut rng = rand::rng();
     let near = roster.neighbours();
-    let near = near.choose_multiple(&mut rng, NEAR.min(peers - 1));
+    let near = near.choose_multiple(&mut rng, SAME_ZONE_FANOUT.min(peers - 1));
     let mut chosen: Vec<SocketAddr> = near.map(|m| m.addr).collect();
     for any in listed.choose_multiple(&mut rng, peers) {
         if chosen.len() < peers && !chosen.contains(&any.addr) {
@@ -172,10 +172,10 @@
     /// Takes notices that a peer knows, and acts on those that are new; returns what that peer lacks.
     pub(crate) fn take(&self, batch: Vec<Notice>) -> Vec<Notice> {
         let received = self.notices.receive(batch);
-        for notice in received.news {
+        for notice in received.accepted {
             self.act(notice);
         }
-        received.outdated
+        received.sender_lacks
     }
 
     fn act(&self, notice: Notice) {
