--- a/crates/proxy/src/passed.rs
+++ b/crates/proxy/src/passed.rs
@@ -1,7 +1,7 @@
 //! What instances ask each other of what is read of the store, and the answers.
 
 use kv::{Change, Found};
-use relay::{Cursor, Entry, Since};
+use relay::{Cursor, Delta, Entry};
 use serde::{Deserialize, Serialize};
 
 /// What is passed on.
@@ -46,7 +46,7 @@
 /// The answer, or a page of it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Passed {
-    pub(crate) since: Since,
+    pub(crate) since: Delta,
     /// Up to where it tells everything, as its first page says; 0 where nothing is known.
     pub(crate) revision: i64,
     /// Where the next page begins.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -8,7 +8,7 @@
 use clock::Clock;
 use rand::seq::IndexedRandom;
 use relay::{
-    Board, Candidate, CatchUp, CatchUpSource, Entry, First, Head, Readers, Serving, Since,
+    Candidate, CatchUp, CatchUpSource, Delta, Entry, First, Head, Readers, Replica, Serving,
     Standing, BEAT_MS,
 };
 use tokio::sync::Notify;
@@ -42,7 +42,7 @@
     readers: Mutex<Readers>,
     /// The other instances of the own zone.
     neighbours: Mutex<Vec<SocketAddr>>,
-    boards: Mutex<[Board; TOPICS]>,
+    boards: Mutex<[Replica; TOPICS]>,
     /// Fetches of all upstreams, by instances that have just started.
     lists: Mutex<Serving>,
     /// Fetches of the configuration.
@@ -264,15 +264,15 @@
         self.update(topic, |board| match update {
             Update::Listed(items, revision) => {
                 let entries: Vec<Entry> = items.iter().map(written).collect();
-                board.list(&entries, *revision);
+                board.apply_list(&entries, *revision);
             }
-            Update::Changed(changes, _) => board.change(changes.iter().map(changed)),
+            Update::Changed(changes, _) => board.apply_changes(changes.iter().map(changed)),
             // What else has changed is not known.
             Update::Part(_) | Update::Lost => {}
         });
     }
 
-    fn update(&self, topic: Topic, update: impl FnOnce(&mut Board)) {
+    fn update(&self, topic: Topic, update: impl FnOnce(&mut Replica)) {
         let mut boards = self.0.boards.lock().expect("no panic inside");
         let board = &mut boards[topic as usize];
         let before = board.revision();
@@ -295,17 +295,17 @@
         };
         if serving.is_some_and(|s| !self.admits(s, ask)) {
             return Passed {
-                since: Since::Changed(Vec::new()),
+                since: Delta::Changed(Vec::new()),
                 revision: 0,
                 next: None,
             };
         }
-        let page = board.page(ask.revision, ask.after.as_ref());
+        let page = board.delta_page(ask.revision, ask.after.as_ref());
         if page.next.is_none() && ask.topic == Topic::Upstreams {
             self.0.lists.lock().expect("no panic inside").end(ask.fetch);
         }
         Passed {
-            since: page.since,
+            since: page.delta,
             revision: board.revision(),
             next: page.next,
         }
@@ -319,13 +319,13 @@
 
     /// Takes the whole answer of an instance that was asked.
     pub(crate) fn take(&self, topic: Topic, told: Passed) -> Update {
-        self.update(topic, |board| board.follow(&told.since, told.revision));
+        self.update(topic, |board| board.apply_delta(&told.since, told.revision));
         match told.since {
-            Since::Changed(entries) => {
+            Delta::Changed(entries) => {
                 let changes = entries.into_iter().map(change).collect();
                 Update::Changed(changes, told.revision)
             }
-            Since::All(entries) => {
+            Delta::All(entries) => {
                 let found = entries.into_iter().filter_map(|e| change(e).now);
                 Update::Listed(found.collect(), told.revision)
             }
@@ -368,7 +368,7 @@
         let back_at = self.0.reach.back_at();
         Some(Head {
             rank,
-            revisions: boards.iter().map(Board::revision).collect(),
+            revisions: boards.iter().map(Replica::revision).collect(),
             out,
             failing: self.0.reach.is_failing(),
             back_ms: (back_at > 0).then(|| now.saturating_sub(back_at)),
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -8,12 +8,12 @@
 //!
 //! No I/O, clock or randomness: the time comes in with each event, in milliseconds.
 
-mod board;
 mod catch_up;
 mod readers;
+mod replica;
 mod serving;
 
-pub use board::{Board, Cursor, Entry, Page, Since};
 pub use catch_up::{CatchUp, CatchUpSource};
 pub use readers::{Candidate, First, Head, Readers, Standing, BEAT_MS};
+pub use replica::{Cursor, Delta, Entry, Page, Replica};
 pub use serving::Serving;
--- a/crates/relay/src/board.rs
+++ b/crates/relay/src/replica.rs
@@ -28,27 +28,27 @@
 
 /// What an instance lacks that has read up to some revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Since {
+pub enum Delta {
     /// The newest change of each key that has changed since, oldest first.
     Changed(Vec<Entry>),
     /// All keys: not all deletions since are remembered.
     All(Vec<Entry>),
 }
 
-impl Since {
+impl Delta {
     /// Returns its entries.
     pub fn entries(&self) -> &[Entry] {
         match self {
-            Since::Changed(entries) | Since::All(entries) => entries,
+            Delta::Changed(entries) | Delta::All(entries) => entries,
         }
     }
 
     /// Appends the next page of the same answer; returns whether it is of the same kind.
     #[must_use]
-    pub fn append(&mut self, page: Since) -> bool {
+    pub fn append(&mut self, page: Delta) -> bool {
         match (self, page) {
-            (Since::Changed(entries), Since::Changed(more))
-            | (Since::All(entries), Since::All(more)) => entries.extend(more),
+            (Delta::Changed(entries), Delta::Changed(more))
+            | (Delta::All(entries), Delta::All(more)) => entries.extend(more),
             _ => return false,
         }
         true
@@ -67,7 +67,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
     /// The entries.
-    pub since: Since,
+    #[serde(rename = "since")]
+    pub delta: Delta,
     /// Where the next page begins; none for the last one.
     pub next: Option<Cursor>,
 }
@@ -81,7 +82,7 @@
 
 /// The keys under one prefix.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct Replica {
     /// Keys that are there, and deleted ones that are remembered.
     slots: BTreeMap<Arc<str>, Slot>,
     by_revision: BTreeSet<(i64, Arc<str>)>,
@@ -92,14 +93,14 @@
     kept_from: i64,
 }
 
-impl Board {
+impl Replica {
     /// Returns the revision up to which all changes are known; 0 before the first list.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
     /// Takes changes, oldest first, that follow on what is known.
-    pub fn change(&mut self, changes: impl IntoIterator<Item = Entry>) {
+    pub fn apply_changes(&mut self, changes: impl IntoIterator<Item = Entry>) {
         // One transaction writes several keys at one revision.
         let known = self.revision;
         for entry in changes.into_iter().filter(|e| e.revision > known) {
@@ -111,7 +112,7 @@
     /// Takes all keys as they were at a revision.
     ///
     /// A list that is older than what is known says nothing.
-    pub fn list(&mut self, entries: &[Entry], revision: i64) {
+    pub fn apply_list(&mut self, entries: &[Entry], revision: i64) {
         if revision <= self.revision {
             return;
         }
@@ -148,16 +149,16 @@
     }
 
     /// Takes what another board that is known up to a revision had since this one's.
-    pub fn follow(&mut self, since: &Since, revision: i64) {
+    pub fn apply_delta(&mut self, since: &Delta, revision: i64) {
         match since {
-            Since::Changed(changes) => {
+            Delta::Changed(changes) => {
                 // Some may be newer than the revision up to which all are known.
                 let known = self.revision;
                 for entry in changes.iter().filter(|e| e.revision > known) {
                     self.take(entry);
                 }
             }
-            Since::All(entries) => self.list(entries, revision),
+            Delta::All(entries) => self.apply_list(entries, revision),
         }
         // Else it would be asked for again and again where nothing differs.
         self.caught_up(revision);
@@ -169,19 +170,19 @@
     }
 
     /// Returns what an instance lacks that has read up to a revision.
-    pub fn since(&self, revision: i64) -> Since {
-        let mut page = self.page(revision, None);
+    pub fn delta_since(&self, revision: i64) -> Delta {
+        let mut page = self.delta_page(revision, None);
         while let Some(next) = page.next {
-            let more = self.page(revision, Some(&next));
-            let same = page.since.append(more.since);
+            let more = self.delta_page(revision, Some(&next));
+            let same = page.delta.append(more.delta);
             debug_assert!(same, "nothing changes meanwhile");
             page.next = more.next;
         }
-        page.since
+        page.delta
     }
 
     /// Returns a page of what an instance lacks that has read up to a revision.
-    pub fn page(&self, revision: i64, after: Option<&Cursor>) -> Page {
+    pub fn delta_page(&self, revision: i64, after: Option<&Cursor>) -> Page {
         if revision >= self.kept_from {
             self.page_changed(revision, after)
         } else {
@@ -196,8 +197,8 @@
         };
         let newer = self.by_revision.range((from, Bound::Unbounded));
         let (entries, next) = fill(newer.map(|(_, key)| self.entry(key)));
-        let since = Since::Changed(entries);
-        Page { since, next }
+        let delta = Delta::Changed(entries);
+        Page { delta, next }
     }
 
     fn page_all(&self, after: Option<&Cursor>) -> Page {
@@ -205,8 +206,8 @@
         let slots = self.slots.range::<str, _>((from, Bound::Unbounded));
         let present = slots.filter(|(_, slot)| slot.value.is_some());
         let (entries, next) = fill(present.map(|(key, _)| self.entry(key)));
-        let since = Since::All(entries);
-        Page { since, next }
+        let delta = Delta::All(entries);
+        Page { delta, next }
     }
 
     fn entry(&self, key: &str) -> Entry {
