--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -8,17 +8,17 @@
 use uuid::Uuid;
 
 /// Clocks of callers and instances may differ by this much, in milliseconds.
-pub const SKEW_MS: u64 = 60_000;
+pub const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
 /// What is wrong with a request id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IdFault {
+pub enum IdError {
     /// It bears no time: a UUID of version 7 is wanted.
-    NoTime,
+    NoTimestamp,
     /// It is older than the retention, so an earlier run may be forgotten.
     TooOld,
     /// It lies in the future by more than clocks may differ.
-    TooNew,
+    InFuture,
 }
 
 /// Checks that a request id bears a time within the retention.
@@ -26,18 +26,18 @@
 /// # Errors
 ///
 /// Returns what is wrong with the id.
-pub fn check_id(id: &str, now_ms: u64, retention_ms: u64) -> Result<(), IdFault> {
-    let uuid = Uuid::parse_str(id).map_err(|_| IdFault::NoTime)?;
+pub fn check_id(id: &str, now_ms: u64, retention_ms: u64) -> Result<(), IdError> {
+    let uuid = Uuid::parse_str(id).map_err(|_| IdError::NoTimestamp)?;
     if uuid.get_version_num() != 7 {
-        return Err(IdFault::NoTime);
+        return Err(IdError::NoTimestamp);
     }
-    let (secs, nanos) = uuid.get_timestamp().ok_or(IdFault::NoTime)?.to_unix();
+    let (secs, nanos) = uuid.get_timestamp().ok_or(IdError::NoTimestamp)?.to_unix();
     let at_ms = secs * 1000 + u64::from(nanos) / 1_000_000;
     if at_ms + retention_ms < now_ms {
-        return Err(IdFault::TooOld);
+        return Err(IdError::TooOld);
     }
-    if at_ms > now_ms + SKEW_MS {
-        return Err(IdFault::TooNew);
+    if at_ms > now_ms + MAX_CLOCK_SKEW_MS {
+        return Err(IdError::InFuture);
     }
     Ok(())
 }
@@ -45,13 +45,13 @@
 /// Returns how long the platform must keep a claim, in seconds.
 ///
 /// Longer than any id of it is accepted: when the key lapses, the id is refused by its age.
-pub fn lease_secs(retention_ms: u64) -> u64 {
-    (retention_ms + 3 * SKEW_MS) / 1000
+pub fn lease_ttl_secs(retention_ms: u64) -> u64 {
+    (retention_ms + 3 * MAX_CLOCK_SKEW_MS) / 1000
 }
 
 /// The answer of a finished run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Media type.
@@ -67,7 +67,7 @@
     /// Its holder may run it, or has.
     Claimed,
     /// It ran.
-    Done(Answer),
+    Done(StoredResponse),
     /// Its holder says that it did not run and never will.
     NotRun,
     /// Its holder lost track of it.
@@ -80,16 +80,18 @@
     /// The attempt that holds it.
     pub attempt: String,
     /// The entry that made it, an incarnation.
-    pub entry: String,
+    #[serde(rename = "entry")]
+    pub holder: String,
     /// Hash of the request.
-    pub body: String,
+    #[serde(rename = "body")]
+    pub request_hash: String,
     /// How far it is.
     pub state: State,
 }
 
 /// What the holder of a claim says of its attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum AttemptStatus {
     /// It runs.
     Running,
     /// It did not run and never will.
@@ -102,13 +104,13 @@
 
 /// What follows for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum Resolution {
     /// Run it: the claim is this attempt's own.
     Run,
     /// Answer with what was stored.
-    Answer(Answer),
+    Replay(StoredResponse),
     /// The id was used for another request.
-    Reused,
+    IdReused,
     /// Ask the holder, then judge again.
     AskHolder,
     /// Replace the claim by a compare-and-swap, then run.
@@ -120,27 +122,29 @@
 }
 
 /// Decides what follows from a claim that is in the way, or is one's own after a lost answer.
-pub fn judge(found: &Claim, mine: &Claim, word: Option<Word>) -> Next {
+pub fn resolve(found: &Claim, mine: &Claim, word: Option<AttemptStatus>) -> Resolution {
     if found.attempt == mine.attempt {
         // Only one attempt ever writes this name, so the write whose answer was lost took effect.
-        return Next::Run;
+        return Resolution::Run;
     }
-    if found.body != mine.body {
-        return Next::Reused;
+    if found.request_hash != mine.request_hash {
+        return Resolution::IdReused;
     }
     match (&found.state, word) {
-        (State::Done(answer), _) => Next::Answer(answer.clone()),
-        (State::NotRun, _) => Next::Replace,
-        (State::Unknown, _) => Next::OutcomeUnknown,
-        (State::Claimed, None) => Next::AskHolder,
-        (State::Claimed, Some(Word::Running)) => Next::InProgress,
-        (State::Claimed, Some(Word::NotRun)) => Next::Replace,
-        (State::Claimed, Some(Word::Unknown | Word::Silent)) => Next::OutcomeUnknown,
+        (State::Done(answer), _) => Resolution::Replay(answer.clone()),
+        (State::NotRun, _) => Resolution::Replace,
+        (State::Unknown, _) => Resolution::OutcomeUnknown,
+        (State::Claimed, None) => Resolution::AskHolder,
+        (State::Claimed, Some(AttemptStatus::Running)) => Resolution::InProgress,
+        (State::Claimed, Some(AttemptStatus::NotRun)) => Resolution::Replace,
+        (State::Claimed, Some(AttemptStatus::Unknown | AttemptStatus::Silent)) => {
+            Resolution::OutcomeUnknown
+        }
     }
 }
 
 /// Returns the hash under which a request is told from another one.
-pub fn hash(method: &str, path: &str, body: &[u8]) -> String {
+pub fn request_hash(method: &str, path: &str, body: &[u8]) -> String {
     let mut sha = Sha256::new();
     sha.update(method.as_bytes());
     sha.update([0]);
--- a/crates/claim/tests/judge.rs
+++ b/crates/claim/tests/resolve.rs
@@ -1,16 +1,16 @@
 //! Decisions on claims: every pair of what is found and what its holder says.
 
-use claim::{check_id, judge, Answer, Claim, IdFault, Next, State, Word};
+use claim::{check_id, resolve, AttemptStatus, Claim, IdError, Resolution, State, StoredResponse};
 use uuid::{NoContext, Timestamp, Uuid};
 
 const NOW: u64 = 1_800_000_000_000;
 const DAY: u64 = 86_400_000;
 
-fn claim(attempt: &str, body: &str, state: State) -> Claim {
+fn claim(attempt: &str, request_hash: &str, state: State) -> Claim {
     Claim {
         attempt: attempt.to_string(),
-        entry: "a".to_string(),
-        body: body.to_string(),
+        holder: "a".to_string(),
+        request_hash: request_hash.to_string(),
         state,
     }
 }
@@ -27,12 +27,12 @@
 fn only_a_holders_own_word_frees_a_claim() {
     let mine = claim("mine", "x", State::Claimed);
     let theirs = claim("theirs", "x", State::Claimed);
-    let frees = |word| judge(&theirs, &mine, Some(word)) == Next::Replace;
-    assert!(frees(Word::NotRun));
-    assert!(!frees(Word::Running));
-    assert!(!frees(Word::Unknown));
-    assert!(!frees(Word::Silent));
-    assert_eq!(judge(&theirs, &mine, None), Next::AskHolder);
+    let frees = |word| resolve(&theirs, &mine, Some(word)) == Resolution::Replace;
+    assert!(frees(AttemptStatus::NotRun));
+    assert!(!frees(AttemptStatus::Running));
+    assert!(!frees(AttemptStatus::Unknown));
+    assert!(!frees(AttemptStatus::Silent));
+    assert_eq!(resolve(&theirs, &mine, None), Resolution::AskHolder);
 }
 
 /// Symptom: an order is refused although its claim was made.
@@ -41,23 +41,23 @@
 #[test]
 fn own_claim_is_known_again() {
     let mine = claim("mine", "x", State::Claimed);
-    assert_eq!(judge(&mine, &mine, None), Next::Run);
+    assert_eq!(resolve(&mine, &mine, None), Resolution::Run);
 }
 
 #[test]
 fn finished_request_answers_and_another_body_is_refused() {
-    let answer = Answer {
+    let answer = StoredResponse {
         status: 200,
         media: "text/plain".to_string(),
         body: None,
     };
     let mine = claim("mine", "x", State::Claimed);
     let done = claim("theirs", "x", State::Done(answer.clone()));
-    assert_eq!(judge(&done, &mine, None), Next::Answer(answer));
+    assert_eq!(resolve(&done, &mine, None), Resolution::Replay(answer));
     let other = claim("theirs", "y", State::Claimed);
-    assert_eq!(judge(&other, &mine, None), Next::Reused);
+    assert_eq!(resolve(&other, &mine, None), Resolution::IdReused);
     let lost = claim("theirs", "x", State::Unknown);
-    assert_eq!(judge(&lost, &mine, None), Next::OutcomeUnknown);
+    assert_eq!(resolve(&lost, &mine, None), Resolution::OutcomeUnknown);
 }
 
 /// Symptom: an order runs a second time days later.
@@ -66,13 +66,16 @@
 #[test]
 fn ids_bear_a_time_within_the_retention() {
     let check = |id: &str| check_id(id, NOW, DAY);
-    assert_eq!(check("plain"), Err(IdFault::NoTime));
-    assert_eq!(check(&Uuid::new_v4().to_string()), Err(IdFault::NoTime));
-    assert_eq!(check(&id_at(NOW - DAY - 1_000)), Err(IdFault::TooOld));
+    assert_eq!(check("plain"), Err(IdError::NoTimestamp));
+    assert_eq!(
+        check(&Uuid::new_v4().to_string()),
+        Err(IdError::NoTimestamp)
+    );
+    assert_eq!(check(&id_at(NOW - DAY - 1_000)), Err(IdError::TooOld));
     assert_eq!(check(&id_at(NOW - DAY + 1_000)), Ok(()));
     assert_eq!(
-        check(&id_at(NOW + 10 * claim::SKEW_MS)),
-        Err(IdFault::TooNew)
+        check(&id_at(NOW + 10 * claim::MAX_CLOCK_SKEW_MS)),
+        Err(IdError::InFuture)
     );
-    assert!(claim::lease_secs(DAY) * 1000 > DAY + claim::SKEW_MS);
+    assert!(claim::lease_ttl_secs(DAY) * 1000 > DAY + claim::MAX_CLOCK_SKEW_MS);
 }
--- a/crates/entry/src/pipe/claim.rs
+++ b/crates/entry/src/pipe/claim.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use claim::{Answer, Claim, IdFault, Next, State, Word};
+use claim::{AttemptStatus, Claim, IdError, Resolution, State, StoredResponse};
 use err::{Error, Kind};
 use kv::{Failure, Found, Swap};
 use uuid::Uuid;
@@ -39,7 +39,7 @@
     /// The request may run here, once.
     Run(Held),
     /// It ran before; this was its answer.
-    Answer(Answer),
+    Answer(StoredResponse),
 }
 
 /// Claims a request.
@@ -52,15 +52,15 @@
     let shared = &cx.shared;
     let mine = Claim {
         attempt: Uuid::new_v4().to_string(),
-        entry: shared.me.clone(),
-        body: claim::hash(&req.method, &req.path, &req.body),
+        holder: shared.me.clone(),
+        request_hash: claim::request_hash(&req.method, &req.path, &req.body),
         state: State::Claimed,
     };
-    set_word(shared, &mine.attempt, Word::Running);
+    set_word(shared, &mine.attempt, AttemptStatus::Running);
     let outcome = contend(cx, &mine).await;
     if !matches!(outcome, Ok(Outcome::Run(_))) {
         // The write may still land. Whoever asks about it is told that it never runs.
-        set_word(shared, &mine.attempt, Word::NotRun);
+        set_word(shared, &mine.attempt, AttemptStatus::NotRun);
     }
     outcome
 }
@@ -70,12 +70,12 @@
     let wanted = "this request may not be repeated: an Idempotency-Key that is a UUID of version 7 is wanted";
     match claim::check_id(&cx.id, wall_ms(), retention) {
         Ok(()) if cx.keyed => Ok(()),
-        Ok(()) | Err(IdFault::NoTime) => Err(Error::new(Kind::IdRequired, wanted)),
-        Err(IdFault::TooOld) => Err(Error::new(
+        Ok(()) | Err(IdError::NoTimestamp) => Err(Error::new(Kind::IdRequired, wanted)),
+        Err(IdError::TooOld) => Err(Error::new(
             Kind::IdTooOld,
             "the request id is older than claims are kept",
         )),
-        Err(IdFault::TooNew) => Err(Error::new(
+        Err(IdError::InFuture) => Err(Error::new(
             Kind::BadRequest,
             "the request id lies in the future",
         )),
@@ -112,9 +112,9 @@
             }
         };
         match judge(cx, mine, &found).await? {
-            Next::Run => return Ok(run(&key, mine, found.revision)),
-            Next::Answer(answer) => return Ok(Outcome::Answer(answer)),
-            Next::Replace => base = found.revision,
+            Resolution::Run => return Ok(run(&key, mine, found.revision)),
+            Resolution::Replay(answer) => return Ok(Outcome::Answer(answer)),
+            Resolution::Replace => base = found.revision,
             next => return Err(refusal(&next)),
         }
     }
@@ -130,26 +130,28 @@
     })
 }
 
-async fn judge(cx: &Cx, mine: &Claim, found: &Found) -> Result<Next, Error> {
+async fn judge(cx: &Cx, mine: &Claim, found: &Found) -> Result<Resolution, Error> {
     let broken = |e: serde_json::Error| Error::new(Kind::Internal, format!("a broken claim: {e}"));
     let theirs: Claim = serde_json::from_slice(&found.value).map_err(broken)?;
-    match claim::judge(&theirs, mine, None) {
-        Next::AskHolder => {
+    match claim::resolve(&theirs, mine, None) {
+        Resolution::AskHolder => {
             let word = ask_holder(&cx.shared, &theirs).await;
-            cx.step(format!("claimed by {}, which says {word:?}", theirs.entry));
-            Ok(claim::judge(&theirs, mine, Some(word)))
+            cx.step(format!("claimed by {}, which says {word:?}", theirs.holder));
+            Ok(claim::resolve(&theirs, mine, Some(word)))
         }
         next => Ok(next),
     }
 }
 
-fn refusal(next: &Next) -> Error {
+fn refusal(next: &Resolution) -> Error {
     match next {
-        Next::Reused => Error::new(
+        Resolution::IdReused => Error::new(
             Kind::IdReused,
             "this request id came before with another request",
         ),
-        Next::InProgress => Error::new(Kind::InProgress, "the request runs at another instance"),
+        Resolution::InProgress => {
+            Error::new(Kind::InProgress, "the request runs at another instance")
+        }
         _ => Error::new(
             Kind::OutcomeUnknown,
             "the request's holder is gone: it may or may not have run, and is not run again",
@@ -157,25 +159,25 @@
     }
 }
 
-async fn ask_holder(shared: &Shared, theirs: &Claim) -> Word {
-    if theirs.entry == shared.me {
+async fn ask_holder(shared: &Shared, theirs: &Claim) -> AttemptStatus {
+    if theirs.holder == shared.me {
         let attempts = shared.attempts.lock().expect("no panic inside");
         return attempts
             .get(&theirs.attempt)
             .copied()
-            .unwrap_or(Word::Unknown);
+            .unwrap_or(AttemptStatus::Unknown);
     }
-    let Some(addr) = shared.peer_addr(&theirs.entry) else {
-        return Word::Silent;
+    let Some(addr) = shared.peer_addr(&theirs.holder) else {
+        return AttemptStatus::Silent;
     };
     let asked = shared
         .peers
         .call(&shared.metrics, &addr, method::ATTEMPT, &theirs.attempt);
-    asked.await.unwrap_or(Word::Silent)
+    asked.await.unwrap_or(AttemptStatus::Silent)
 }
 
 /// Remembers how far an attempt is.
-pub fn set_word(shared: &Shared, attempt: &str, word: Word) {
+pub fn set_word(shared: &Shared, attempt: &str, word: AttemptStatus) {
     let mut attempts = shared.attempts.lock().expect("no panic inside");
     attempts.insert(attempt.to_string(), word);
 }
@@ -191,7 +193,7 @@
             return Some(id);
         }
     }
-    let keep = claim::lease_secs(shared.settings.claim_retention_ms());
+    let keep = claim::lease_ttl_secs(shared.settings.claim_retention_ms());
     let id = shared.kv.lease(keep + LEASE_USE_MS / 1000).await.ok()?;
     *current = Some((id, now + LEASE_USE_MS));
     Some(id)
@@ -200,8 +202,8 @@
 /// Stores the end of a claimed request; goes on in the background when the platform is out.
 pub async fn end(shared: &Arc<Shared>, held: Held, state: State) {
     let word = match state {
-        State::NotRun => Word::NotRun,
-        _ => Word::Unknown,
+        State::NotRun => AttemptStatus::NotRun,
+        _ => AttemptStatus::Unknown,
     };
     let cx = Arc::clone(shared);
     let busy = shared.begin();
@@ -213,9 +215,9 @@
     let _ = tokio::time::timeout(STORE_WAIT, stored).await;
 }
 
-async fn store(shared: &Shared, mut held: Held, state: State, word: Word) {
+async fn store(shared: &Shared, mut held: Held, state: State, word: AttemptStatus) {
     let attempt = held.claim.attempt.clone();
-    if word == Word::NotRun {
+    if word == AttemptStatus::NotRun {
         set_word(shared, &attempt, word);
     }
     held.claim.state = state;
--- a/crates/entry/src/pipe/forward.rs
+++ b/crates/entry/src/pipe/forward.rs
@@ -5,7 +5,7 @@
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::Bytes;
-use claim::{Answer, State};
+use claim::{State, StoredResponse};
 use err::{Error, Kind, Ran};
 use route::upstream;
 use tokio::sync::oneshot;
@@ -214,7 +214,7 @@
 
 async fn finish(cx: &Cx, held: Held, reply: &Reply) {
     let fits = reply.body.len() <= STORED_MOST;
-    let answer = Answer {
+    let answer = StoredResponse {
         status: reply.status,
         media: reply.media.clone(),
         body: fits.then(|| BASE64_STANDARD.encode(&reply.body)),
@@ -222,7 +222,7 @@
     claims::end(&cx.shared, held, State::Done(answer)).await;
 }
 
-fn stored(answer: Answer) -> Result<Reply, Error> {
+fn stored(answer: StoredResponse) -> Result<Reply, Error> {
     let body = answer.body.and_then(|b| BASE64_STANDARD.decode(b).ok());
     let Some(body) = body else {
         let message = "the request ran, and its answer was too large to keep";
--- a/crates/entry/src/rpc.rs
+++ b/crates/entry/src/rpc.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use budget::{ReserveReply, Settled};
-use claim::Word;
+use claim::AttemptStatus;
 use jsonrpsee_core::RpcResult;
 use jsonrpsee_server::{RpcModule, ServerBuilder, ServerConfig, ServerHandle};
 use serde::de::DeserializeOwned;
@@ -92,7 +92,7 @@
     });
     add(&mut module, method::ATTEMPT, |cx, m: String| async move {
         let attempts = cx.attempts.lock().expect("no panic inside");
-        attempts.get(&m).copied().unwrap_or(Word::Unknown)
+        attempts.get(&m).copied().unwrap_or(AttemptStatus::Unknown)
     });
     server.start(module)
 }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 
 use budget::place::Candidate;
-use claim::Word;
+use claim::AttemptStatus;
 use conf::{Bundle, Config, Settings};
 use peer::{Member, Members, Standing};
 use route::{Pool, RetryBudget};
@@ -84,7 +84,7 @@
     /// The latest requests.
     pub journal: Journal,
     /// Attempts at requests that may not be repeated, as this holder knows them.
-    pub attempts: Mutex<BTreeMap<String, Word>>,
+    pub attempts: Mutex<BTreeMap<String, AttemptStatus>>,
     /// Requests, bills and claims under way.
     pub busy: watch::Sender<u64>,
     /// The platform lease that this instance's claims are bound to, with the end of its use.
