--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -44,7 +44,7 @@
     /// How far it has read the store for its zone.
     Head(Head),
     /// Requests under which upstreams have ended.
-    Suspects(Vec<suspect::Word>),
+    Suspects(Vec<suspect::SuspectRecord>),
     /// Small and urgent news.
     Notices {
         /// The version of the configuration that is in force at the sender.
--- a/crates/proxy/src/kept.rs
+++ b/crates/proxy/src/kept.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use kv::{Commit, Expect, Failure, Found, Put, Reading, Store, Txn};
-use suspect::{Digest, Word};
+use suspect::{Digest, SuspectRecord};
 use tokio::time::{sleep, Instant};
 
 use crate::event::Event;
@@ -76,7 +76,7 @@
             }
         };
         for item in items {
-            match serde_json::from_slice::<Word>(&item.value) {
+            match serde_json::from_slice::<SuspectRecord>(&item.value) {
                 Ok(word) => {
                     self.revisions.insert(word.digest, item.revision);
                     self.suspects.load(word);
@@ -96,7 +96,7 @@
 
     /// Returns whether this instance decides about a request.
     fn decides(&self, digest: Digest) -> bool {
-        let keepers = self.fleet.roster().keepers(digest.number());
+        let keepers = self.fleet.roster().keepers(digest.placement_key());
         keepers.first().is_none_or(|m| m.id == self.fleet.me())
     }
 
@@ -118,7 +118,11 @@
     }
 
     /// Writes, or deletes where there is nothing to say; returns whether the store has it.
-    async fn write(&mut self, digest: Digest, word: Option<&Word>) -> Result<bool, Failure> {
+    async fn write(
+        &mut self,
+        digest: Digest,
+        word: Option<&SuspectRecord>,
+    ) -> Result<bool, Failure> {
         let key = format!("{PREFIX}{digest:.32}");
         let revision = self.revisions.get(&digest).copied().unwrap_or(0);
         if word.is_none() && revision == 0 {
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -54,7 +54,7 @@
         drop(pool);
         let suspects = router.suspects.list().into_iter().map(|word| {
             json!({
-                "request": format!("{:.32}", word.digest), "ends": word.ended,
+                "request": format!("{:.32}", word.digest), "ends": word.crashes,
                 "trials": word.trials, "answers": word.answers,
             })
         });
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -15,7 +15,7 @@
 use rand::seq::IndexedRandom;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use suspect::Word;
+use suspect::SuspectRecord;
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::bank::{Bank, Draw, Drawn};
@@ -156,9 +156,10 @@
         Ok(passed)
     });
     lacking.expect("a new name");
-    let suspects = module.register_method("suspects", |_, desk, _| -> RpcResult<Vec<Word>> {
-        Ok(desk.suspects.list())
-    });
+    let suspects = module
+        .register_method("suspects", |_, desk, _| -> RpcResult<Vec<SuspectRecord>> {
+            Ok(desk.suspects.list())
+        });
     suspects.expect("a new name");
     let limits = module.register_method("limits", |_, desk, _| -> RpcResult<Vec<Notice>> {
         Ok(desk.effects.listing.all_limits())
@@ -294,7 +295,7 @@
     /// # Errors
     ///
     /// Returns why there is no answer.
-    pub(crate) async fn suspects(&self, addr: SocketAddr) -> Result<Vec<Word>, String> {
+    pub(crate) async fn suspects(&self, addr: SocketAddr) -> Result<Vec<SuspectRecord>, String> {
         self.call_briefly(addr, "suspects", &()).await
     }
 
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -11,7 +11,7 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use serde::{Deserialize, Serialize};
-use suspect::{Blame, Digest, Suspects as Table, Verdict, Word};
+use suspect::{Admission, CrashHistory, Digest, SuspectRecord, SuspectTable as Table};
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct AskTrial {
     /// What the asker knows of the request.
-    word: Word,
+    word: SuspectRecord,
     /// Whether the one that is asked decides; else it only tells what it knows.
     decides: bool,
 }
@@ -43,7 +43,7 @@
 pub(crate) struct Trial {
     pub(crate) granted: bool,
     /// What that instance knows of the request.
-    pub(crate) word: Option<Word>,
+    pub(crate) word: Option<SuspectRecord>,
 }
 
 /// A handle on the requests under which upstreams have ended.
@@ -69,7 +69,7 @@
             clock,
             log,
             dialer,
-            table: Mutex::new(Table::open(name)),
+            table: Mutex::new(Table::new(name)),
             changed: Notify::new(),
             unsaved: Notify::new(),
             ends: Counter::default(),
@@ -91,7 +91,7 @@
         let now = self.0.clock.now();
         let mut table = self.table();
         let done = f(&mut table, now);
-        self.0.refused.set(table.refused() as i64);
+        self.0.refused.set(table.refused_count() as i64);
         if table.has_unsaved() {
             self.0.unsaved.notify_one();
         }
@@ -103,7 +103,7 @@
     /// Notes that a request's connection broke at an upstream of which nothing said that it leaves.
     pub(crate) fn broke(&self, spec: &Spec, digest: Digest) {
         let incarnation = spec.incarnation();
-        let first = self.change(|table, now| table.broke(now, &incarnation, digest));
+        let first = self.change(|table, now| table.connection_broke(now, &incarnation, digest));
         if first {
             tokio::spawn(self.clone().find_out(incarnation, spec.addr));
         }
@@ -119,13 +119,13 @@
         let mut pause = CHECK_AFTER;
         loop {
             sleep(pause).await;
-            if !self.change(|table, now| table.is_unsure(now, &incarnation)) {
+            if !self.change(|table, now| table.is_unresolved(now, &incarnation)) {
                 return;
             }
             let until = Instant::now() + CHECK_AGAIN;
             match self.0.dialer.open(target, until).await {
                 Ok(conn) => {
-                    self.change(|table, _| table.goes_on(&incarnation));
+                    self.change(|table, _| table.upstream_alive(&incarnation));
                     return self.0.dialer.keep(conn, None);
                 }
                 Err(ConnectError::Refused(_)) => return self.ended(&incarnation),
@@ -137,7 +137,7 @@
 
     /// Takes that an incarnation of an upstream has ended without having said that it leaves.
     pub(crate) fn ended(&self, incarnation: &str) {
-        let there = self.change(|table, now| table.ended(now, incarnation));
+        let there = self.change(|table, now| table.upstream_crashed(now, incarnation));
         if there.is_empty() {
             return;
         }
@@ -146,8 +146,8 @@
         for digest in there {
             self.0.ends.inc();
             let now = self.0.clock.now();
-            let word = self.table().word(now, digest);
-            let ends = word.map_or(0, |w| w.ended.len());
+            let word = self.table().record(now, digest);
+            let ends = word.map_or(0, |w| w.crashes.len());
             // Each end leaves many requests with one end, nearly all of them innocent.
             if ends > 1 {
                 let detail = format_args!("request={digest} upstream={incarnation} ends={ends}");
@@ -159,7 +159,7 @@
     /// Notes a whole answer to a request.
     pub(crate) fn answered(&self, digest: Digest) {
         let now = self.0.clock.now();
-        let cleared = self.table().answered(now, digest);
+        let cleared = self.table().request_answered(now, digest);
         if cleared {
             let detail = format_args!("request={digest}");
             self.0.log.note(Event::Cleared, detail);
@@ -169,7 +169,7 @@
 
     /// Returns whether a request may be sent to another upstream in the same try.
     pub(crate) fn may_repeat(&self, digest: Digest) -> bool {
-        self.table().may_repeat(digest)
+        self.table().may_retry(digest)
     }
 
     /// Decides whether a request is sent.
@@ -183,9 +183,9 @@
             self.table().admit(now, digest)
         };
         let blame = match verdict {
-            Verdict::Free => return Ok(()),
-            Verdict::Refused(blame) => blame,
-            Verdict::Due(blame) => {
+            Admission::Allowed => return Ok(()),
+            Admission::Refused(blame) => blame,
+            Admission::TrialDue(blame) => {
                 if self.ask_trial(others, digest).await {
                     let detail = format_args!("request={digest} {blame}");
                     self.0.log.note(Event::Tried, detail);
@@ -199,7 +199,7 @@
 
     /// Asks the instances that keep a request whether it may be tried: the first of them that answers decides.
     async fn ask_trial(&self, others: &Others, digest: Digest) -> bool {
-        let keepers = others.fleet.roster().keepers(digest.number());
+        let keepers = others.fleet.roster().keepers(digest.placement_key());
         let me = others.fleet.me();
         let silent = |m: &&Arc<Member>| m.id != me && others.peers.is_silent(m.addr);
         let mut keepers = keepers.iter().filter(|m| !silent(m));
@@ -226,7 +226,7 @@
         decides: bool,
     ) -> bool {
         let now = self.0.clock.now();
-        let Some(word) = self.table().word(now, digest) else {
+        let Some(word) = self.table().record(now, digest) else {
             return false;
         };
         let ask = AskTrial { word, decides };
@@ -239,45 +239,45 @@
             }
         };
         if let Some(word) = &trial.word {
-            self.change(|table, now| table.hear(now, word, false));
+            self.change(|table, now| table.merge(now, word, false));
         }
         trial.granted
     }
 
     fn grant(&self, digest: Digest) -> bool {
-        self.change(|table, now| table.grant(now, digest))
+        self.change(|table, now| table.grant_trial(now, digest))
     }
 
     /// Answers an instance that asks whether a request may be tried.
     pub(crate) fn try_for(&self, ask: &AskTrial) -> Trial {
         let digest = ask.word.digest;
-        self.change(|table, now| table.hear(now, &ask.word, true));
+        self.change(|table, now| table.merge(now, &ask.word, true));
         let granted = ask.decides && self.grant(digest);
         let now = self.0.clock.now();
         Trial {
             granted,
-            word: self.table().word(now, digest),
+            word: self.table().record(now, digest),
         }
     }
 
     /// Takes the words of another instance; returns what that one lacks.
-    pub(crate) fn hear(&self, fleet: &Fleet, words: &[Word]) -> Vec<Word> {
+    pub(crate) fn hear(&self, fleet: &Fleet, words: &[SuspectRecord]) -> Vec<SuspectRecord> {
         let me = fleet.me();
-        let keeps = |word: &Word| {
-            let keepers = fleet.roster().keepers(word.digest.number());
+        let keeps = |word: &SuspectRecord| {
+            let keepers = fleet.roster().keepers(word.digest.placement_key());
             keepers.iter().any(|m| m.id == me)
         };
         let heard = words.iter().map(|word| (word, keeps(word)));
-        let heard: Vec<(&Word, bool)> = heard.collect();
+        let heard: Vec<(&SuspectRecord, bool)> = heard.collect();
         self.change(|table, now| {
             let lacks = heard.into_iter();
-            let lacks = lacks.filter_map(|(word, keeps)| table.hear(now, word, keeps));
+            let lacks = lacks.filter_map(|(word, keeps)| table.merge(now, word, keeps));
             lacks.collect()
         })
     }
 
     /// Returns what all instances should know.
-    pub(crate) fn list(&self) -> Vec<Word> {
+    pub(crate) fn list(&self) -> Vec<SuspectRecord> {
         let now = self.0.clock.now();
         self.table().list(now)
     }
@@ -294,15 +294,15 @@
     }
 
     /// Returns what is to be told now, each with whether all instances are told, or those that keep it.
-    pub(crate) fn due(&self) -> Vec<(Word, bool)> {
+    pub(crate) fn due(&self) -> Vec<(SuspectRecord, bool)> {
         let now = self.0.clock.now();
-        self.table().due(now)
+        self.table().updates_to_send(now)
     }
 
     /// Returns the next words in turn of those that all instances should know.
-    pub(crate) fn page(&self, most: usize) -> Vec<Word> {
+    pub(crate) fn page(&self, most: usize) -> Vec<SuspectRecord> {
         let now = self.0.clock.now();
-        self.table().page(now, most)
+        self.table().next_page(now, most)
     }
 
     /// Waits until something may have to be written to the store.
@@ -316,23 +316,23 @@
     }
 
     /// Returns what the store should have of a request, if anything.
-    pub(crate) fn to_save(&self, digest: Digest) -> Option<Word> {
+    pub(crate) fn to_save(&self, digest: Digest) -> Option<SuspectRecord> {
         let now = self.0.clock.now();
         self.table().to_save(now, digest)
     }
 
     /// Notes what the store has of a request.
-    pub(crate) fn saved(&self, digest: Digest, word: Option<&Word>) {
-        self.table().saved(digest, word);
+    pub(crate) fn saved(&self, digest: Digest, word: Option<&SuspectRecord>) {
+        self.table().mark_saved(digest, word);
     }
 
     /// Takes what the store has of a request.
-    pub(crate) fn load(&self, word: Word) {
+    pub(crate) fn load(&self, word: SuspectRecord) {
         self.change(|table, now| table.load(now, word));
     }
 }
 
-fn refusal(blame: &Blame) -> Refusal {
+fn refusal(blame: &CrashHistory) -> Refusal {
     let retry_ms = blame.retry_ms.unwrap_or(RETRY_NEVER_MS);
     Refusal::new(Kind::EndsUpstreams, blame.to_string()).back_at(retry_ms)
 }
--- a/crates/proxy/src/tell.rs
+++ b/crates/proxy/src/tell.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use suspect::Word;
+use suspect::SuspectRecord;
 use tokio::time::{sleep, Instant};
 
 use crate::datagram::{Datagram, Sender};
@@ -53,11 +53,11 @@
                     break;
                 }
                 let (to_all, to_keepers): (Vec<_>, Vec<_>) = due.into_iter().partition(|d| d.1);
-                let to_all: Vec<Word> = to_all.into_iter().map(|d| d.0).collect();
+                let to_all: Vec<SuspectRecord> = to_all.into_iter().map(|d| d.0).collect();
                 let all = others.fleet.others().into_iter().map(|m| m.addr);
                 send(&others.sender, &to_all, &all.collect::<Vec<_>>());
                 for (word, _) in to_keepers {
-                    let keepers = others.fleet.roster().keepers(word.digest.number());
+                    let keepers = others.fleet.roster().keepers(word.digest.placement_key());
                     let keepers = keepers.iter().filter(|m| m.id != others.fleet.me());
                     let keepers: Vec<SocketAddr> = keepers.map(|m| m.addr).collect();
                     send(&others.sender, &[word], &keepers);
@@ -133,7 +133,7 @@
     }
 }
 
-fn send(sender: &Sender, words: &[Word], to: &[SocketAddr]) {
+fn send(sender: &Sender, words: &[SuspectRecord], to: &[SocketAddr]) {
     for words in words.chunks(WORDS_MOST) {
         sender.send(&Datagram::Suspects(words.to_vec()), to.iter().copied());
     }
--- a/crates/suspect/src/digest.rs
+++ b/crates/suspect/src/digest.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns a number by which instances share out requests.
-    pub fn number(&self) -> u64 {
+    pub fn placement_key(&self) -> u64 {
         self.0
     }
 }
--- a/crates/suspect/src/entry.rs
+++ b/crates/suspect/src/entry.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use crate::digest::Digest;
-use crate::word::{Ended, Word};
+use crate::record::{CrashReport, SuspectRecord};
 
 /// Upstreams that are remembered of a request, bounding memory: more say no more. Which of them stay must not depend on
 /// the order in which they are heard of, so it is the first ones by name.
@@ -39,7 +39,7 @@
 }
 
 impl Saved {
-    pub(crate) fn of(word: &Word) -> Saved {
+    pub(crate) fn of(word: &SuspectRecord) -> Saved {
         Saved {
             answers: word.answers,
             trials: word.trials,
@@ -80,7 +80,7 @@
     }
 
     /// Takes the word of another instance.
-    pub(crate) fn merge(&mut self, now: u64, word: &Word) -> Merged {
+    pub(crate) fn merge(&mut self, now: u64, word: &SuspectRecord) -> Merged {
         if word.answers < self.answers {
             return Merged {
                 news: false,
@@ -92,19 +92,20 @@
             self.clear(word.answers - 1);
             news = true;
         }
-        for ended in &word.ended {
+        for ended in &word.crashes {
             let end = End {
-                by: ended.by.clone(),
+                by: ended.seen_by.clone(),
                 at: now.saturating_sub(ended.ago_ms),
             };
             news |= self.end(&ended.incarnation, end);
         }
         if word.trials > self.trials {
             self.trials = word.trials;
-            self.tried_at = now.saturating_sub(word.tried_ms);
+            self.tried_at = now.saturating_sub(word.trial_ago_ms);
             news = true;
         }
-        let said = |incarnation: &String| word.ended.iter().any(|e| e.incarnation == *incarnation);
+        let said =
+            |incarnation: &String| word.crashes.iter().any(|e| e.incarnation == *incarnation);
         let more = self.trials > word.trials || !self.ends.keys().all(said);
         Merged { news, more }
     }
@@ -118,18 +119,18 @@
     }
 
     /// Returns what is known, for another instance.
-    pub(crate) fn word(&self, now: u64, digest: Digest) -> Word {
-        let ended = |(incarnation, end): (&String, &End)| Ended {
+    pub(crate) fn word(&self, now: u64, digest: Digest) -> SuspectRecord {
+        let ended = |(incarnation, end): (&String, &End)| CrashReport {
             incarnation: incarnation.clone(),
-            by: end.by.clone(),
+            seen_by: end.by.clone(),
             ago_ms: now.saturating_sub(end.at),
         };
-        Word {
+        SuspectRecord {
             digest,
             answers: self.answers,
-            ended: self.ends.iter().map(ended).collect(),
+            crashes: self.ends.iter().map(ended).collect(),
             trials: self.trials,
-            tried_ms: now.saturating_sub(self.tried_at),
+            trial_ago_ms: now.saturating_sub(self.tried_at),
         }
     }
 
--- a/crates/suspect/src/lib.rs
+++ b/crates/suspect/src/lib.rs
@@ -12,9 +12,9 @@
 mod broken;
 mod digest;
 mod entry;
-mod suspects;
-mod word;
+mod record;
+mod table;
 
 pub use digest::Digest;
-pub use suspects::{Blame, Suspects, Verdict};
-pub use word::{Ended, Word};
+pub use record::{CrashReport, SuspectRecord};
+pub use table::{Admission, CrashHistory, SuspectTable};
--- a/crates/suspect/src/word.rs
+++ b/crates/suspect/src/record.rs
@@ -6,13 +6,13 @@
 
 /// An upstream that ended while a request ran there.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ended {
+pub struct CrashReport {
     /// Its incarnation: a later one under the same name is another.
     #[serde(rename = "l")]
     pub incarnation: String,
     /// The instance that saw it.
     #[serde(rename = "b")]
-    pub by: String,
+    pub seen_by: String,
     /// How long ago, in milliseconds.
     #[serde(rename = "a")]
     pub ago_ms: u64,
@@ -20,7 +20,7 @@
 
 /// What an instance knows of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct SuspectRecord {
     /// The request.
     #[serde(rename = "d")]
     pub digest: Digest,
@@ -29,11 +29,11 @@
     pub answers: u32,
     /// The upstreams that have ended under it since.
     #[serde(rename = "e")]
-    pub ended: Vec<Ended>,
+    pub crashes: Vec<CrashReport>,
     /// How often it was tried since there are too many of them.
     #[serde(rename = "t")]
     pub trials: u8,
     /// How long ago the last time was, in milliseconds.
     #[serde(rename = "s")]
-    pub tried_ms: u64,
+    pub trial_ago_ms: u64,
 }
--- a/crates/suspect/src/suspects.rs
+++ b/crates/suspect/src/table.rs
@@ -7,7 +7,7 @@
 use crate::broken::Broken;
 use crate::digest::Digest;
 use crate::entry::{End, Entry, Saved};
-use crate::word::Word;
+use crate::record::SuspectRecord;
 
 /// A request under which so many upstreams have ended is not sent any more: one end says nothing, and of two the
 /// other requests that were at both are as likely.
@@ -37,19 +37,19 @@
 
 /// Why a request is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Blame {
+pub struct CrashHistory {
     /// The incarnations of upstreams that ended under it, with the instances that saw it and how many milliseconds ago.
-    pub ends: Vec<(String, String, u64)>,
+    pub crashes: Vec<(String, String, u64)>,
     /// How often it was tried since.
     pub trials: u8,
     /// When it will be tried again, in milliseconds from now; none when it won't be.
     pub retry_ms: Option<u64>,
 }
 
-impl Display for Blame {
+impl Display for CrashHistory {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "upstreams ended under this request: ")?;
-        for (incarnation, by, ago_ms) in &self.ends {
+        for (incarnation, by, ago_ms) in &self.crashes {
             write!(f, "{incarnation} (seen by {by} {ago_ms} ms ago) ")?;
         }
         write!(f, "trials={}", self.trials)
@@ -58,13 +58,13 @@
 
 /// What happens to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// It is sent.
-    Free,
+    Allowed,
     /// It may be tried, if the instance that keeps it agrees.
-    Due(Blame),
+    TrialDue(CrashHistory),
     /// It is not sent.
-    Refused(Blame),
+    Refused(CrashHistory),
 }
 
 /// A word that is to be told.
@@ -77,7 +77,7 @@
 
 /// The requests under which upstreams have ended, as one instance knows them.
 #[derive(Debug, Default)]
-pub struct Suspects {
+pub struct SuspectTable {
     /// The instance.
     me: String,
     entries: HashMap<Digest, Entry>,
@@ -90,33 +90,33 @@
     turn: Option<Digest>,
 }
 
-impl Suspects {
+impl SuspectTable {
     /// Returns an instance's empty table.
-    pub fn open(me: &str) -> Suspects {
-        Suspects {
+    pub fn new(me: &str) -> SuspectTable {
+        SuspectTable {
             me: me.to_string(),
-            ..Suspects::default()
+            ..SuspectTable::default()
         }
     }
 
     /// Notes that the connection of a request broke at an incarnation of an upstream; returns whether it is to be found out now
     /// if that has ended.
-    pub fn broke(&mut self, now: u64, incarnation: &str, digest: Digest) -> bool {
+    pub fn connection_broke(&mut self, now: u64, incarnation: &str, digest: Digest) -> bool {
         !self.answered.has(now, digest) && self.broken.note(now, incarnation, digest)
     }
 
     /// Returns whether it is still to be found out if an incarnation has ended.
-    pub fn is_unsure(&mut self, now: u64, incarnation: &str) -> bool {
+    pub fn is_unresolved(&mut self, now: u64, incarnation: &str) -> bool {
         self.broken.has(now, incarnation)
     }
 
     /// Takes that an incarnation has not ended.
-    pub fn goes_on(&mut self, incarnation: &str) {
+    pub fn upstream_alive(&mut self, incarnation: &str) {
         self.broken.take(incarnation);
     }
 
     /// Takes that an incarnation has ended without having said so before; returns the requests that were there.
-    pub fn ended(&mut self, now: u64, incarnation: &str) -> Vec<Digest> {
+    pub fn upstream_crashed(&mut self, now: u64, incarnation: &str) -> Vec<Digest> {
         let mut there = self.broken.take(incarnation);
         there.retain(|digest| {
             !self.answered.has(now, *digest) && self.end(now, incarnation, *digest)
@@ -137,7 +137,7 @@
     }
 
     /// Notes a whole answer to a request; returns whether ends were held against it until now.
-    pub fn answered(&mut self, now: u64, digest: Digest) -> bool {
+    pub fn request_answered(&mut self, now: u64, digest: Digest) -> bool {
         self.answered.note(now, digest);
         self.broken.forget(digest);
         self.clear(digest, 0)
@@ -157,9 +157,9 @@
     }
 
     /// Returns what happens to a request that comes.
-    pub fn admit(&mut self, now: u64, digest: Digest) -> Verdict {
+    pub fn admit(&mut self, now: u64, digest: Digest) -> Admission {
         if self.count(digest) < REFUSED_FROM {
-            return Verdict::Free;
+            return Admission::Allowed;
         }
         let unsure = self.broken.count(digest) > 0;
         let entry = self.entry(now, digest);
@@ -167,23 +167,23 @@
         let ends = entry.ends.iter();
         let ends = ends
             .map(|(incarnation, e)| (incarnation.clone(), e.by.clone(), now.saturating_sub(e.at)));
-        let mut blame = Blame {
-            ends: ends.collect(),
+        let mut blame = CrashHistory {
+            crashes: ends.collect(),
             trials: entry.trials,
             retry_ms: trial_ms,
         };
         if unsure {
             blame.retry_ms = Some(UNSURE_MS);
-            Verdict::Refused(blame)
+            Admission::Refused(blame)
         } else if trial_ms == Some(0) {
-            Verdict::Due(blame)
+            Admission::TrialDue(blame)
         } else {
-            Verdict::Refused(blame)
+            Admission::Refused(blame)
         }
     }
 
     /// Returns whether a request may be sent to another upstream in the same try.
-    pub fn may_repeat(&self, digest: Digest) -> bool {
+    pub fn may_retry(&self, digest: Digest) -> bool {
         self.count(digest) < ONCE_FROM
     }
 
@@ -195,7 +195,7 @@
 
     /// Decides, at the instance that keeps a request, whether it is tried now: one instance at a time, and no other one for
     /// long.
-    pub fn grant(&mut self, now: u64, digest: Digest) -> bool {
+    pub fn grant_trial(&mut self, now: u64, digest: Digest) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else {
             return false;
         };
@@ -210,7 +210,7 @@
 
     /// Takes the word of another instance; `keeps` says whether this one keeps the request, and tells all what comes to it
     /// from several. Returns what the other one lacks.
-    pub fn hear(&mut self, now: u64, word: &Word, keeps: bool) -> Option<Word> {
+    pub fn merge(&mut self, now: u64, word: &SuspectRecord, keeps: bool) -> Option<SuspectRecord> {
         let digest = word.digest;
         let used_at = self.entries.get(&digest).map(|e| e.used_at);
         let entry = self.entry(now, digest);
@@ -220,32 +220,32 @@
             entry.used_at = used_at;
         }
         let all = entry.ends.len() >= ALL_HEAR_FROM || entry.answers > 0;
-        if !word.ended.is_empty() && self.answered.has(now, digest) {
+        if !word.crashes.is_empty() && self.answered.has(now, digest) {
             self.clear(digest, word.answers);
-            return self.word(now, digest);
+            return self.record(now, digest);
         }
         if merged.more && keeps {
             self.tell(digest, all);
         }
         let lacks = merged.more && !keeps;
-        lacks.then(|| self.word(now, digest)).flatten()
+        lacks.then(|| self.record(now, digest)).flatten()
     }
 
     /// Returns what is to be told now, each with whether all instances are told, or those that keep it.
-    pub fn due(&mut self, now: u64) -> Vec<(Word, bool)> {
+    pub fn updates_to_send(&mut self, now: u64) -> Vec<(SuspectRecord, bool)> {
         let due: Vec<(Digest, bool)> = self.due.iter().map(|(d, due)| (*d, due.all)).collect();
         self.due.retain(|_, due| {
             due.rounds -= 1;
             due.rounds > 0
         });
         let words = due.into_iter();
-        let words = words.filter_map(|(digest, all)| Some((self.word(now, digest)?, all)));
+        let words = words.filter_map(|(digest, all)| Some((self.record(now, digest)?, all)));
         words.collect()
     }
 
     /// Returns the next requests in turn that are refused, for one instance: it may have been cut off, frozen or not there
     /// when it was told. Those with fewer ends are not worth it: what is missed of them the third end brings together.
-    pub fn page(&mut self, now: u64, most: usize) -> Vec<Word> {
+    pub fn next_page(&mut self, now: u64, most: usize) -> Vec<SuspectRecord> {
         self.expire(now);
         let known = self.entries.iter();
         let mut known: Vec<Digest> = known
@@ -258,7 +258,9 @@
         known.truncate(most);
         self.turn = known.last().copied();
         let words = known.into_iter();
-        words.filter_map(|digest| self.word(now, digest)).collect()
+        words
+            .filter_map(|digest| self.record(now, digest))
+            .collect()
     }
 
     /// Returns whether the store has something else of some request than it should.
@@ -274,13 +276,13 @@
     }
 
     /// Returns what the store should have of a request: only what is refused must be known after all instances have ended.
-    pub fn to_save(&self, now: u64, digest: Digest) -> Option<Word> {
+    pub fn to_save(&self, now: u64, digest: Digest) -> Option<SuspectRecord> {
         let entry = self.entries.get(&digest)?;
         (entry.ends.len() >= REFUSED_FROM).then(|| entry.word(now, digest))
     }
 
     /// Notes what the store has of a request.
-    pub fn saved(&mut self, digest: Digest, word: Option<&Word>) {
+    pub fn mark_saved(&mut self, digest: Digest, word: Option<&SuspectRecord>) {
         self.stale.remove(&digest);
         if let Some(entry) = self.entries.get_mut(&digest) {
             entry.saved = word.map(Saved::of);
@@ -288,29 +290,29 @@
     }
 
     /// Takes what the store has of a request, and has the others told. When it was written isn't known: it counts as new.
-    pub fn load(&mut self, now: u64, mut word: Word) {
-        word.ended.iter_mut().for_each(|e| e.ago_ms = 0);
-        word.tried_ms = 0;
+    pub fn load(&mut self, now: u64, mut word: SuspectRecord) {
+        word.crashes.iter_mut().for_each(|e| e.ago_ms = 0);
+        word.trial_ago_ms = 0;
         let digest = word.digest;
         self.entry(now, digest).merge(now, &word);
-        self.saved(digest, Some(&word));
+        self.mark_saved(digest, Some(&word));
         self.tell(digest, true);
     }
 
     /// Returns what is known of a request, for another instance.
-    pub fn word(&self, now: u64, digest: Digest) -> Option<Word> {
+    pub fn record(&self, now: u64, digest: Digest) -> Option<SuspectRecord> {
         let entry = self.entries.get(&digest);
         entry.map(|entry| entry.word(now, digest))
     }
 
     /// Returns how many requests are refused.
-    pub fn refused(&self) -> usize {
+    pub fn refused_count(&self) -> usize {
         let refused = |e: &&Entry| e.ends.len() >= REFUSED_FROM;
         self.entries.values().filter(refused).count()
     }
 
     /// Returns all that several upstreams have ended under, for operators.
-    pub fn list(&self, now: u64) -> Vec<Word> {
+    pub fn list(&self, now: u64) -> Vec<SuspectRecord> {
         let listed = self.entries.iter();
         let listed = listed.filter(|(_, e)| e.ends.len() >= ALL_HEAR_FROM);
         listed.map(|(digest, e)| e.word(now, *digest)).collect()
--- a/crates/suspect/tests/spread.rs
+++ b/crates/suspect/tests/spread.rs
@@ -5,7 +5,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use suspect::{Digest, Suspects, Verdict, Word};
+use suspect::{Admission, Digest, SuspectRecord, SuspectTable};
 
 /// Pause between two times that a word is told, in milliseconds.
 const TELL_EVERY: u64 = 150;
@@ -24,11 +24,11 @@
     at: u64,
     from: usize,
     to: usize,
-    words: Vec<Word>,
+    words: Vec<SuspectRecord>,
 }
 
 struct Fleet {
-    tables: Vec<Suspects>,
+    tables: Vec<SuspectTable>,
     /// Instances that hear nothing.
     deaf: Vec<bool>,
     under_way: VecDeque<Datagram>,
@@ -42,7 +42,7 @@
     fn open(size: usize, seed: u64) -> Fleet {
         Fleet {
             tables: (0..size)
-                .map(|i| Suspects::open(&format!("n{i}")))
+                .map(|i| SuspectTable::new(&format!("n{i}")))
                 .collect(),
             deaf: vec![false; size],
             under_way: VecDeque::new(),
@@ -55,11 +55,11 @@
 
     fn keepers(&self, digest: Digest) -> [usize; 2] {
         let size = self.tables.len();
-        let first = (digest.number() % size as u64) as usize;
+        let first = (digest.placement_key() % size as u64) as usize;
         [first, (first + 1) % size]
     }
 
-    fn send(&mut self, from: usize, to: usize, words: Vec<Word>) {
+    fn send(&mut self, from: usize, to: usize, words: Vec<SuspectRecord>) {
         self.sent += 1;
         self.bytes += serde_json::to_vec(&words).expect("JSON").len();
         if from == to || self.rng.random_ratio(LOST_PCT, 100) {
@@ -94,7 +94,7 @@
             let mut lacks = Vec::new();
             for word in &words {
                 let keeps = self.keepers(word.digest).contains(&to);
-                lacks.extend(self.tables[to].hear(self.now, word, keeps));
+                lacks.extend(self.tables[to].merge(self.now, word, keeps));
             }
             if !lacks.is_empty() {
                 self.send(to, from, lacks);
@@ -103,7 +103,7 @@
     }
 
     fn tell(&mut self, i: usize) {
-        for (word, all) in self.tables[i].due(self.now) {
+        for (word, all) in self.tables[i].updates_to_send(self.now) {
             let to: Vec<usize> = if all {
                 (0..self.tables.len()).filter(|to| *to != i).collect()
             } else {
@@ -117,7 +117,7 @@
     }
 
     fn page(&mut self, i: usize) {
-        let words = self.tables[i].page(self.now, 4);
+        let words = self.tables[i].next_page(self.now, 4);
         if !words.is_empty() {
             let to = self.rng.random_range(0..self.tables.len());
             self.send(i, to, words);
@@ -144,14 +144,14 @@
 
     /// Has an upstream end, as one instance sees it.
     fn end(&mut self, at: usize, incarnation: &str, digest: Digest) {
-        self.tables[at].broke(self.now, incarnation, digest);
+        self.tables[at].connection_broke(self.now, incarnation, digest);
         self.run(FOUND_OUT);
-        self.tables[at].ended(self.now, incarnation);
+        self.tables[at].upstream_crashed(self.now, incarnation);
     }
 
     fn refuse(&mut self, digest: Digest) -> usize {
         let now = self.now;
-        let refuses = |t: &mut Suspects| t.admit(now, digest) != Verdict::Free;
+        let refuses = |t: &mut SuspectTable| t.admit(now, digest) != Admission::Allowed;
         self.tables.iter_mut().map(refuses).filter(|r| *r).count()
     }
 }
@@ -195,7 +195,7 @@
             fleet.end(4, incarnation, fatal());
         }
         fleet.run(TELL_EVERY);
-        fleet.tables[4] = Suspects::open("n4");
+        fleet.tables[4] = SuspectTable::new("n4");
         fleet.run(KNOWN_WITHIN);
         assert_eq!(fleet.refuse(fatal()), 9, "seed {seed}");
     }
@@ -229,7 +229,7 @@
         fleet.run(KNOWN_WITHIN);
         fleet.deaf[7] = true;
         let now = fleet.now;
-        assert!(fleet.tables[2].answered(now, fatal()));
+        assert!(fleet.tables[2].request_answered(now, fatal()));
         fleet.run(KNOWN_WITHIN);
         fleet.deaf[7] = false;
         fleet.run(KNOWN_WITHIN);
@@ -247,13 +247,13 @@
         for j in 0..LIVES {
             let (incarnation, digest) = (format!("u{j}"), format!("{i}-{j}"));
             let now = fleet.now;
-            fleet.tables[i].broke(now, &incarnation, Digest::of([digest.as_bytes()]));
+            fleet.tables[i].connection_broke(now, &incarnation, Digest::of([digest.as_bytes()]));
         }
     }
     for i in 0..SIZE {
         for j in 0..LIVES {
             let now = fleet.now;
-            fleet.tables[i].ended(now, &format!("u{j}"));
+            fleet.tables[i].upstream_crashed(now, &format!("u{j}"));
         }
     }
     fleet.run(KNOWN_WITHIN);
@@ -270,22 +270,22 @@
 fn comes(fleet: &mut Fleet, at: usize) -> bool {
     let now = fleet.now;
     match fleet.tables[at].admit(now, fatal()) {
-        Verdict::Free => true,
-        Verdict::Refused(_) => false,
-        Verdict::Due(_) => {
+        Admission::Allowed => true,
+        Admission::Refused(_) => false,
+        Admission::TrialDue(_) => {
             let keepers = fleet.keepers(fatal()).into_iter();
             let keepers: Vec<usize> = keepers.filter(|k| !fleet.deaf[*k]).collect();
             // What the other one knows comes first, then the first one decides.
             let mut granted = false;
             for keeper in keepers.iter().rev() {
-                let word = fleet.tables[at].word(now, fatal()).expect("refused here");
-                fleet.tables[*keeper].hear(now, &word, true);
+                let word = fleet.tables[at].record(now, fatal()).expect("refused here");
+                fleet.tables[*keeper].merge(now, &word, true);
                 if Some(keeper) == keepers.first() {
-                    granted = fleet.tables[*keeper].grant(now, fatal());
+                    granted = fleet.tables[*keeper].grant_trial(now, fatal());
                 }
-                let word = fleet.tables[*keeper].word(now, fatal());
+                let word = fleet.tables[*keeper].record(now, fatal());
                 let word = word.expect("it was told");
-                fleet.tables[at].hear(now, &word, false);
+                fleet.tables[at].merge(now, &word, false);
             }
             granted
         }
@@ -318,11 +318,11 @@
             fleet.run(COMES_EVERY);
             if fleet.rng.random_ratio(1, 80) {
                 let killed = fleet.rng.random_range(0..SIZE);
-                fleet.tables[killed] = Suspects::open(&format!("n{killed}"));
+                fleet.tables[killed] = SuspectTable::new(&format!("n{killed}"));
                 for other in [(killed + 3) % SIZE, (killed + 5) % SIZE] {
                     let now = fleet.now;
                     for word in fleet.tables[other].list(now) {
-                        fleet.tables[killed].hear(now, &word, false);
+                        fleet.tables[killed].merge(now, &word, false);
                     }
                 }
             }
