--- a/crates/claim/tests/encoding.rs
+++ b/crates/claim/tests/encoding.rs
@@ -1,6 +1,6 @@
 //! Claims in the store outlive versions: their encoding stays.
 
-use claim::{Answer, Claim, State, Word};
+use claim::{AttemptStatus, Claim, State, StoredResponse};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -9,18 +9,23 @@
 fn stored_claims_keep_their_encoding() {
     assert_kept::<Claim>(include_str!("data/outer/claims.json"));
     assert_kept::<State>(include_str!("data/outer/states.json"));
-    assert_kept::<Answer>(include_str!("data/outer/answers.json"));
+    assert_kept::<StoredResponse>(include_str!("data/outer/answers.json"));
 }
 
 #[test]
 fn words_of_holders_keep_their_encoding() {
-    assert_kept::<Word>(include_str!("data/outer/words.json"));
+    assert_kept::<AttemptStatus>(include_str!("data/outer/words.json"));
 }
 
 /// The steps of a request name these.
 #[test]
 fn words_of_holders_keep_their_texts() {
-    let words = [Word::Running, Word::NotRun, Word::Unknown, Word::Silent];
+    let words = [
+        AttemptStatus::Running,
+        AttemptStatus::NotRun,
+        AttemptStatus::Unknown,
+        AttemptStatus::Silent,
+    ];
     assert_eq!(format!("{words:?}"), "[Running, NotRun, Unknown, Silent]");
 }
 
--- a/crates/escrow/tests/encoding.rs
+++ b/crates/escrow/tests/encoding.rs
@@ -1,20 +1,20 @@
 //! Instances of other versions and later incarnations read these: their encoding stays.
 
-use escrow::{Book, Line, Record, Told};
+use escrow::{BudgetRecord, CumulativeTotal, Ledger, LedgerEntry};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
 
 #[test]
 fn totals_between_instances_keep_their_encoding() {
-    assert_kept::<Told>(include_str!("data/outer/told.json"));
+    assert_kept::<CumulativeTotal>(include_str!("data/outer/told.json"));
 }
 
 #[test]
 fn stored_records_keep_their_encoding() {
-    assert_kept::<Line>(include_str!("data/outer/lines.json"));
-    assert_kept::<Record>(include_str!("data/outer/records.json"));
-    assert_kept::<Book>(include_str!("data/outer/books.json"));
+    assert_kept::<LedgerEntry>(include_str!("data/outer/lines.json"));
+    assert_kept::<BudgetRecord>(include_str!("data/outer/records.json"));
+    assert_kept::<Ledger>(include_str!("data/outer/books.json"));
 }
 
 /// Reads each sample and writes it again.
--- a/crates/proxy/tests/encoding/texts.rs
+++ b/crates/proxy/tests/encoding/texts.rs
@@ -3,7 +3,7 @@
 use dial::ConnectError;
 use err::Ran;
 use kv::Failure;
-use place::{Denied, RateLimit};
+use place::{ChooseError, RateLimit};
 
 use crate::attempt::Failed;
 use crate::peers::Gift;
@@ -20,19 +20,19 @@
     assert_eq!(text(Failed::Unanswered(why())), r#"Unanswered("reset")"#);
     assert_eq!(text(Failed::Unknown(why())), r#"Unknown("reset")"#);
     assert_eq!(text(Failed::Late), "Late");
-    let text = |denied: Denied| format!("{:?}", Failed::Denied(denied));
+    let text = |denied: ChooseError| format!("{:?}", Failed::Denied(denied));
     let retry_ms = 40;
-    assert_eq!(text(Denied::Unknown), "Denied(Unknown)");
-    assert_eq!(text(Denied::NoneLeft), "Denied(NoneLeft)");
-    assert_eq!(text(Denied::Evacuated), "Denied(Evacuated)");
-    assert_eq!(text(Denied::Outside), "Denied(Outside)");
-    let resting = text(Denied::Resting { retry_ms });
+    assert_eq!(text(ChooseError::Unknown), "Denied(Unknown)");
+    assert_eq!(text(ChooseError::NoneLeft), "Denied(NoneLeft)");
+    assert_eq!(text(ChooseError::Evacuated), "Denied(Evacuated)");
+    assert_eq!(text(ChooseError::Outside), "Denied(Outside)");
+    let resting = text(ChooseError::Resting { retry_ms });
     assert_eq!(resting, "Denied(Resting { retry_ms: 40 })");
-    let cold = text(Denied::Cold { retry_ms });
+    let cold = text(ChooseError::Cold { retry_ms });
     assert_eq!(cold, "Denied(Cold { retry_ms: 40 })");
-    let limited = text(Denied::Limited { retry_ms });
+    let limited = text(ChooseError::Limited { retry_ms });
     assert_eq!(limited, "Denied(Limited { retry_ms: 40 })");
-    let busy = text(Denied::Busy { retry_ms });
+    let busy = text(ChooseError::Busy { retry_ms });
     assert_eq!(busy, "Denied(Busy { retry_ms: 40 })");
 }
 
--- a/crates/relay/tests/encoding.rs
+++ b/crates/relay/tests/encoding.rs
@@ -1,6 +1,6 @@
 //! Instances of other versions read what this one passes on: its encoding stays.
 
-use relay::{Cursor, Entry, Head, Page, Since};
+use relay::{Cursor, Delta, Entry, Head, Page};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -8,7 +8,7 @@
 #[test]
 fn passed_lists_keep_their_encoding() {
     assert_kept::<Entry>(include_str!("data/outer/entries.json"));
-    assert_kept::<Since>(include_str!("data/outer/since.json"));
+    assert_kept::<Delta>(include_str!("data/outer/since.json"));
     assert_kept::<Cursor>(include_str!("data/outer/cursors.json"));
     assert_kept::<Page>(include_str!("data/outer/pages.json"));
 }
--- a/crates/suspect/tests/encoding.rs
+++ b/crates/suspect/tests/encoding.rs
@@ -3,13 +3,13 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
-use suspect::{Blame, Digest, Ended, Word};
+use suspect::{CrashHistory, CrashReport, Digest, SuspectRecord};
 
 #[test]
 fn words_of_suspects_keep_their_encoding() {
     assert_kept::<Digest>(include_str!("data/outer/digests.json"));
-    assert_kept::<Ended>(include_str!("data/outer/ended.json"));
-    assert_kept::<Word>(include_str!("data/outer/words.json"));
+    assert_kept::<CrashReport>(include_str!("data/outer/ended.json"));
+    assert_kept::<SuspectRecord>(include_str!("data/outer/words.json"));
 }
 
 /// Logs and callers get these texts.
@@ -20,8 +20,8 @@
     let whole = "0123456789abcdef0000000000000007";
     assert_eq!(format!("{digest:.32}"), whole);
     let end = |upstream: &str, by: &str, ago_ms| (upstream.to_string(), by.to_string(), ago_ms);
-    let blame = Blame {
-        ends: vec![
+    let blame = CrashHistory {
+        crashes: vec![
             end("engine-1@5", "r1.6a", 250),
             end("engine-2@6", "r2.6b", 0),
         ],
