--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,31 +1,31 @@
-//! At-most-once claims of requests that may not be repeated.
+//! At-most-once claims for requests that must not be repeated.
 //!
-//! A claim is a key in the platform's service, made before the dispatch and never taken over while
-//! its holder may still act. The decisions here have no I/O.
+//! A claim is a key in the platform's key-value store. It is created before the request is dispatched and never taken over
+//! while its holder may still run the request. This crate makes the decisions and does no I/O.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 use uuid::Uuid;
 
-/// Clocks of callers and instances may differ by this much, in milliseconds.
+/// Tolerated difference between the clocks of callers and instances, in milliseconds.
 pub const MAX_CLOCK_SKEW_MS: u64 = 60_000;
 
-/// What is wrong with a request id.
+/// Why a request id is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IdError {
-    /// It bears no time: a UUID of version 7 is wanted.
+    /// The id has no timestamp: it is not a version 7 UUID.
     NoTimestamp,
-    /// It is older than the retention, so an earlier run may be forgotten.
+    /// The id is older than the retention period, so the claim of an earlier run may have expired.
     TooOld,
-    /// It lies in the future by more than clocks may differ.
+    /// The id is further in the future than `MAX_CLOCK_SKEW_MS`.
     InFuture,
 }
 
-/// Checks that a request id bears a time within the retention.
+/// Checks that a request id carries a timestamp within the retention period.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the id.
+/// Returns why the id is not accepted.
 pub fn check_id(id: &str, now_ms: u64, retention_ms: u64) -> Result<(), IdError> {
     let uuid = Uuid::parse_str(id).map_err(|_| IdError::NoTimestamp)?;
     if uuid.get_version_num() != 7 {
@@ -42,96 +42,101 @@
     Ok(())
 }
 
-/// Returns how long the platform must keep a claim, in seconds.
+/// Returns how long the store must keep a claim, in seconds.
 ///
-/// Longer than any id of it is accepted: when the key lapses, the id is refused by its age.
+/// This is longer than the claim's id is accepted: once the key has expired, `check_id` refuses the id as too old.
 pub fn lease_ttl_secs(retention_ms: u64) -> u64 {
     (retention_ms + 3 * MAX_CLOCK_SKEW_MS) / 1000
 }
 
-/// The answer of a finished run.
+/// The response of a request that ran, stored to be replayed when the request is sent again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Media type.
     pub media: String,
-    /// Body, in base64; none when it was too large to keep.
+    /// Body in base64; `None` if it was too large to store.
     pub body: Option<String>,
 }
 
-/// How far a claimed request is.
+/// State of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// Its holder may run it, or has.
+    /// The holder may be running the request, or may have run it.
     Claimed,
-    /// It ran.
+    /// The request ran and returned this response.
     Done(StoredResponse),
-    /// Its holder says that it did not run and never will.
+    /// According to the holder, the request did not run and never will.
     NotRun,
-    /// Its holder lost track of it.
+    /// The holder does not know whether the request ran.
     Unknown,
 }
 
-/// A claim as the platform keeps it.
+/// A claim as it is stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The attempt that holds it.
+    /// Unique id of the attempt that holds the claim.
     pub attempt: String,
-    /// The entry that made it, an incarnation.
+    /// Incarnation of the instance that runs this attempt.
     #[serde(rename = "entry")]
     pub holder: String,
-    /// Hash of the request.
+    /// Hash of the request, from [`request_hash`].
     #[serde(rename = "body")]
     pub request_hash: String,
-    /// How far it is.
+    /// State of the request.
     pub state: State,
 }
 
-/// What the holder of a claim says of its attempt.
+/// Status of an attempt, as its holder reports it to other instances.
+///
+/// The names of the variants are sent between instances and written to the request journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptStatus {
-    /// It runs.
+    /// The attempt is in progress.
     Running,
-    /// It did not run and never will.
+    /// The attempt did not run the request and never will.
     NotRun,
-    /// The holder does not know it.
+    /// The holder has no record of the attempt.
     Unknown,
-    /// The holder did not answer.
+    /// The holder could not be reached.
     Silent,
 }
 
-/// What follows for an attempt.
+/// How an attempt proceeds when its claim key already exists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Resolution {
-    /// Run it: the claim is this attempt's own.
+    /// Run the request: the claim is this attempt's own.
     Run,
-    /// Answer with what was stored.
+    /// Answer with the stored response.
     Replay(StoredResponse),
-    /// The id was used for another request.
+    /// Refuse the request: its id was used for a different one.
     IdReused,
-    /// Ask the holder, then judge again.
+    /// Ask the holder for the status of its attempt, then resolve again.
     AskHolder,
-    /// Replace the claim by a compare-and-swap, then run.
+    /// Replace the claim by compare-and-swap, then run the request.
     Replace,
-    /// It runs elsewhere.
+    /// Refuse the request: another attempt is running it.
     InProgress,
-    /// Nobody knows.
+    /// Refuse the request: whether it ran cannot be determined.
     OutcomeUnknown,
 }
 
-/// Decides what follows from a claim that is in the way, or is one's own after a lost answer.
-pub fn resolve(found: &Claim, mine: &Claim, word: Option<AttemptStatus>) -> Resolution {
-    if found.attempt == mine.attempt {
-        // Only one attempt ever writes this name, so the write whose answer was lost took effect.
+/// Decides how an attempt proceeds when its claim key already exists.
+///
+/// The existing claim may be the attempt's own, if the response to its write was lost. `holder_status` is `None` until the
+/// holder has been asked.
+pub fn resolve(existing: &Claim, own: &Claim, holder_status: Option<AttemptStatus>) -> Resolution {
+    if existing.attempt == own.attempt {
+        // Attempt ids are unique: the earlier write took effect and only its response was lost.
         return Resolution::Run;
     }
-    if found.request_hash != mine.request_hash {
+    if existing.request_hash != own.request_hash {
         return Resolution::IdReused;
     }
-    match (&found.state, word) {
-        (State::Done(answer), _) => Resolution::Replay(answer.clone()),
+    match (&existing.state, holder_status) {
+        (State::Done(response), _) => Resolution::Replay(response.clone()),
         (State::NotRun, _) => Resolution::Replace,
         (State::Unknown, _) => Resolution::OutcomeUnknown,
         (State::Claimed, None) => Resolution::AskHolder,
@@ -143,7 +148,7 @@
     }
 }
 
-/// Returns the hash under which a request is told from another one.
+/// Returns the hash that tells whether two requests with the same id are the same request.
 pub fn request_hash(method: &str, path: &str, body: &[u8]) -> String {
     let mut sha = Sha256::new();
     sha.update(method.as_bytes());
--- a/crates/claim/tests/resolve.rs
+++ b/crates/claim/tests/resolve.rs
@@ -1,4 +1,4 @@
-//! Decisions on claims: every pair of what is found and what its holder says.
+//! How an attempt proceeds when its claim key already exists, and which request ids are accepted.
 
 use claim::{check_id, resolve, AttemptStatus, Claim, IdError, Resolution, State, StoredResponse};
 use uuid::{NoContext, Timestamp, Uuid};
@@ -20,51 +20,47 @@
     Uuid::new_v7(Timestamp::from_unix(NoContext, ms / 1000, nanos)).to_string()
 }
 
-/// Symptom: a request that may not be repeated runs twice.
-/// Sequence: another attempt finds a claim in its way and takes it over.
-/// Cause: a claim was taken over although its holder may still act.
+/// Guards against running a request twice: a second attempt took over a claim whose holder could still run the request.
 #[test]
-fn only_a_holders_own_word_frees_a_claim() {
-    let mine = claim("mine", "x", State::Claimed);
+fn claim_is_replaced_only_if_its_holder_did_not_run_the_request() {
+    let own = claim("own", "x", State::Claimed);
     let theirs = claim("theirs", "x", State::Claimed);
-    let frees = |word| resolve(&theirs, &mine, Some(word)) == Resolution::Replace;
-    assert!(frees(AttemptStatus::NotRun));
-    assert!(!frees(AttemptStatus::Running));
-    assert!(!frees(AttemptStatus::Unknown));
-    assert!(!frees(AttemptStatus::Silent));
-    assert_eq!(resolve(&theirs, &mine, None), Resolution::AskHolder);
+    let replaces = |status| resolve(&theirs, &own, Some(status)) == Resolution::Replace;
+    assert!(replaces(AttemptStatus::NotRun));
+    assert!(!replaces(AttemptStatus::Running));
+    assert!(!replaces(AttemptStatus::Unknown));
+    assert!(!replaces(AttemptStatus::Silent));
+    assert_eq!(resolve(&theirs, &own, None), Resolution::AskHolder);
 }
 
-/// Symptom: an order is refused although its claim was made.
-/// Sequence: the claim's write takes effect, its answer is lost, and the same write is sent again.
-/// Cause: the claim found in the way was not recognised as one's own.
+/// Guards against refusing a request because of its own claim: the write of the claim took effect but its response was lost,
+/// and the repeated write found the claim already there.
 #[test]
-fn own_claim_is_known_again() {
-    let mine = claim("mine", "x", State::Claimed);
-    assert_eq!(resolve(&mine, &mine, None), Resolution::Run);
+fn own_claim_is_recognized() {
+    let own = claim("own", "x", State::Claimed);
+    assert_eq!(resolve(&own, &own, None), Resolution::Run);
 }
 
 #[test]
-fn finished_request_answers_and_another_body_is_refused() {
-    let answer = StoredResponse {
+fn stored_response_is_replayed_and_a_reused_id_is_refused() {
+    let response = StoredResponse {
         status: 200,
         media: "text/plain".to_string(),
         body: None,
     };
-    let mine = claim("mine", "x", State::Claimed);
-    let done = claim("theirs", "x", State::Done(answer.clone()));
-    assert_eq!(resolve(&done, &mine, None), Resolution::Replay(answer));
+    let own = claim("own", "x", State::Claimed);
+    let done = claim("theirs", "x", State::Done(response.clone()));
+    assert_eq!(resolve(&done, &own, None), Resolution::Replay(response));
     let other = claim("theirs", "y", State::Claimed);
-    assert_eq!(resolve(&other, &mine, None), Resolution::IdReused);
+    assert_eq!(resolve(&other, &own, None), Resolution::IdReused);
     let lost = claim("theirs", "x", State::Unknown);
-    assert_eq!(resolve(&lost, &mine, None), Resolution::OutcomeUnknown);
+    assert_eq!(resolve(&lost, &own, None), Resolution::OutcomeUnknown);
 }
 
-/// Symptom: an order runs a second time days later.
-/// Sequence: its claim lapses in the platform, then its caller sends it again.
-/// Cause: an id older than the retention was accepted.
+/// Guards against running a request again days later: its claim had expired in the store, and the caller sent it again with
+/// an id older than the retention period, which was accepted.
 #[test]
-fn ids_bear_a_time_within_the_retention() {
+fn id_needs_a_timestamp_within_the_retention_period() {
     let check = |id: &str| check_id(id, NOW, DAY);
     assert_eq!(check("plain"), Err(IdError::NoTimestamp));
     assert_eq!(
