--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,7 +1,8 @@
 //! At-most-once claims for requests that must not be repeated.
 //!
-//! A claim is a key in the platform's key-value store. It is created before the request is dispatched and never taken over
-//! while its holder may still run the request. This crate makes the decisions and does no I/O.
+//! A claim is a key in the platform's key-value store. It is created before the request is
+//! dispatched and never taken over while its holder may still run the request. This crate makes the
+//! decisions and does no I/O.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
@@ -44,7 +45,8 @@
 
 /// Returns how long the store must keep a claim, in seconds.
 ///
-/// This is longer than the claim's id is accepted: once the key has expired, `check_id` refuses the id as too old.
+/// This is longer than the claim's id is accepted: once the key has expired, `check_id` refuses the
+/// id as too old.
 pub fn lease_ttl_secs(retention_ms: u64) -> u64 {
     (retention_ms + 3 * MAX_CLOCK_SKEW_MS) / 1000
 }
@@ -125,8 +127,8 @@
 
 /// Decides how an attempt proceeds when its claim key already exists.
 ///
-/// The existing claim may be the attempt's own, if the response to its write was lost. `holder_status` is `None` until the
-/// holder has been asked.
+/// The existing claim may be the attempt's own, if the response to its write was lost.
+/// `holder_status` is `None` until the holder has been asked.
 pub fn resolve(existing: &Claim, own: &Claim, holder_status: Option<AttemptStatus>) -> Resolution {
     if existing.attempt == own.attempt {
         // Attempt ids are unique: the earlier write took effect and only its response was lost.
--- a/crates/claim/tests/resolve.rs
+++ b/crates/claim/tests/resolve.rs
@@ -20,7 +20,8 @@
     Uuid::new_v7(Timestamp::from_unix(NoContext, ms / 1000, nanos)).to_string()
 }
 
-/// Guards against running a request twice: a second attempt took over a claim whose holder could still run the request.
+/// Guards against running a request twice: a second attempt took over a claim whose holder could
+/// still run the request.
 #[test]
 fn claim_is_replaced_only_if_its_holder_did_not_run_the_request() {
     let own = claim("own", "x", State::Claimed);
@@ -33,8 +34,8 @@
     assert_eq!(resolve(&theirs, &own, None), Resolution::AskHolder);
 }
 
-/// Guards against refusing a request because of its own claim: the write of the claim took effect but its response was lost,
-/// and the repeated write found the claim already there.
+/// Guards against refusing a request because of its own claim: the write of the claim took effect
+/// but its response was lost, and the repeated write found the claim already there.
 #[test]
 fn own_claim_is_recognized() {
     let own = claim("own", "x", State::Claimed);
@@ -57,8 +58,8 @@
     assert_eq!(resolve(&lost, &own, None), Resolution::OutcomeUnknown);
 }
 
-/// Guards against running a request again days later: its claim had expired in the store, and the caller sent it again with
-/// an id older than the retention period, which was accepted.
+/// Guards against running a request again days later: its claim had expired in the store, and the
+/// caller sent it again with an id older than the retention period, which was accepted.
 #[test]
 fn id_needs_a_timestamp_within_the_retention_period() {
     let check = |id: &str| check_id(id, NOW, DAY);
