--- a/crates/suspect/src/digest.rs
+++ b/crates/suspect/src/digest.rs
@@ -1,24 +1,26 @@
-//! What a request is, whatever its id and whichever instance it comes to.
+//! Identifies a request by its content, whatever its id and whichever instance receives it.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest as _, Sha256};
 
-/// Hexadecimal digits of a digest that a line of a log shows.
-const SHOWN: usize = 16;
+/// Number of hexadecimal digits that `Display` shows unless a precision is given, as in log lines.
+const DEFAULT_DIGITS: usize = 16;
 
-/// A request, known again by what its caller sent: half of a SHA-256, so that nobody can make a request that is taken for
-/// somebody else's.
+/// Identifies a request by what its caller sent. It is half of a SHA-256 hash, so that nobody can
+/// make a request that is taken for somebody else's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest(u64, u64);
 
 impl Digest {
-    /// Returns the digest of a request, of all that makes it this request: its customer, method, host, target, body.
+    /// Returns the digest of the parts that identify a request: its customer, method, host, target
+    /// and body.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Digest {
         let mut hash = Sha256::new();
         for part in parts {
-            // Its length keeps bytes from passing from one part to the next.
+            // The length prefix keeps bytes from moving from one part to the next without changing
+            // the hash.
             hash.update((part.len() as u64).to_be_bytes());
             hash.update(part);
         }
@@ -30,7 +32,7 @@
         Digest(half(0), half(8))
     }
 
-    /// Returns a number by which instances share out requests.
+    /// Returns the hash key by which the instances that own the request's record are selected.
     pub fn placement_key(&self) -> u64 {
         self.0
     }
@@ -39,7 +41,7 @@
 impl Display for Digest {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let all = format!("{:016x}{:016x}", self.0, self.1);
-        let shown = f.precision().unwrap_or(SHOWN);
-        f.write_str(&all[..shown.min(all.len())])
+        let digits = f.precision().unwrap_or(DEFAULT_DIGITS);
+        f.write_str(&all[..digits.min(all.len())])
     }
 }
--- a/crates/suspect/src/entry.rs
+++ b/crates/suspect/src/entry.rs
@@ -1,142 +1,145 @@
-//! What is known of one request.
+//! The table entry of one request.
 
 use std::collections::BTreeMap;
 
 use crate::digest::Digest;
 use crate::record::{CrashReport, SuspectRecord};
 
-/// Upstreams that are remembered of a request, bounding memory: more say no more. Which of them stay must not depend on
-/// the order in which they are heard of, so it is the first ones by name.
-const INCARNATIONS_MOST: usize = 8;
+/// Maximum number of crashes kept for a request, to bound memory: further ones add no information.
+/// Which ones are kept must not depend on the order in which they are learned, so it is the first
+/// ones by incarnation.
+const MAX_CRASHES: usize = 8;
 
-/// An upstream that ended under it.
+/// A crash of an upstream while it ran the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct End {
-    pub(crate) by: String,
+pub(crate) struct Crash {
+    pub(crate) seen_by: String,
     pub(crate) at: u64,
 }
 
 /// What is known of a request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Entry {
-    /// How often it was answered after upstreams had ended under it.
+    /// How often the request got a complete response after crashes.
     pub(crate) answers: u32,
-    /// Upstreams that have ended under it since, by their incarnations.
-    pub(crate) ends: BTreeMap<String, End>,
+    /// Crashes since the last such response, by the incarnation of the upstream.
+    pub(crate) crashes: BTreeMap<String, Crash>,
     pub(crate) trials: u8,
-    pub(crate) tried_at: u64,
-    /// When it was asked for or something was learnt of it.
+    pub(crate) last_trial_at: u64,
+    /// When a caller last sent the request while it was refused, or something new was learned of it.
     pub(crate) used_at: u64,
-    /// What the store has of it, as far as known here.
-    pub(crate) saved: Option<Saved>,
+    /// What the store has of the request, as far as known here.
+    pub(crate) stored: Option<StoredState>,
 }
 
-/// What the store has of a request: more ends of it say no more.
+/// The part of a request's record that the store must have up to date. Crashes are left out: once a
+/// request is refused, further ones add no information.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Saved {
+pub(crate) struct StoredState {
     answers: u32,
     trials: u8,
 }
 
-impl Saved {
-    pub(crate) fn of(word: &SuspectRecord) -> Saved {
-        Saved {
-            answers: word.answers,
-            trials: word.trials,
+impl StoredState {
+    pub(crate) fn of(record: &SuspectRecord) -> StoredState {
+        StoredState {
+            answers: record.answers,
+            trials: record.trials,
         }
     }
 }
 
-/// What a word changed.
+/// What came of merging a record into an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Merged {
-    /// Something was not known here.
-    pub(crate) news: bool,
-    /// Something is known here that the word does not say.
-    pub(crate) more: bool,
+pub(crate) struct MergeOutcome {
+    /// The record contained something that was not known here.
+    pub(crate) changed: bool,
+    /// Something is known here that the record does not contain.
+    pub(crate) ahead: bool,
 }
 
 impl Entry {
-    /// Notes an upstream that ended under it; returns whether that is new.
-    pub(crate) fn end(&mut self, incarnation: &str, end: End) -> bool {
-        if self.ends.contains_key(incarnation) {
+    /// Adds the crash of an upstream; returns whether it is new.
+    pub(crate) fn add_crash(&mut self, incarnation: &str, crash: Crash) -> bool {
+        if self.crashes.contains_key(incarnation) {
             return false;
         }
-        self.ends.insert(incarnation.to_string(), end);
-        while self.ends.len() > INCARNATIONS_MOST {
-            self.ends.pop_last();
+        self.crashes.insert(incarnation.to_string(), crash);
+        while self.crashes.len() > MAX_CRASHES {
+            self.crashes.pop_last();
         }
-        self.ends.contains_key(incarnation)
+        self.crashes.contains_key(incarnation)
     }
 
-    /// Notes a whole answer: what ended before was not its doing. `after` is how many answers others know of.
-    pub(crate) fn clear(&mut self, after: u32) {
+    /// Records a complete response: the request did not cause the crashes before it.
+    /// `known_answers` is the number of responses that other instances know of.
+    pub(crate) fn clear_crashes(&mut self, known_answers: u32) {
         *self = Entry {
-            answers: self.answers.max(after) + 1,
+            answers: self.answers.max(known_answers) + 1,
             used_at: self.used_at,
-            saved: self.saved,
+            stored: self.stored,
             ..Entry::default()
         };
     }
 
-    /// Takes the word of another instance.
-    pub(crate) fn merge(&mut self, now: u64, word: &SuspectRecord) -> Merged {
-        if word.answers < self.answers {
-            return Merged {
-                news: false,
-                more: true,
+    /// Merges the record of another instance.
+    pub(crate) fn merge(&mut self, now: u64, record: &SuspectRecord) -> MergeOutcome {
+        if record.answers < self.answers {
+            return MergeOutcome {
+                changed: false,
+                ahead: true,
             };
         }
-        let mut news = false;
-        if word.answers > self.answers {
-            self.clear(word.answers - 1);
-            news = true;
+        let mut changed = false;
+        if record.answers > self.answers {
+            self.clear_crashes(record.answers - 1);
+            changed = true;
         }
-        for ended in &word.crashes {
-            let end = End {
-                by: ended.seen_by.clone(),
-                at: now.saturating_sub(ended.ago_ms),
+        for report in &record.crashes {
+            let crash = Crash {
+                seen_by: report.seen_by.clone(),
+                at: now.saturating_sub(report.ago_ms),
             };
-            news |= self.end(&ended.incarnation, end);
+            changed |= self.add_crash(&report.incarnation, crash);
         }
-        if word.trials > self.trials {
-            self.trials = word.trials;
-            self.tried_at = now.saturating_sub(word.trial_ago_ms);
-            news = true;
+        if record.trials > self.trials {
+            self.trials = record.trials;
+            self.last_trial_at = now.saturating_sub(record.trial_ago_ms);
+            changed = true;
         }
-        let said =
-            |incarnation: &String| word.crashes.iter().any(|e| e.incarnation == *incarnation);
-        let more = self.trials > word.trials || !self.ends.keys().all(said);
-        Merged { news, more }
+        let in_record =
+            |incarnation: &String| record.crashes.iter().any(|c| c.incarnation == *incarnation);
+        let ahead = self.trials > record.trials || !self.crashes.keys().all(in_record);
+        MergeOutcome { changed, ahead }
     }
 
-    /// Returns what the store would have of it.
-    pub(crate) fn image(&self) -> Saved {
-        Saved {
+    /// Returns what the store would have of the request.
+    pub(crate) fn to_stored_state(&self) -> StoredState {
+        StoredState {
             answers: self.answers,
             trials: self.trials,
         }
     }
 
-    /// Returns what is known, for another instance.
-    pub(crate) fn word(&self, now: u64, digest: Digest) -> SuspectRecord {
-        let ended = |(incarnation, end): (&String, &End)| CrashReport {
+    /// Returns the record of the request, for another instance.
+    pub(crate) fn record(&self, now: u64, digest: Digest) -> SuspectRecord {
+        let report = |(incarnation, crash): (&String, &Crash)| CrashReport {
             incarnation: incarnation.clone(),
-            seen_by: end.by.clone(),
-            ago_ms: now.saturating_sub(end.at),
+            seen_by: crash.seen_by.clone(),
+            ago_ms: now.saturating_sub(crash.at),
         };
         SuspectRecord {
             digest,
             answers: self.answers,
-            crashes: self.ends.iter().map(ended).collect(),
+            crashes: self.crashes.iter().map(report).collect(),
             trials: self.trials,
-            trial_ago_ms: now.saturating_sub(self.tried_at),
+            trial_ago_ms: now.saturating_sub(self.last_trial_at),
         }
     }
 
-    /// Returns when the last upstream ended under it, or it was tried.
-    pub(crate) fn last_at(&self) -> u64 {
-        let ends = self.ends.values().map(|e| e.at);
-        ends.max().unwrap_or_default().max(self.tried_at)
+    /// Returns the time of the last crash or trial.
+    pub(crate) fn last_crash_or_trial_at(&self) -> u64 {
+        let crashes = self.crashes.values().map(|c| c.at);
+        crashes.max().unwrap_or_default().max(self.last_trial_at)
     }
 }
--- a/crates/suspect/src/lib.rs
+++ b/crates/suspect/src/lib.rs
@@ -1,17 +1,20 @@
-//! Which requests end the upstreams that run them.
+//! Detects requests that crash the upstreams running them (queries of death).
 //!
-//! The load that this answers: a request that crashes each upstream which begins to run it, and with that upstream all else that
-//! runs there. Its caller sends it again, with another id, to whichever instance; each upstream that it reaches is one
-//! fewer for everybody. An upstream that ends says nothing of the cause, and most of what ran there is innocent: what
-//! tells the one that did it is that it was there at the ends of several upstreams, and was never answered.
+//! Such a request crashes every upstream that starts to run it, and all other requests running
+//! there fail with it. Its caller sends it again, with another id and to any instance, so that each
+//! attempt takes one more upstream away from all callers. A crash does not show its cause, and most
+//! of the requests that were running are harmless. The one that caused it stands out by having been
+//! present at the crashes of several upstreams without ever getting a complete response.
 //!
-//! Instances tell each other. What they know of a request is a set of ended upstreams, so that words may come twice, late and
-//! in any order. No I/O, clock or randomness: the time comes in with each event, in milliseconds.
+//! A crash is any end of an upstream that it has not announced beforehand. Instances share what
+//! they know of a request: a set of crashed upstreams, so that records can be merged late,
+//! repeatedly and in any order. The crate does no I/O and uses neither a clock nor randomness: the
+//! time is passed in with each event, in milliseconds.
 
-mod answered;
-mod broken;
+mod broken_connections;
 mod digest;
 mod entry;
+mod recent_answers;
 mod record;
 mod table;
 
--- a/crates/suspect/src/record.rs
+++ b/crates/suspect/src/record.rs
@@ -1,19 +1,19 @@
-//! What one instance tells another of a request.
+//! The record of a request that instances exchange and store.
 
 use serde::{Deserialize, Serialize};
 
 use crate::digest::Digest;
 
-/// An upstream that ended while a request ran there.
+/// A crash of an upstream while it ran a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashReport {
-    /// Its incarnation: a later one under the same name is another.
+    /// Incarnation of the upstream; a later start under the same name is another one.
     #[serde(rename = "l")]
     pub incarnation: String,
-    /// The instance that saw it.
+    /// The instance that observed the crash.
     #[serde(rename = "b")]
     pub seen_by: String,
-    /// How long ago, in milliseconds.
+    /// Time since the crash, in milliseconds.
     #[serde(rename = "a")]
     pub ago_ms: u64,
 }
@@ -24,16 +24,18 @@
     /// The request.
     #[serde(rename = "d")]
     pub digest: Digest,
-    /// How often it was answered after upstreams had ended under it: what was known before does not count any more.
+    /// How often the request got a complete response after crashes. Crashes before the last such
+    /// response no longer count, so a record with a higher number supersedes one with a lower
+    /// number.
     #[serde(rename = "n")]
     pub answers: u32,
-    /// The upstreams that have ended under it since.
+    /// Upstreams that have crashed since while running the request.
     #[serde(rename = "e")]
     pub crashes: Vec<CrashReport>,
-    /// How often it was tried since there are too many of them.
+    /// Number of trials since there were enough crashes to refuse the request.
     #[serde(rename = "t")]
     pub trials: u8,
-    /// How long ago the last time was, in milliseconds.
+    /// Time since the last trial, in milliseconds.
     #[serde(rename = "s")]
     pub trial_ago_ms: u64,
 }
--- a/crates/suspect/src/table.rs
+++ b/crates/suspect/src/table.rs
@@ -1,333 +1,365 @@
-//! The requests under which upstreams have ended, and what follows for them.
+//! The requests that were running on upstreams when these crashed, and whether they may be sent.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt::{self, Display, Formatter};
 
-use crate::answered::Answered;
-use crate::broken::Broken;
+use crate::broken_connections::BrokenConnections;
 use crate::digest::Digest;
-use crate::entry::{End, Entry, Saved};
+use crate::entry::{Crash, Entry, StoredState};
+use crate::recent_answers::RecentAnswers;
 use crate::record::SuspectRecord;
 
-/// A request under which so many upstreams have ended is not sent any more: one end says nothing, and of two the
-/// other requests that were at both are as likely.
-const REFUSED_FROM: usize = 3;
-/// One under which so many have ended is not sent to another one in the same try: its caller may come back, and by
-/// then it is known everywhere.
-const ONCE_FROM: usize = 2;
-/// All instances hear of a request under which so many have ended; of one end only those that keep it, since each upstream
-/// that ends leaves dozens of requests with one.
-const ALL_HEAR_FROM: usize = 2;
-/// A request that is refused is tried once so long after the last end, in milliseconds, then after these times: upstreams get
-/// mended, and it may have been there by chance. If it ends one more each time, all of them together are no more than it
-/// cost before it was known; then it is refused as long as it comes.
-const TRIED_AFTER_MS: [u64; 3] = [5_000, 60_000, 600_000];
-/// While it is found out whether upstreams have ended, a caller comes back after this time, in milliseconds: that takes some
-/// milliseconds where their ports answer.
-const UNSURE_MS: u64 = 300;
-/// One that nobody has asked for in this time is forgotten, in milliseconds.
-const KEEP_MS: u64 = 3_600_000;
-/// That a request was answered is kept for so long, in milliseconds, for instances that hear late of it.
-const KEEP_ANSWERED_MS: u64 = 60_000;
-/// Requests that are kept, bounding memory. What goes first are those with the fewest ends, so that a flood of broken
-/// answers pushes out no request that is refused.
-const MOST: usize = 1_024;
-/// A word is told so many times: a datagram may be lost.
-const ROUNDS: u8 = 3;
-
-/// Why a request is refused.
+/// Number of crashes from which a request is refused. One crash proves nothing, and after two the
+/// other requests that were present at both are as likely to be the cause.
+const REFUSE_FROM: usize = 3;
+/// Number of crashes from which a request is not retried at another upstream within the same call.
+/// Its caller may send it again, and by then all instances know of it.
+const NO_RETRY_FROM: usize = 2;
+/// Number of crashes from which a record is sent to all instances. With fewer it is sent to its
+/// owners only, since each crash leaves dozens of requests with one crash.
+const BROADCAST_FROM: usize = 2;
+/// Delays before the trials of a refused request, in milliseconds since its last crash or trial. A
+/// trial is worth making because upstreams get fixed, and because the request may have been present
+/// by coincidence. If each trial crashes one more upstream, all of them together cost no more
+/// upstreams than the request did before it was refused. After the last trial it stays refused for
+/// as long as it keeps coming.
+const TRIAL_DELAYS_MS: [u64; 3] = [5_000, 60_000, 600_000];
+/// While upstreams are being checked for a crash, a caller is told to retry after this time, in
+/// milliseconds. The check takes a few milliseconds if their ports answer.
+const UNRESOLVED_RETRY_MS: u64 = 300;
+/// A request is forgotten if no caller has sent it and nothing new was learned of it for this time,
+/// in milliseconds.
+const RETENTION_MS: u64 = 3_600_000;
+/// That a request was answered is remembered for this time, in milliseconds, for instances that
+/// learn of it late.
+const ANSWERED_RETENTION_MS: u64 = 60_000;
+/// Maximum number of requests in the table, to bound memory. Those with the fewest crashes are
+/// evicted first, so that a flood of broken responses evicts no refused request.
+const MAX_ENTRIES: usize = 1_024;
+/// How many times an update is sent: a datagram may be lost.
+const SEND_ROUNDS: u8 = 3;
+
+/// The crashes for which a request is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CrashHistory {
-    /// The incarnations of upstreams that ended under it, with the instances that saw it and how many milliseconds ago.
+    /// Incarnations of the crashed upstreams, each with the instance that observed the crash and
+    /// the milliseconds since then.
     pub crashes: Vec<(String, String, u64)>,
-    /// How often it was tried since.
+    /// Number of trials since there were enough crashes to refuse the request.
     pub trials: u8,
-    /// When it will be tried again, in milliseconds from now; none when it won't be.
+    /// Milliseconds until the request may be sent again; `None` if no trial is left.
     pub retry_ms: Option<u64>,
 }
 
 impl Display for CrashHistory {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "upstreams ended under this request: ")?;
-        for (incarnation, by, ago_ms) in &self.crashes {
-            write!(f, "{incarnation} (seen by {by} {ago_ms} ms ago) ")?;
+        write!(f, "upstreams crashed while running this request: ")?;
+        for (incarnation, seen_by, ago_ms) in &self.crashes {
+            write!(f, "{incarnation} (seen by {seen_by} {ago_ms} ms ago) ")?;
         }
         write!(f, "trials={}", self.trials)
     }
 }
 
-/// What happens to a request.
+/// Whether a request may be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is sent.
+    /// It may be sent.
     Allowed,
-    /// It may be tried, if the instance that keeps it agrees.
+    /// It may be sent as a trial, if its first owner grants that.
     TrialDue(CrashHistory),
-    /// It is not sent.
+    /// It must not be sent.
     Refused(CrashHistory),
 }
 
-/// A word that is to be told.
+/// A record that is to be sent to other instances.
 #[derive(Clone, Copy, Debug, Default)]
-struct Due {
-    rounds: u8,
-    /// To all instances, or those that keep the request only.
-    all: bool,
+struct PendingUpdate {
+    rounds_left: u8,
+    /// Whether all instances get it, or only the owners of the record.
+    to_all: bool,
 }
 
-/// The requests under which upstreams have ended, as one instance knows them.
+/// The requests that were running on upstreams when these crashed, as one instance knows them.
+///
+/// A few instances own the record of a request: they combine what the others report, and the first
+/// of them grants trials.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
-    /// The instance.
-    me: String,
+    /// The name of this instance.
+    instance: String,
     entries: HashMap<Digest, Entry>,
-    broken: Broken,
-    answered: Answered,
-    due: BTreeMap<Digest, Due>,
-    /// Requests that are forgotten here and stand in the store.
-    stale: BTreeSet<Digest>,
-    /// The request that was told last in turn.
-    turn: Option<Digest>,
+    broken_connections: BrokenConnections,
+    recent_answers: RecentAnswers,
+    pending_updates: BTreeMap<Digest, PendingUpdate>,
+    /// Requests that were removed from the table but not yet from the store.
+    removed: BTreeSet<Digest>,
+    /// The last request of the previous page.
+    page_cursor: Option<Digest>,
 }
 
 impl SuspectTable {
-    /// Returns an instance's empty table.
-    pub fn new(me: &str) -> SuspectTable {
+    /// Returns the empty table of an instance.
+    pub fn new(instance: &str) -> SuspectTable {
         SuspectTable {
-            me: me.to_string(),
+            instance: instance.to_string(),
             ..SuspectTable::default()
         }
     }
 
-    /// Notes that the connection of a request broke at an incarnation of an upstream; returns whether it is to be found out now
-    /// if that has ended.
+    /// Records that the connection of a request to an upstream broke; returns whether it should now
+    /// be checked if the upstream has crashed.
     pub fn connection_broke(&mut self, now: u64, incarnation: &str, digest: Digest) -> bool {
-        !self.answered.has(now, digest) && self.broken.note(now, incarnation, digest)
+        !self.recent_answers.contains(now, digest)
+            && self.broken_connections.insert(now, incarnation, digest)
     }
 
-    /// Returns whether it is still to be found out if an incarnation has ended.
+    /// Returns whether it is not known yet if an upstream has crashed.
     pub fn is_unresolved(&mut self, now: u64, incarnation: &str) -> bool {
-        self.broken.has(now, incarnation)
+        self.broken_connections.contains(now, incarnation)
     }
 
-    /// Takes that an incarnation has not ended.
+    /// Records that an upstream has not crashed.
     pub fn upstream_alive(&mut self, incarnation: &str) {
-        self.broken.take(incarnation);
+        self.broken_connections.take(incarnation);
     }
 
-    /// Takes that an incarnation has ended without having said so before; returns the requests that were there.
+    /// Records that an upstream has crashed, that is, ended without having announced it. Returns
+    /// the requests for which the crash is newly counted.
     pub fn upstream_crashed(&mut self, now: u64, incarnation: &str) -> Vec<Digest> {
-        let mut there = self.broken.take(incarnation);
-        there.retain(|digest| {
-            !self.answered.has(now, *digest) && self.end(now, incarnation, *digest)
+        let mut present = self.broken_connections.take(incarnation);
+        present.retain(|digest| {
+            !self.recent_answers.contains(now, *digest) && self.add_crash(now, incarnation, *digest)
         });
-        there
+        present
     }
 
-    /// Notes an end; returns whether it is new.
-    fn end(&mut self, now: u64, incarnation: &str, digest: Digest) -> bool {
-        let by = self.me.clone();
+    /// Adds a crash to a request; returns whether it is new.
+    fn add_crash(&mut self, now: u64, incarnation: &str, digest: Digest) -> bool {
+        let seen_by = self.instance.clone();
         let entry = self.entry(now, digest);
-        let news = entry.end(incarnation, End { by, at: now });
-        let all = entry.ends.len() >= ALL_HEAR_FROM;
-        if news {
-            self.tell(digest, all);
+        let is_new = entry.add_crash(incarnation, Crash { seen_by, at: now });
+        let to_all = entry.crashes.len() >= BROADCAST_FROM;
+        if is_new {
+            self.schedule_update(digest, to_all);
         }
-        news
+        is_new
     }
 
-    /// Notes a whole answer to a request; returns whether ends were held against it until now.
+    /// Records a complete response to a request; returns whether crashes counted for it until now.
     pub fn request_answered(&mut self, now: u64, digest: Digest) -> bool {
-        self.answered.note(now, digest);
-        self.broken.forget(digest);
-        self.clear(digest, 0)
+        self.recent_answers.insert(now, digest);
+        self.broken_connections.remove_request(digest);
+        self.clear_crashes(digest, 0)
     }
 
-    fn clear(&mut self, digest: Digest, after: u32) -> bool {
+    fn clear_crashes(&mut self, digest: Digest, known_answers: u32) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else {
             return false;
         };
-        let held = entry.ends.len();
-        if held == 0 {
+        let crash_count = entry.crashes.len();
+        if crash_count == 0 {
             return false;
         }
-        entry.clear(after);
-        self.tell(digest, held >= ALL_HEAR_FROM);
+        entry.clear_crashes(known_answers);
+        self.schedule_update(digest, crash_count >= BROADCAST_FROM);
         true
     }
 
-    /// Returns what happens to a request that comes.
+    /// Decides whether a request may be sent.
     pub fn admit(&mut self, now: u64, digest: Digest) -> Admission {
-        if self.count(digest) < REFUSED_FROM {
+        if self.crash_count(digest) < REFUSE_FROM {
             return Admission::Allowed;
         }
-        let unsure = self.broken.count(digest) > 0;
+        let unresolved = self.broken_connections.incarnation_count(digest) > 0;
         let entry = self.entry(now, digest);
-        let trial_ms = next_trial(entry).map(|at| at.saturating_sub(now));
-        let ends = entry.ends.iter();
-        let ends = ends
-            .map(|(incarnation, e)| (incarnation.clone(), e.by.clone(), now.saturating_sub(e.at)));
-        let mut blame = CrashHistory {
-            crashes: ends.collect(),
+        let trial_ms = next_trial_at(entry).map(|at| at.saturating_sub(now));
+        let crashes = entry.crashes.iter();
+        let crashes = crashes.map(|(incarnation, c)| {
+            (
+                incarnation.clone(),
+                c.seen_by.clone(),
+                now.saturating_sub(c.at),
+            )
+        });
+        let mut history = CrashHistory {
+            crashes: crashes.collect(),
             trials: entry.trials,
             retry_ms: trial_ms,
         };
-        if unsure {
-            blame.retry_ms = Some(UNSURE_MS);
-            Admission::Refused(blame)
+        if unresolved {
+            history.retry_ms = Some(UNRESOLVED_RETRY_MS);
+            Admission::Refused(history)
         } else if trial_ms == Some(0) {
-            Admission::TrialDue(blame)
+            Admission::TrialDue(history)
         } else {
-            Admission::Refused(blame)
+            Admission::Refused(history)
         }
     }
 
-    /// Returns whether a request may be sent to another upstream in the same try.
+    /// Returns whether a request may be retried at another upstream within the same call.
     pub fn may_retry(&self, digest: Digest) -> bool {
-        self.count(digest) < ONCE_FROM
+        self.crash_count(digest) < NO_RETRY_FROM
     }
 
-    /// Returns at how many upstreams' ends a request was there, those among them of which it is not known yet.
-    fn count(&self, digest: Digest) -> usize {
-        let ends = self.entries.get(&digest).map_or(0, |e| e.ends.len());
-        ends + self.broken.count(digest)
+    /// Returns at how many crashes a request was present, counting upstreams of which it is not
+    /// known yet if they have crashed.
+    fn crash_count(&self, digest: Digest) -> usize {
+        let crashes = self.entries.get(&digest).map_or(0, |e| e.crashes.len());
+        crashes + self.broken_connections.incarnation_count(digest)
     }
 
-    /// Decides, at the instance that keeps a request, whether it is tried now: one instance at a time, and no other one for
-    /// long.
+    /// Decides, at the first owner of a request, whether a trial may be made now, and counts it.
+    /// The next trial is due only after its delay, so one instance at a time makes a trial.
     pub fn grant_trial(&mut self, now: u64, digest: Digest) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else {
             return false;
         };
-        let due = next_trial(entry).is_some_and(|at| at <= now);
-        if due {
+        let is_due = next_trial_at(entry).is_some_and(|at| at <= now);
+        if is_due {
             entry.trials += 1;
-            entry.tried_at = now;
-            self.tell(digest, true);
+            entry.last_trial_at = now;
+            self.schedule_update(digest, true);
         }
-        due
+        is_due
     }
 
-    /// Takes the word of another instance; `keeps` says whether this one keeps the request, and tells all what comes to it
-    /// from several. Returns what the other one lacks.
-    pub fn merge(&mut self, now: u64, word: &SuspectRecord, keeps: bool) -> Option<SuspectRecord> {
-        let digest = word.digest;
+    /// Merges the record of another instance.
+    ///
+    /// If more is known here, an owner of the record (`is_owner`) schedules what it has combined
+    /// from several instances to be sent, and any other instance returns its record for the sender.
+    /// If the request was answered here recently, the crashes are cleared and the record that says
+    /// so is returned.
+    pub fn merge(
+        &mut self,
+        now: u64,
+        record: &SuspectRecord,
+        is_owner: bool,
+    ) -> Option<SuspectRecord> {
+        let digest = record.digest;
         let used_at = self.entries.get(&digest).map(|e| e.used_at);
         let entry = self.entry(now, digest);
-        let merged = entry.merge(now, word);
-        // Words that go round among instances keep nothing that nobody asks for.
-        if let Some(used_at) = used_at.filter(|_| !merged.news) {
+        let outcome = entry.merge(now, record);
+        // Records passed among instances must not keep a request in the table that no caller sends.
+        if let Some(used_at) = used_at.filter(|_| !outcome.changed) {
             entry.used_at = used_at;
         }
-        let all = entry.ends.len() >= ALL_HEAR_FROM || entry.answers > 0;
-        if !word.crashes.is_empty() && self.answered.has(now, digest) {
-            self.clear(digest, word.answers);
+        let to_all = entry.crashes.len() >= BROADCAST_FROM || entry.answers > 0;
+        if !record.crashes.is_empty() && self.recent_answers.contains(now, digest) {
+            self.clear_crashes(digest, record.answers);
             return self.record(now, digest);
         }
-        if merged.more && keeps {
-            self.tell(digest, all);
+        if outcome.ahead && is_owner {
+            self.schedule_update(digest, to_all);
         }
-        let lacks = merged.more && !keeps;
-        lacks.then(|| self.record(now, digest)).flatten()
+        let reply = outcome.ahead && !is_owner;
+        reply.then(|| self.record(now, digest)).flatten()
     }
 
-    /// Returns what is to be told now, each with whether all instances are told, or those that keep it.
+    /// Returns the records to send now, each with whether all instances get it or only its owners.
     pub fn updates_to_send(&mut self, now: u64) -> Vec<(SuspectRecord, bool)> {
-        let due: Vec<(Digest, bool)> = self.due.iter().map(|(d, due)| (*d, due.all)).collect();
-        self.due.retain(|_, due| {
-            due.rounds -= 1;
-            due.rounds > 0
+        let pending = self.pending_updates.iter();
+        let pending: Vec<(Digest, bool)> = pending.map(|(d, update)| (*d, update.to_all)).collect();
+        self.pending_updates.retain(|_, update| {
+            update.rounds_left -= 1;
+            update.rounds_left > 0
         });
-        let words = due.into_iter();
-        let words = words.filter_map(|(digest, all)| Some((self.record(now, digest)?, all)));
-        words.collect()
+        let records = pending.into_iter();
+        let records =
+            records.filter_map(|(digest, to_all)| Some((self.record(now, digest)?, to_all)));
+        records.collect()
     }
 
-    /// Returns the next requests in turn that are refused, for one instance: it may have been cut off, frozen or not there
-    /// when it was told. Those with fewer ends are not worth it: what is missed of them the third end brings together.
-    pub fn next_page(&mut self, now: u64, most: usize) -> Vec<SuspectRecord> {
+    /// Returns the records of the next refused requests in turn, for one instance: it may have been
+    /// cut off, suspended or not running when they were sent. Requests with fewer crashes are left
+    /// out: records of them that were missed are combined at the third crash.
+    pub fn next_page(&mut self, now: u64, limit: usize) -> Vec<SuspectRecord> {
         self.expire(now);
-        let known = self.entries.iter();
-        let mut known: Vec<Digest> = known
-            .filter(|(_, e)| e.ends.len() >= REFUSED_FROM)
+        let refused = self.entries.iter();
+        let mut refused: Vec<Digest> = refused
+            .filter(|(_, e)| e.crashes.len() >= REFUSE_FROM)
             .map(|(digest, _)| *digest)
             .collect();
-        known.sort_unstable();
-        let at = known.partition_point(|d| Some(*d) <= self.turn);
-        known.rotate_left(at);
-        known.truncate(most);
-        self.turn = known.last().copied();
-        let words = known.into_iter();
-        words
+        refused.sort_unstable();
+        let start = refused.partition_point(|d| Some(*d) <= self.page_cursor);
+        refused.rotate_left(start);
+        refused.truncate(limit);
+        self.page_cursor = refused.last().copied();
+        let records = refused.into_iter();
+        records
             .filter_map(|digest| self.record(now, digest))
             .collect()
     }
 
-    /// Returns whether the store has something else of some request than it should.
+    /// Returns whether the store's record of any request is out of date.
     pub fn has_unsaved(&self) -> bool {
-        !self.stale.is_empty() || self.entries.values().any(is_unsaved)
+        !self.removed.is_empty() || self.entries.values().any(is_unsaved)
     }
 
-    /// Returns the requests of which the store has something else than it should.
+    /// Returns the requests whose record in the store is out of date.
     pub fn unsaved(&self) -> Vec<Digest> {
         let unsaved = self.entries.iter().filter(|(_, e)| is_unsaved(e));
-        let stale = self.stale.iter().copied();
-        unsaved.map(|(digest, _)| *digest).chain(stale).collect()
+        let removed = self.removed.iter().copied();
+        unsaved.map(|(digest, _)| *digest).chain(removed).collect()
     }
 
-    /// Returns what the store should have of a request: only what is refused must be known after all instances have ended.
+    /// Returns the record that the store should have of a request: only refused requests must still
+    /// be known after all instances were down at once.
     pub fn to_save(&self, now: u64, digest: Digest) -> Option<SuspectRecord> {
         let entry = self.entries.get(&digest)?;
-        (entry.ends.len() >= REFUSED_FROM).then(|| entry.word(now, digest))
+        (entry.crashes.len() >= REFUSE_FROM).then(|| entry.record(now, digest))
     }
 
-    /// Notes what the store has of a request.
-    pub fn mark_saved(&mut self, digest: Digest, word: Option<&SuspectRecord>) {
-        self.stale.remove(&digest);
+    /// Records what the store now has of a request.
+    pub fn mark_saved(&mut self, digest: Digest, record: Option<&SuspectRecord>) {
+        self.removed.remove(&digest);
         if let Some(entry) = self.entries.get_mut(&digest) {
-            entry.saved = word.map(Saved::of);
+            entry.stored = record.map(StoredState::of);
         }
     }
 
-    /// Takes what the store has of a request, and has the others told. When it was written isn't known: it counts as new.
-    pub fn load(&mut self, now: u64, mut word: SuspectRecord) {
-        word.crashes.iter_mut().for_each(|e| e.ago_ms = 0);
-        word.trial_ago_ms = 0;
-        let digest = word.digest;
-        self.entry(now, digest).merge(now, &word);
-        self.mark_saved(digest, Some(&word));
-        self.tell(digest, true);
+    /// Merges a record that was read from the store, and schedules it to be sent to all instances.
+    /// When it was written is not known, so its crashes and its last trial count as having happened
+    /// now.
+    pub fn load(&mut self, now: u64, mut record: SuspectRecord) {
+        record.crashes.iter_mut().for_each(|c| c.ago_ms = 0);
+        record.trial_ago_ms = 0;
+        let digest = record.digest;
+        self.entry(now, digest).merge(now, &record);
+        self.mark_saved(digest, Some(&record));
+        self.schedule_update(digest, true);
     }
 
-    /// Returns what is known of a request, for another instance.
+    /// Returns the record of a request, for another instance.
     pub fn record(&self, now: u64, digest: Digest) -> Option<SuspectRecord> {
         let entry = self.entries.get(&digest);
-        entry.map(|entry| entry.word(now, digest))
+        entry.map(|entry| entry.record(now, digest))
     }
 
-    /// Returns how many requests are refused.
+    /// Returns the number of refused requests.
     pub fn refused_count(&self) -> usize {
-        let refused = |e: &&Entry| e.ends.len() >= REFUSED_FROM;
+        let refused = |e: &&Entry| e.crashes.len() >= REFUSE_FROM;
         self.entries.values().filter(refused).count()
     }
 
-    /// Returns all that several upstreams have ended under, for operators.
+    /// Returns the records of all requests that were present at several crashes, for operators and
+    /// for instances that start.
     pub fn list(&self, now: u64) -> Vec<SuspectRecord> {
         let listed = self.entries.iter();
-        let listed = listed.filter(|(_, e)| e.ends.len() >= ALL_HEAR_FROM);
-        listed.map(|(digest, e)| e.word(now, *digest)).collect()
+        let listed = listed.filter(|(_, e)| e.crashes.len() >= BROADCAST_FROM);
+        listed.map(|(digest, e)| e.record(now, *digest)).collect()
     }
 
-    fn tell(&mut self, digest: Digest, all: bool) {
-        let due = self.due.entry(digest).or_default();
-        due.rounds = ROUNDS;
-        due.all |= all;
+    fn schedule_update(&mut self, digest: Digest, to_all: bool) {
+        let update = self.pending_updates.entry(digest).or_default();
+        update.rounds_left = SEND_ROUNDS;
+        update.to_all |= to_all;
     }
 
     fn entry(&mut self, now: u64, digest: Digest) -> &mut Entry {
-        if self.entries.len() >= MOST && !self.entries.contains_key(&digest) {
+        if self.entries.len() >= MAX_ENTRIES && !self.entries.contains_key(&digest) {
             self.expire(now);
-            self.drop_least();
+            self.evict_if_full();
         }
         let entry = self.entries.entry(digest).or_default();
         entry.used_at = now;
@@ -335,44 +367,44 @@
     }
 
     fn expire(&mut self, now: u64) {
-        let keeps = |e: &Entry| {
-            let keep_ms = if e.ends.is_empty() {
-                KEEP_ANSWERED_MS
+        let is_live = |e: &Entry| {
+            let retention_ms = if e.crashes.is_empty() {
+                ANSWERED_RETENTION_MS
             } else {
-                KEEP_MS
+                RETENTION_MS
             };
-            now < e.used_at + keep_ms
+            now < e.used_at + retention_ms
         };
-        let saved = self.entries.iter();
-        let saved = saved.filter(|(_, e)| !keeps(e) && e.saved.is_some());
-        self.stale.extend(saved.map(|(digest, _)| *digest));
-        self.entries.retain(|_, e| keeps(e));
+        let stored = self.entries.iter();
+        let stored = stored.filter(|(_, e)| !is_live(e) && e.stored.is_some());
+        self.removed.extend(stored.map(|(digest, _)| *digest));
+        self.entries.retain(|_, e| is_live(e));
     }
 
-    fn drop_least(&mut self) {
-        if self.entries.len() < MOST {
+    fn evict_if_full(&mut self) {
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
         let least = self.entries.iter();
-        let least = least.min_by_key(|(_, e)| (e.ends.len(), e.used_at));
+        let least = least.min_by_key(|(_, e)| (e.crashes.len(), e.used_at));
         let Some(digest) = least.map(|(digest, _)| *digest) else {
             return;
         };
-        let dropped = self.entries.remove(&digest);
-        if dropped.is_some_and(|e| e.saved.is_some()) {
-            self.stale.insert(digest);
+        let evicted = self.entries.remove(&digest);
+        if evicted.is_some_and(|e| e.stored.is_some()) {
+            self.removed.insert(digest);
         }
     }
 }
 
-/// Returns whether the store has something else of a request than it should.
+/// Returns whether the store's record of a request is out of date.
 fn is_unsaved(entry: &Entry) -> bool {
-    let wanted = (entry.ends.len() >= REFUSED_FROM).then(|| entry.image());
-    wanted != entry.saved
+    let wanted = (entry.crashes.len() >= REFUSE_FROM).then(|| entry.to_stored_state());
+    wanted != entry.stored
 }
 
-/// Returns when a request may be tried; none when it won't be any more.
-fn next_trial(entry: &Entry) -> Option<u64> {
-    let wait = TRIED_AFTER_MS.get(usize::from(entry.trials));
-    wait.map(|ms| entry.last_at() + ms)
+/// Returns when the next trial of a request is due; `None` if no trial is left.
+fn next_trial_at(entry: &Entry) -> Option<u64> {
+    let delay = TRIAL_DELAYS_MS.get(usize::from(entry.trials));
+    delay.map(|ms| entry.last_crash_or_trial_at() + ms)
 }
