--- a/crates/suspect/tests/digest.rs
+++ b/crates/suspect/tests/digest.rs
@@ -1,4 +1,4 @@
-//! A request is known again by what its caller sent.
+//! A request is identified by what its caller sent.
 
 use suspect::Digest;
 
@@ -7,12 +7,12 @@
 }
 
 #[test]
-fn the_same_request_has_the_same_digest() {
+fn same_request_has_same_digest() {
     assert_eq!(of(["c", "/a", "body"]), of(["c", "/a", "body"]));
 }
 
 #[test]
-fn what_differs_in_one_part_is_another_request() {
+fn a_difference_in_one_part_changes_the_digest() {
     let one = of(["c", "/a", "body"]);
     assert_ne!(one, of(["d", "/a", "body"]), "another customer");
     assert_ne!(one, of(["c", "/b", "body"]), "another path");
@@ -20,12 +20,12 @@
     assert_ne!(
         one,
         of(["c", "/ab", "ody"]),
-        "the same bytes, cut elsewhere"
+        "the same bytes, split elsewhere"
     );
 }
 
 #[test]
-fn a_log_shows_half_of_it() {
+fn display_shows_the_first_half_unless_a_precision_is_given() {
     let digest = of(["c", "/a", "body"]);
     assert_eq!(digest.to_string().len(), 16);
     assert!(format!("{digest:.32}").starts_with(&digest.to_string()));
--- a/crates/suspect/tests/spread.rs
+++ b/crates/suspect/tests/spread.rs
@@ -1,5 +1,5 @@
-//! How fast a whole fleet knows of a request under which upstreams end, with datagrams that are late, lost and doubled, and
-//! what that costs.
+//! How fast a whole fleet learns of a request that crashes upstreams, and at what cost, when
+//! datagrams are delayed, lost and duplicated.
 
 use std::collections::VecDeque;
 
@@ -7,33 +7,34 @@
 use rand::{Rng, SeedableRng};
 use suspect::{Admission, Digest, SuspectRecord, SuspectTable};
 
-/// Pause between two times that a word is told, in milliseconds.
-const TELL_EVERY: u64 = 150;
-/// How often one other instance in turn is told all.
-const PAGE_EVERY: u64 = 500;
-/// What the program needs between a crash and the word of it: the port is looked at.
-const FOUND_OUT: u64 = 30;
+/// Interval at which an instance sends its pending updates, in milliseconds.
+const SEND_INTERVAL_MS: u64 = 150;
+/// Interval at which an instance sends a page of refused requests to one other instance, in
+/// milliseconds.
+const PAGE_INTERVAL_MS: u64 = 500;
+/// Time that the proxy takes to notice a crash, in milliseconds: it checks the upstream's port.
+const CRASH_CHECK_MS: u64 = 30;
 const LOST_PCT: u32 = 10;
-const DOUBLED_PCT: u32 = 5;
-/// The longest way of a datagram, in milliseconds.
-const LATE_MOST: u64 = 120;
-/// Users count instances that hear each other as knowing by then, in milliseconds.
-const KNOWN_WITHIN: u64 = 3_000;
+const DUPLICATED_PCT: u32 = 5;
+/// Longest delay of a datagram, in milliseconds.
+const MAX_DELAY_MS: u64 = 120;
+/// Time within which users expect all instances that reach each other to know, in milliseconds.
+const PROPAGATION_LIMIT_MS: u64 = 3_000;
 
 struct Datagram {
-    at: u64,
+    arrives_at: u64,
     from: usize,
     to: usize,
-    words: Vec<SuspectRecord>,
+    records: Vec<SuspectRecord>,
 }
 
 struct Fleet {
     tables: Vec<SuspectTable>,
-    /// Instances that hear nothing.
-    deaf: Vec<bool>,
-    under_way: VecDeque<Datagram>,
-    sent: usize,
-    bytes: usize,
+    /// Whether each instance receives no datagrams.
+    cut_off: Vec<bool>,
+    in_flight: VecDeque<Datagram>,
+    datagrams_sent: usize,
+    bytes_sent: usize,
     rng: StdRng,
     now: u64,
 }
@@ -44,112 +45,113 @@
             tables: (0..size)
                 .map(|i| SuspectTable::new(&format!("n{i}")))
                 .collect(),
-            deaf: vec![false; size],
-            under_way: VecDeque::new(),
-            sent: 0,
-            bytes: 0,
+            cut_off: vec![false; size],
+            in_flight: VecDeque::new(),
+            datagrams_sent: 0,
+            bytes_sent: 0,
             rng: StdRng::seed_from_u64(seed),
             now: 0,
         }
     }
 
-    fn keepers(&self, digest: Digest) -> [usize; 2] {
+    fn owners(&self, digest: Digest) -> [usize; 2] {
         let size = self.tables.len();
         let first = (digest.placement_key() % size as u64) as usize;
         [first, (first + 1) % size]
     }
 
-    fn send(&mut self, from: usize, to: usize, words: Vec<SuspectRecord>) {
-        self.sent += 1;
-        self.bytes += serde_json::to_vec(&words).expect("JSON").len();
+    fn send(&mut self, from: usize, to: usize, records: Vec<SuspectRecord>) {
+        self.datagrams_sent += 1;
+        self.bytes_sent += serde_json::to_vec(&records).expect("JSON").len();
         if from == to || self.rng.random_ratio(LOST_PCT, 100) {
             return;
         }
-        let copies = 1 + usize::from(self.rng.random_ratio(DOUBLED_PCT, 100));
+        let copies = 1 + usize::from(self.rng.random_ratio(DUPLICATED_PCT, 100));
         for _ in 0..copies {
-            let at = self.now + self.rng.random_range(1..=LATE_MOST);
-            let words = words.clone();
-            self.under_way.push_back(Datagram {
-                at,
+            let arrives_at = self.now + self.rng.random_range(1..=MAX_DELAY_MS);
+            let records = records.clone();
+            self.in_flight.push_back(Datagram {
+                arrives_at,
                 from,
                 to,
-                words,
+                records,
             });
         }
     }
 
     fn deliver(&mut self) {
-        let (due, later) = std::mem::take(&mut self.under_way)
+        let (due, later) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|d| d.at <= self.now);
-        self.under_way = later;
+            .partition(|d| d.arrives_at <= self.now);
+        self.in_flight = later;
         let due: VecDeque<Datagram> = due;
         for Datagram {
-            from, to, words, ..
+            from, to, records, ..
         } in due
         {
-            if self.deaf[to] {
+            if self.cut_off[to] {
                 continue;
             }
-            let mut lacks = Vec::new();
-            for word in &words {
-                let keeps = self.keepers(word.digest).contains(&to);
-                lacks.extend(self.tables[to].merge(self.now, word, keeps));
+            let mut replies = Vec::new();
+            for record in &records {
+                let is_owner = self.owners(record.digest).contains(&to);
+                replies.extend(self.tables[to].merge(self.now, record, is_owner));
             }
-            if !lacks.is_empty() {
-                self.send(to, from, lacks);
+            if !replies.is_empty() {
+                self.send(to, from, replies);
             }
         }
     }
 
-    fn tell(&mut self, i: usize) {
-        for (word, all) in self.tables[i].updates_to_send(self.now) {
-            let to: Vec<usize> = if all {
+    fn send_updates(&mut self, i: usize) {
+        for (record, to_all) in self.tables[i].updates_to_send(self.now) {
+            let to: Vec<usize> = if to_all {
                 (0..self.tables.len()).filter(|to| *to != i).collect()
             } else {
-                let keepers = self.keepers(word.digest);
-                keepers.into_iter().filter(|to| *to != i).collect()
+                let owners = self.owners(record.digest);
+                owners.into_iter().filter(|to| *to != i).collect()
             };
             for to in to {
-                self.send(i, to, vec![word.clone()]);
+                self.send(i, to, vec![record.clone()]);
             }
         }
     }
 
-    fn page(&mut self, i: usize) {
-        let words = self.tables[i].next_page(self.now, 4);
-        if !words.is_empty() {
+    fn send_page(&mut self, i: usize) {
+        let records = self.tables[i].next_page(self.now, 4);
+        if !records.is_empty() {
             let to = self.rng.random_range(0..self.tables.len());
-            self.send(i, to, words);
+            self.send(i, to, records);
         }
     }
 
-    /// Goes on for some time.
-    fn run(&mut self, ms: u64) {
+    /// Lets time pass.
+    fn advance(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now += 10;
             self.deliver();
             for i in 0..self.tables.len() {
-                // Instances do this at different times.
+                // The instances are not synchronized.
                 let phase = 10 * (i as u64 % 50);
-                if (self.now + phase) % TELL_EVERY < 10 {
-                    self.tell(i);
+                if (self.now + phase) % SEND_INTERVAL_MS < 10 {
+                    self.send_updates(i);
                 }
-                if (self.now + phase) % PAGE_EVERY < 10 {
-                    self.page(i);
+                if (self.now + phase) % PAGE_INTERVAL_MS < 10 {
+                    self.send_page(i);
                 }
             }
         }
     }
 
-    /// Has an upstream end, as one instance sees it.
-    fn end(&mut self, at: usize, incarnation: &str, digest: Digest) {
+    /// Makes an upstream crash while it runs a request for one instance.
+    fn crash(&mut self, at: usize, incarnation: &str, digest: Digest) {
         self.tables[at].connection_broke(self.now, incarnation, digest);
-        self.run(FOUND_OUT);
+        self.advance(CRASH_CHECK_MS);
         self.tables[at].upstream_crashed(self.now, incarnation);
     }
 
-    fn refuse(&mut self, digest: Digest) -> usize {
+    /// Returns the number of instances that do not allow a request.
+    fn refusing_count(&mut self, digest: Digest) -> usize {
         let now = self.now;
         let refuses = |t: &mut SuspectTable| t.admit(now, digest) != Admission::Allowed;
         self.tables.iter_mut().map(refuses).filter(|r| *r).count()
@@ -160,183 +162,191 @@
     Digest::of([b"fatal".as_slice()])
 }
 
-/// Each of three ends is seen by another instance; all refuse the request well within the time.
+/// Each of three crashes is seen by a different instance; all instances refuse the request within
+/// the limit.
 #[test]
-fn three_ends_seen_by_three_instances_are_known_to_all() {
+fn crashes_seen_by_different_instances_reach_all() {
     for size in [3, 9, 195, 970] {
         let mut fleet = Fleet::open(size, size as u64);
         for (i, incarnation) in ["u1", "u2", "u3"].iter().enumerate() {
-            fleet.end(i * (size / 3), incarnation, fatal());
+            fleet.crash(i * (size / 3), incarnation, fatal());
         }
         let mut took = 0;
-        while fleet.refuse(fatal()) < size {
-            fleet.run(50);
+        while fleet.refusing_count(fatal()) < size {
+            fleet.advance(50);
             took += 50;
             assert!(
-                took < KNOWN_WITHIN,
+                took < PROPAGATION_LIMIT_MS,
                 "{size}: {} know",
-                fleet.refuse(fatal())
+                fleet.refusing_count(fatal())
             );
         }
-        fleet.run(KNOWN_WITHIN);
+        fleet.advance(PROPAGATION_LIMIT_MS);
         println!(
             "{size} instances: known to all after {took} ms; {} datagrams, {} bytes",
-            fleet.sent, fleet.bytes
+            fleet.datagrams_sent, fleet.bytes_sent
         );
     }
 }
 
-/// The instance that saw all three is lost after its first word.
+/// The instance that saw all three crashes is lost after it has sent its first update.
 #[test]
-fn what_a_lost_instance_told_is_known_to_all() {
+fn record_sent_by_a_lost_instance_reaches_all() {
     for seed in 0..20 {
         let mut fleet = Fleet::open(9, seed);
         for incarnation in ["u1", "u2", "u3"] {
-            fleet.end(4, incarnation, fatal());
+            fleet.crash(4, incarnation, fatal());
         }
-        fleet.run(TELL_EVERY);
+        fleet.advance(SEND_INTERVAL_MS);
         fleet.tables[4] = SuspectTable::new("n4");
-        fleet.run(KNOWN_WITHIN);
-        assert_eq!(fleet.refuse(fatal()), 9, "seed {seed}");
+        fleet.advance(PROPAGATION_LIMIT_MS);
+        assert_eq!(fleet.refusing_count(fatal()), 9, "seed {seed}");
     }
 }
 
-/// One that hears nothing for a while knows it within the time after that.
+/// An instance that receives nothing for a while learns of the request within the limit after that.
 #[test]
-fn one_that_was_cut_off_hears_of_it_later() {
+fn instance_that_was_cut_off_learns_later() {
     for seed in 0..20 {
         let mut fleet = Fleet::open(9, seed);
-        fleet.deaf[7] = true;
+        fleet.cut_off[7] = true;
         for (i, incarnation) in ["u1", "u2", "u3"].iter().enumerate() {
-            fleet.end(i, incarnation, fatal());
+            fleet.crash(i, incarnation, fatal());
         }
-        fleet.run(10_000);
-        assert_eq!(fleet.refuse(fatal()), 8, "seed {seed}");
-        fleet.deaf[7] = false;
-        fleet.run(KNOWN_WITHIN);
-        assert_eq!(fleet.refuse(fatal()), 9, "seed {seed}");
+        fleet.advance(10_000);
+        assert_eq!(fleet.refusing_count(fatal()), 8, "seed {seed}");
+        fleet.cut_off[7] = false;
+        fleet.advance(PROPAGATION_LIMIT_MS);
+        assert_eq!(fleet.refusing_count(fatal()), 9, "seed {seed}");
     }
 }
 
-/// A whole answer makes it free everywhere, also where an instance missed the word of it.
+/// After a complete response all instances allow the request again, also one that missed the
+/// update.
 #[test]
-fn a_whole_answer_is_known_to_all() {
+fn complete_response_reaches_all() {
     for seed in 0..20 {
         let mut fleet = Fleet::open(9, seed);
         for (i, incarnation) in ["u1", "u2", "u3"].iter().enumerate() {
-            fleet.end(i, incarnation, fatal());
+            fleet.crash(i, incarnation, fatal());
         }
-        fleet.run(KNOWN_WITHIN);
-        fleet.deaf[7] = true;
+        fleet.advance(PROPAGATION_LIMIT_MS);
+        fleet.cut_off[7] = true;
         let now = fleet.now;
         assert!(fleet.tables[2].request_answered(now, fatal()));
-        fleet.run(KNOWN_WITHIN);
-        fleet.deaf[7] = false;
-        fleet.run(KNOWN_WITHIN);
-        assert_eq!(fleet.refuse(fatal()), 0, "seed {seed}");
+        fleet.advance(PROPAGATION_LIMIT_MS);
+        fleet.cut_off[7] = false;
+        fleet.advance(PROPAGATION_LIMIT_MS);
+        assert_eq!(fleet.refusing_count(fatal()), 0, "seed {seed}");
     }
 }
 
-/// A whole domain of upstreams is lost: each instance has many requests there, all different, and all but nothing is told.
+/// Guards against a burst of datagrams when a whole failure domain of upstreams is lost: each
+/// instance has many requests there, all different, and few datagrams may be sent for each.
 #[test]
-fn the_loss_of_a_domain_costs_little() {
+fn loss_of_a_failure_domain_sends_few_datagrams() {
     const SIZE: usize = 195;
-    const LIVES: usize = 20;
+    const UPSTREAMS: usize = 20;
     let mut fleet = Fleet::open(SIZE, 1);
     for i in 0..SIZE {
-        for j in 0..LIVES {
+        for j in 0..UPSTREAMS {
             let (incarnation, digest) = (format!("u{j}"), format!("{i}-{j}"));
             let now = fleet.now;
             fleet.tables[i].connection_broke(now, &incarnation, Digest::of([digest.as_bytes()]));
         }
     }
     for i in 0..SIZE {
-        for j in 0..LIVES {
+        for j in 0..UPSTREAMS {
             let now = fleet.now;
             fleet.tables[i].upstream_crashed(now, &format!("u{j}"));
         }
     }
-    fleet.run(KNOWN_WITHIN);
-    let each = fleet.sent / SIZE;
+    fleet.advance(PROPAGATION_LIMIT_MS);
+    let each = fleet.datagrams_sent / SIZE;
     println!(
         "{} datagrams, {} bytes; {each} datagrams an instance",
-        fleet.sent, fleet.bytes
+        fleet.datagrams_sent, fleet.bytes_sent
     );
-    // Each request's word goes to two instances, three times.
-    assert!(each <= LIVES * 2 * 3, "{each} datagrams an instance");
+    // The record of each request goes to its two owners, three times.
+    assert!(each <= UPSTREAMS * 2 * 3, "{each} datagrams an instance");
 }
 
-/// Has the request come to an instance; returns whether it is sent: freely, or as a trial that its keeper grants.
-fn comes(fleet: &mut Fleet, at: usize) -> bool {
+/// Sends the request to an instance; returns whether the instance forwards it, because it is
+/// allowed or because an owner grants a trial.
+fn is_forwarded(fleet: &mut Fleet, at: usize) -> bool {
     let now = fleet.now;
     match fleet.tables[at].admit(now, fatal()) {
         Admission::Allowed => true,
         Admission::Refused(_) => false,
         Admission::TrialDue(_) => {
-            let keepers = fleet.keepers(fatal()).into_iter();
-            let keepers: Vec<usize> = keepers.filter(|k| !fleet.deaf[*k]).collect();
-            // What the other one knows comes first, then the first one decides.
+            let owners = fleet.owners(fatal()).into_iter();
+            let owners: Vec<usize> = owners.filter(|o| !fleet.cut_off[*o]).collect();
+            // Records are exchanged with the second owner before the first one decides.
             let mut granted = false;
-            for keeper in keepers.iter().rev() {
-                let word = fleet.tables[at].record(now, fatal()).expect("refused here");
-                fleet.tables[*keeper].merge(now, &word, true);
-                if Some(keeper) == keepers.first() {
-                    granted = fleet.tables[*keeper].grant_trial(now, fatal());
+            for owner in owners.iter().rev() {
+                let record = fleet.tables[at]
+                    .record(now, fatal())
+                    .expect("it has crashes here");
+                fleet.tables[*owner].merge(now, &record, true);
+                if Some(owner) == owners.first() {
+                    granted = fleet.tables[*owner].grant_trial(now, fatal());
                 }
-                let word = fleet.tables[*keeper].record(now, fatal());
-                let word = word.expect("it was told");
-                fleet.tables[at].merge(now, &word, false);
+                let record = fleet.tables[*owner].record(now, fatal());
+                let record = record.expect("it was merged");
+                fleet.tables[at].merge(now, &record, false);
             }
             granted
         }
     }
 }
 
-/// The request goes on coming for a quarter of an hour, to any instance, and ends each upstream that runs it. Instances are
-/// killed and start again, the one that decides among them, and stand still for a while; what they know then is what
-/// two others tell them at the start, and what they hear. From the time on by which all know, it is sent three times more by
-/// those that have not stood still within that time before.
+/// Guards against a refused request crashing further upstreams: callers send it to any instance for
+/// a quarter of an hour, and it crashes each upstream that runs it. Instances, among them the one
+/// that grants trials, are killed and restarted, and others are cut off for a while. A restarted
+/// instance learns what two others know, and the rest from datagrams. Once all instances should
+/// know of the request, it is forwarded at most three times more, not counting instances that were
+/// cut off within the limit before.
 #[test]
-fn three_more_sends_in_all_and_for_good() {
+fn refused_request_is_forwarded_at_most_three_times_more() {
     const SIZE: usize = 9;
-    const COMES_EVERY: u64 = 250;
+    const CALL_INTERVAL_MS: u64 = 250;
     for seed in 0..20 {
         let mut fleet = Fleet::open(SIZE, seed);
-        let (mut ends, mut known_at, mut late) = (0, u64::MAX, 0);
-        let mut wakes_at = [0; SIZE];
+        let (mut crashes, mut known_at, mut late) = (0, u64::MAX, 0);
+        let mut reachable_at = [0; SIZE];
         while fleet.now < 900_000 {
             let at = fleet.rng.random_range(0..SIZE);
-            if !fleet.deaf[at] && comes(&mut fleet, at) {
-                ends += 1;
-                let in_touch = fleet.now > wakes_at[at] + KNOWN_WITHIN;
+            if !fleet.cut_off[at] && is_forwarded(&mut fleet, at) {
+                crashes += 1;
+                let in_touch = fleet.now > reachable_at[at] + PROPAGATION_LIMIT_MS;
                 late += usize::from(fleet.now > known_at && in_touch);
-                fleet.end(at, &format!("u{ends:04}"), fatal());
-                if ends == 3 {
-                    known_at = fleet.now + KNOWN_WITHIN;
+                fleet.crash(at, &format!("u{crashes:04}"), fatal());
+                if crashes == 3 {
+                    known_at = fleet.now + PROPAGATION_LIMIT_MS;
                 }
             }
-            fleet.run(COMES_EVERY);
+            fleet.advance(CALL_INTERVAL_MS);
             if fleet.rng.random_ratio(1, 80) {
                 let killed = fleet.rng.random_range(0..SIZE);
                 fleet.tables[killed] = SuspectTable::new(&format!("n{killed}"));
                 for other in [(killed + 3) % SIZE, (killed + 5) % SIZE] {
                     let now = fleet.now;
-                    for word in fleet.tables[other].list(now) {
-                        fleet.tables[killed].merge(now, &word, false);
+                    for record in fleet.tables[other].list(now) {
+                        fleet.tables[killed].merge(now, &record, false);
                     }
                 }
             }
             if fleet.rng.random_ratio(1, 80) {
-                let still = fleet.rng.random_range(0..SIZE);
-                wakes_at[still] = fleet.now + 4_000;
+                let cut_off = fleet.rng.random_range(0..SIZE);
+                reachable_at[cut_off] = fleet.now + 4_000;
             }
-            let still = wakes_at.iter().map(|at| fleet.now < *at);
-            fleet.deaf = still.collect();
+            let cut_off = reachable_at.iter().map(|at| fleet.now < *at);
+            fleet.cut_off = cut_off.collect();
         }
         assert!(
             late <= 3,
-            "seed {seed}: sent {late} times more, {ends} ends"
+            "seed {seed}: forwarded {late} times more, {crashes} crashes"
         );
-        assert!(late >= 1, "seed {seed}: never tried");
+        assert!(late >= 1, "seed {seed}: no trial");
     }
 }
--- a/crates/suspect/tests/table.rs
+++ b/crates/suspect/tests/table.rs
@@ -1,4 +1,4 @@
-//! What is held against a request, what voids it, and what follows.
+//! Which crashes count for a request, what clears them, and when the request is refused.
 
 use suspect::{Admission, Digest, SuspectRecord, SuspectTable};
 
@@ -11,17 +11,17 @@
     Digest::of([name.as_bytes()])
 }
 
-fn is_free(table: &mut SuspectTable, now: u64, digest: Digest) -> bool {
+fn is_allowed(table: &mut SuspectTable, now: u64, digest: Digest) -> bool {
     table.admit(now, digest) == Admission::Allowed
 }
 
-/// Has upstreams end under a request, and returns the table of the instance that saw it.
-fn seen(incarnations: &[&str], now: u64, digest: Digest) -> SuspectTable {
+/// Returns the table of an instance that saw upstreams crash while they ran a request.
+fn table_with_crashes(incarnations: &[&str], now: u64, digest: Digest) -> SuspectTable {
     let mut table = SuspectTable::new("a");
     for incarnation in incarnations {
         assert!(
             table.connection_broke(now, incarnation, digest),
-            "to be found out"
+            "the upstream is to be checked"
         );
         table.upstream_crashed(now, incarnation);
     }
@@ -29,35 +29,35 @@
 }
 
 #[test]
-fn the_third_end_refuses_and_the_second_one_ends_repetition() {
+fn second_crash_stops_retries_and_third_one_refuses() {
     let fatal = request("fatal");
     let mut table = SuspectTable::new("a");
-    for (incarnation, repeats) in [("u1", true), ("u2", false)] {
+    for (incarnation, may_retry) in [("u1", true), ("u2", false)] {
         table.connection_broke(START, incarnation, fatal);
         assert_eq!(table.upstream_crashed(START, incarnation), vec![fatal]);
-        assert_eq!(table.may_retry(fatal), repeats, "{incarnation}");
-        assert!(is_free(&mut table, START, fatal), "{incarnation}");
+        assert_eq!(table.may_retry(fatal), may_retry, "{incarnation}");
+        assert!(is_allowed(&mut table, START, fatal), "{incarnation}");
     }
     table.connection_broke(START, "u3", fatal);
     table.upstream_crashed(START, "u3");
-    let Admission::Refused(blame) = table.admit(START + SECOND, fatal) else {
-        panic!("three ends refuse");
+    let Admission::Refused(history) = table.admit(START + SECOND, fatal) else {
+        panic!("three crashes refuse");
     };
-    assert_eq!(blame.crashes.len(), 3);
-    assert_eq!(blame.retry_ms, Some(4 * SECOND), "the first trial");
-    assert!(is_free(&mut table, START, request("another")));
+    assert_eq!(history.crashes.len(), 3);
+    assert_eq!(history.retry_ms, Some(4 * SECOND), "the first trial");
+    assert!(is_allowed(&mut table, START, request("another")));
 }
 
 #[test]
-fn one_end_seen_twice_is_one() {
+fn crash_seen_repeatedly_counts_once() {
     let fatal = request("fatal");
-    let mut table = seen(&["u1", "u1", "u1"], START, fatal);
-    assert!(is_free(&mut table, START, fatal));
+    let mut table = table_with_crashes(&["u1", "u1", "u1"], START, fatal);
+    assert!(is_allowed(&mut table, START, fatal));
 }
 
-/// Connections break for many reasons: an upstream that answers afterwards has not ended.
+/// Connections break for many reasons: an upstream that answers afterwards has not crashed.
 #[test]
-fn a_connection_that_broke_is_no_end() {
+fn broken_connection_to_a_live_upstream_is_no_crash() {
     let harmless = request("harmless");
     let mut table = SuspectTable::new("a");
     for incarnation in ["u1", "u2", "u3", "u4"] {
@@ -65,61 +65,63 @@
         table.upstream_alive(incarnation);
         assert!(
             table.upstream_crashed(START, incarnation).is_empty(),
-            "nothing was there"
+            "no request was there"
         );
     }
-    assert!(is_free(&mut table, START, harmless));
+    assert!(is_allowed(&mut table, START, harmless));
 }
 
-/// Until it is found out, the careful guess holds: each send may cost an upstream.
+/// Until the upstream is checked, the worst case is assumed: each send may cost an upstream.
 #[test]
-fn what_is_not_found_out_yet_counts() {
+fn unresolved_broken_connection_counts_as_a_crash() {
     let fatal = request("fatal");
-    let mut table = seen(&["u1", "u2"], START, fatal);
+    let mut table = table_with_crashes(&["u1", "u2"], START, fatal);
     table.connection_broke(START, "u3", fatal);
-    let Admission::Refused(blame) = table.admit(START, fatal) else {
-        panic!("two ends, and one more perhaps");
+    let Admission::Refused(history) = table.admit(START, fatal) else {
+        panic!("two crashes, and perhaps one more");
     };
-    assert_eq!(blame.retry_ms, Some(300), "soon it is known");
+    assert_eq!(history.retry_ms, Some(300), "the check takes less time");
     table.upstream_alive("u3");
-    assert!(is_free(&mut table, START, fatal));
+    assert!(is_allowed(&mut table, START, fatal));
 }
 
 #[test]
-fn a_whole_answer_voids_what_was_held_against_it() {
+fn complete_response_clears_crashes() {
     let popular = request("popular");
-    let mut table = seen(&["u1", "u2", "u3"], START, popular);
-    assert!(!is_free(&mut table, START, popular));
+    let mut table = table_with_crashes(&["u1", "u2", "u3"], START, popular);
+    assert!(!is_allowed(&mut table, START, popular));
     assert!(table.request_answered(START, popular));
-    assert!(is_free(&mut table, START, popular));
+    assert!(is_allowed(&mut table, START, popular));
     assert!(
         !table.request_answered(START, popular),
-        "nothing was held any more"
+        "no crash counted any more"
     );
 }
 
-/// Many callers with one request, while upstreams are lost for another reason.
+/// Many callers send one request, while upstreams are lost for another reason.
 #[test]
-fn a_request_that_was_answered_a_moment_ago_is_not_blamed() {
+fn recently_answered_request_is_not_blamed() {
     let popular = request("popular");
     let mut table = SuspectTable::new("a");
     table.request_answered(START, popular);
     assert!(!table.connection_broke(START + SECOND, "u1", popular));
     assert!(table.upstream_crashed(START + SECOND, "u1").is_empty());
-    // Nor by others, who are told so.
-    let other = seen(&["u1", "u2", "u3"], START + SECOND, popular);
-    let word = other.record(START + SECOND, popular).expect("known there");
-    let reply = table.merge(START + SECOND, &word, false);
-    let reply = reply.expect("the other one lacks the answer");
-    assert!(reply.answers > word.answers && reply.crashes.is_empty());
+    // Other instances do not blame it either, once they learn of the answer.
+    let other = table_with_crashes(&["u1", "u2", "u3"], START + SECOND, popular);
+    let record = other
+        .record(START + SECOND, popular)
+        .expect("it has crashes there");
+    let reply = table.merge(START + SECOND, &record, false);
+    let reply = reply.expect("the other instance does not know of the answer");
+    assert!(reply.answers > record.answers && reply.crashes.is_empty());
     let mut other = other;
     other.merge(START + SECOND, &reply, false);
-    assert!(is_free(&mut other, START + SECOND, popular));
+    assert!(is_allowed(&mut other, START + SECOND, popular));
 }
 
-/// .. but one that was answered once may end upstreams from some moment on.
+/// A request that was answered before may start to crash upstreams.
 #[test]
-fn a_request_that_was_answered_long_ago_is_blamed() {
+fn request_answered_long_ago_is_blamed() {
     let fatal = request("fatal");
     let mut table = SuspectTable::new("a");
     table.request_answered(START, fatal);
@@ -128,61 +130,61 @@
         table.connection_broke(now, incarnation, fatal);
         table.upstream_crashed(now, incarnation);
     }
-    assert!(!is_free(&mut table, START + 9 * SECOND, fatal));
+    assert!(!is_allowed(&mut table, START + 9 * SECOND, fatal));
 }
 
-/// A request that can still end upstreams costs three more at most, however long it comes.
+/// A request that still crashes upstreams costs at most three more, however long callers send it.
 #[test]
-fn trials_are_three_for_good() {
+fn refused_request_gets_three_trials_in_all() {
     let fatal = request("fatal");
-    let mut table = seen(&["u1", "u2", "u3"], START, fatal);
+    let mut table = table_with_crashes(&["u1", "u2", "u3"], START, fatal);
     let (mut trials, mut now) = (0, START);
     while now < START + 12 * HOUR {
         now += SECOND;
         match table.admit(now, fatal) {
             Admission::TrialDue(_) => {
-                assert!(table.grant_trial(now, fatal), "it is due");
-                assert!(!table.grant_trial(now, fatal), "by one instance only");
+                assert!(table.grant_trial(now, fatal), "the trial is due");
+                assert!(!table.grant_trial(now, fatal), "one instance at a time");
                 trials += 1;
                 let incarnation = format!("t{trials}");
                 table.connection_broke(now, &incarnation, fatal);
                 table.upstream_crashed(now, &incarnation);
             }
             Admission::Refused(_) => {}
-            Admission::Allowed => panic!("free again after {} s", (now - START) / SECOND),
+            Admission::Allowed => panic!("allowed again after {} s", (now - START) / SECOND),
         }
     }
     assert_eq!(trials, 3);
 }
 
 #[test]
-fn a_trial_that_is_answered_makes_it_free() {
-    let mended = request("mended");
-    let mut table = seen(&["u1", "u2", "u3"], START, mended);
+fn answered_trial_allows_the_request_again() {
+    let fixed = request("fixed");
+    let mut table = table_with_crashes(&["u1", "u2", "u3"], START, fixed);
     let now = START + 5 * SECOND;
-    assert!(matches!(table.admit(now, mended), Admission::TrialDue(_)));
-    assert!(table.grant_trial(now, mended));
-    assert!(table.request_answered(now + SECOND, mended));
-    assert!(is_free(&mut table, now + SECOND, mended));
+    assert!(matches!(table.admit(now, fixed), Admission::TrialDue(_)));
+    assert!(table.grant_trial(now, fixed));
+    assert!(table.request_answered(now + SECOND, fixed));
+    assert!(is_allowed(&mut table, now + SECOND, fixed));
 }
 
 #[test]
-fn one_that_nobody_asks_for_is_forgotten() {
+fn request_that_no_caller_sends_is_forgotten() {
     let fatal = request("fatal");
-    let mut table = seen(&["u1", "u2", "u3"], START, fatal);
-    // Words that go round among instances are no question.
-    let word = table.record(START, fatal).expect("known");
+    let mut table = table_with_crashes(&["u1", "u2", "u3"], START, fatal);
+    // Records passed among instances do not keep it in the table.
+    let record = table.record(START, fatal).expect("it has crashes");
     for minute in 0..61 {
-        table.merge(START + minute * 60 * SECOND, &word, false);
+        table.merge(START + minute * 60 * SECOND, &record, false);
     }
     table.next_page(START + HOUR + SECOND, 10);
-    assert!(is_free(&mut table, START + HOUR + SECOND, fatal));
+    assert!(is_allowed(&mut table, START + HOUR + SECOND, fatal));
 }
 
 #[test]
-fn a_flood_of_broken_answers_pushes_out_no_request_that_is_refused() {
+fn flood_of_broken_connections_evicts_no_refused_request() {
     let fatal = request("fatal");
-    let mut table = seen(&["u1", "u2", "u3"], START, fatal);
+    let mut table = table_with_crashes(&["u1", "u2", "u3"], START, fatal);
     for i in 0..5_000 {
         let incarnation = format!("f{}", i / 50);
         table.connection_broke(START + i, &incarnation, request(&format!("r{i}")));
@@ -190,36 +192,42 @@
             table.upstream_crashed(START + i, &incarnation);
         }
     }
-    assert!(!is_free(&mut table, START + 5_000, fatal));
+    assert!(!is_allowed(&mut table, START + 5_000, fatal));
     assert_eq!(table.refused_count(), 1);
 }
 
-/// What the store has after all instances have ended is enough to go on from.
+/// Guards against allowing a refused request again after all instances were down at once.
 #[test]
-fn what_was_saved_refuses_it_after_a_start() {
+fn saved_record_refuses_the_request_after_a_restart() {
     let fatal = request("fatal");
-    let mut table = seen(&["u1", "u2", "u3"], START, fatal);
+    let mut table = table_with_crashes(&["u1", "u2", "u3"], START, fatal);
     assert_eq!(table.unsaved(), vec![fatal]);
-    let word = table.to_save(START, fatal).expect("it is refused");
-    table.mark_saved(fatal, Some(&word));
+    let record = table
+        .to_save(START, fatal)
+        .expect("refused requests are saved");
+    table.mark_saved(fatal, Some(&record));
     assert!(!table.has_unsaved());
     table.grant_trial(START + 5 * SECOND, fatal);
     assert!(
         table.has_unsaved(),
-        "a trial is saved: there are three, for good"
+        "a trial is saved: there are three in all, restarts included"
+    );
+    let mut restarted = SuspectTable::new("b");
+    restarted.load(START, record);
+    assert!(!restarted.has_unsaved());
+    assert!(!is_allowed(&mut restarted, START, fatal));
+    restarted.request_answered(START + SECOND, fatal);
+    assert_eq!(restarted.unsaved(), vec![fatal]);
+    assert_eq!(
+        restarted.to_save(START, fatal),
+        None,
+        "the store's record is to be deleted"
     );
-    let mut started = SuspectTable::new("b");
-    started.load(START, word);
-    assert!(!started.has_unsaved());
-    assert!(!is_free(&mut started, START, fatal));
-    started.request_answered(START + SECOND, fatal);
-    assert_eq!(started.unsaved(), vec![fatal]);
-    assert_eq!(started.to_save(START, fatal), None, "it is taken out");
 }
 
-/// Words may come in any order, twice, and late: what is known in the end is the same.
+/// Records may arrive late, twice and in any order: the merged record must be the same.
 #[test]
-fn words_in_any_order_come_to_the_same() {
+fn records_merge_to_the_same_result_in_any_order() {
     use rand::rngs::StdRng;
     use rand::seq::{IndexedRandom, SliceRandom};
     use rand::SeedableRng;
@@ -227,9 +235,9 @@
     let fatal = request("fatal");
     for seed in 0..200 {
         let rng = &mut StdRng::seed_from_u64(seed);
-        let mut words: Vec<SuspectRecord> = Vec::new();
-        for (i, by) in ["a", "b", "c", "d"].iter().enumerate() {
-            let mut table = SuspectTable::new(by);
+        let mut records: Vec<SuspectRecord> = Vec::new();
+        for (i, instance) in ["a", "b", "c", "d"].iter().enumerate() {
+            let mut table = SuspectTable::new(instance);
             for incarnation in
                 ["u1", "u2", "u3", "u4", "u5", "u6", "u7", "u8", "u9", "v1"].choose_multiple(rng, 4)
             {
@@ -239,37 +247,41 @@
             if i == 3 && seed % 2 == 0 {
                 table.request_answered(START, fatal);
             }
-            words.extend(table.record(START, fatal));
+            records.extend(table.record(START, fatal));
         }
-        words.extend(words.clone());
-        let mut end = |by: &str| {
-            words.shuffle(rng);
-            let mut table = SuspectTable::new(by);
-            for word in &words {
-                table.merge(START, word, true);
+        records.extend(records.clone());
+        let mut merged = |instance: &str| {
+            records.shuffle(rng);
+            let mut table = SuspectTable::new(instance);
+            for record in &records {
+                table.merge(START, record, true);
             }
-            let word = table.record(START, fatal).expect("heard of");
-            let incarnations = word.crashes.iter().map(|e| e.incarnation.clone());
-            (word.answers, word.trials, incarnations.collect::<Vec<_>>())
+            let record = table.record(START, fatal).expect("it was merged");
+            let incarnations = record.crashes.iter().map(|c| c.incarnation.clone());
+            (
+                record.answers,
+                record.trials,
+                incarnations.collect::<Vec<_>>(),
+            )
         };
-        assert_eq!(end("x"), end("y"), "seed {seed}");
+        assert_eq!(merged("x"), merged("y"), "seed {seed}");
     }
 }
 
 /// Guards against refusing harmless requests that are in flight together with a fatal one: each is
-/// present at no more than two ends, the fatal one at all of them.
+/// present at no more than two crashes, the fatal one at all of them.
 #[test]
-fn only_the_request_present_at_every_end_is_refused() {
+fn only_the_request_present_at_every_crash_is_refused() {
     const CONCURRENT: usize = 20;
     let fatal = request("fatal");
     let mut table = SuspectTable::new("a");
-    for end in 0..8 {
-        let now = START + end * SECOND;
-        let incarnation = format!("u{end}");
-        let concurrent = (0..CONCURRENT).map(|i| request(&format!("{end} {i}")));
-        // Half of the requests that broke at the previous end are retried once.
+    for crash in 0..8 {
+        let now = START + crash * SECOND;
+        let incarnation = format!("u{crash}");
+        let concurrent = (0..CONCURRENT).map(|i| request(&format!("{crash} {i}")));
+        // Half of the requests that broke at the previous crash are retried once.
         let retried =
-            (0..CONCURRENT / 2).map(|i| request(&format!("{} {i}", end.saturating_sub(1))));
+            (0..CONCURRENT / 2).map(|i| request(&format!("{} {i}", crash.saturating_sub(1))));
         for digest in concurrent.chain(retried).chain([fatal]) {
             table.connection_broke(now, &incarnation, digest);
         }
@@ -277,10 +289,14 @@
     }
     let now = START + 8 * SECOND;
     assert_eq!(table.refused_count(), 1);
-    assert!(!is_free(&mut table, now, fatal));
-    for end in 0..8 {
+    assert!(!is_allowed(&mut table, now, fatal));
+    for crash in 0..8 {
         for i in 0..CONCURRENT {
-            assert!(is_free(&mut table, now, request(&format!("{end} {i}"))));
+            assert!(is_allowed(
+                &mut table,
+                now,
+                request(&format!("{crash} {i}"))
+            ));
         }
     }
 }
