--- a/crates/suspect/src/table.rs
+++ b/crates/suspect/src/table.rs
@@ -66,7 +66,7 @@
 pub enum Admission {
     /// It may be sent.
     Allowed,
-    /// It may be sent as a trial, if its first owner grants that.
+    /// It may be sent as a trial, if an owner of its record grants that.
     TrialDue(CrashHistory),
     /// It must not be sent.
     Refused(CrashHistory),
@@ -83,7 +83,7 @@
 /// The requests that were running on upstreams when these crashed, as one instance knows them.
 ///
 /// A few instances own the record of a request: they combine what the others report, and the first
-/// of them grants trials.
+/// of them that can be reached grants trials.
 #[derive(Debug, Default)]
 pub struct SuspectTable {
     /// The name of this instance.
@@ -99,7 +99,7 @@
 }
 
 impl SuspectTable {
-    /// Returns the empty table of an instance.
+    /// Returns an empty table for an instance.
     pub fn new(instance: &str) -> SuspectTable {
         SuspectTable {
             instance: instance.to_string(),
@@ -209,8 +209,8 @@
         crashes + self.broken_connections.incarnation_count(digest)
     }
 
-    /// Decides, at the first owner of a request, whether a trial may be made now, and counts it.
-    /// The next trial is due only after its delay, so one instance at a time makes a trial.
+    /// Decides, at the owner that was asked, whether a trial may be made now, and counts it. The
+    /// next trial is due only after its delay, so one instance at a time makes a trial.
     pub fn grant_trial(&mut self, now: u64, digest: Digest) -> bool {
         let Some(entry) = self.entries.get_mut(&digest) else {
             return false;
