--- a/crates/escrow/src/home.rs
+++ b/crates/escrow/src/home.rs
@@ -17,27 +17,27 @@
 const DRAWS_MOST: u64 = 250;
 /// Instances that are asked: the home, and those that take its place when it does not answer, or is cut off from
 /// the store. With half of a fleet cut off, three of them are in one case of eight.
-pub const ASKED: usize = 3;
+pub const HOME_CANDIDATES: usize = 3;
 
 /// Returns whether a customer's draws a second are more than one instance answers.
-pub fn is_crowded(draws_per_sec: u64) -> bool {
+pub fn exceeds_home_capacity(draws_per_sec: u64) -> bool {
     draws_per_sec > DRAWS_MOST
 }
 
 /// Returns which of some instances hold a customer's tokens, the one to ask first at first.
 ///
 /// An instance is known by the hash of the name that it keeps over restarts.
-pub fn homes<'a, T>(
+pub fn home_candidates<'a, T>(
     customer: &str,
     instances: impl IntoIterator<Item = &'a T>,
     hash_of: impl Fn(&T) -> u64,
-) -> SmallVec<[&'a T; ASKED]> {
+) -> SmallVec<[&'a T; HOME_CANDIDATES]> {
     let seed = xxh3_64_with_seed(customer.as_bytes(), 0);
-    first_by_rank(seed, instances, hash_of)
+    rendezvous_select(seed, instances, hash_of)
 }
 
 /// Returns the first instances of an order that depends on a seed.
-pub fn first_by_rank<'a, T, const N: usize>(
+pub fn rendezvous_select<'a, T, const N: usize>(
     seed: u64,
     instances: impl IntoIterator<Item = &'a T>,
     hash_of: impl Fn(&T) -> u64,
--- a/crates/escrow/src/lib.rs
+++ b/crates/escrow/src/lib.rs
@@ -9,16 +9,16 @@
 //!
 //! No I/O, clock or randomness: the time comes in with each event, in milliseconds.
 
-mod holding;
 mod home;
 mod keep;
+mod local_budget;
 mod rate;
 mod record;
 mod sizes;
 mod totals;
 
-pub use holding::{Holding, Known, Short};
-pub use home::{first_by_rank, homes, is_crowded, ASKED};
+pub use home::{exceeds_home_capacity, home_candidates, rendezvous_select, HOME_CANDIDATES};
+pub use local_budget::{LocalBudget, RecordSnapshot, ReserveError};
 pub use rate::Rate;
-pub use record::{Book, Line, Record};
-pub use totals::Told;
+pub use record::{BudgetRecord, Ledger, LedgerEntry};
+pub use totals::CumulativeTotal;
--- a/crates/escrow/src/holding.rs
+++ b/crates/escrow/src/local_budget.rs
@@ -2,9 +2,9 @@
 
 use crate::keep::Keep;
 use crate::rate::{part, Rate};
-use crate::record::{Line, Record};
+use crate::record::{BudgetRecord, LedgerEntry};
 use crate::sizes::{Half, Sizes};
-use crate::totals::{Told, Totals};
+use crate::totals::{CumulativeTotal, Totals};
 
 /// Demand that a grant covers, in milliseconds: the store may be out of reach for nine seconds and
 /// more, and nothing can be taken meanwhile. What a crash strands grows with it.
@@ -30,18 +30,18 @@
 
 /// What is known of the record.
 #[derive(Clone, Debug)]
-pub struct Known {
+pub struct RecordSnapshot {
     /// The record.
-    pub record: Record,
+    pub record: BudgetRecord,
     /// The store's revision of it; 0 when it does not exist yet.
     pub revision: i64,
     /// When it was read, in milliseconds.
-    pub at: u64,
+    pub read_at: u64,
 }
 
 /// Why tokens can't be reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Short {
+pub enum ReserveError {
     /// What is spent on record and the request together pass what is prepaid.
     Exhausted,
     /// Tokens may remain elsewhere.
@@ -53,10 +53,10 @@
 
 /// One customer's tokens at one instance.
 #[derive(Clone, Debug, Default)]
-pub struct Holding {
+pub struct LocalBudget {
     prepaid: u64,
     /// The own line, as the store confirmed it.
-    line: Line,
+    line: LedgerEntry,
     /// Charged for this incarnation in lines that are no longer in the book.
     carried: u64,
     /// Spent by the word of those lines, at most: nobody knows which of their writes landed.
@@ -85,20 +85,20 @@
     asked_at: Option<u64>,
     /// Tokens that waiting requests lack.
     lacking: u64,
-    known: Option<Known>,
+    known: Option<RecordSnapshot>,
     reported_at: u64,
     /// Time in which service is to be back after a loss of all instances, in milliseconds.
     recovery_ms: Option<u64>,
 }
 
-impl Holding {
+impl LocalBudget {
     /// Sets what is prepaid.
     pub fn set_prepaid(&mut self, prepaid: u64) {
         self.prepaid = prepaid;
     }
 
     /// Sets the time in which service is to be back after a loss of all instances, in milliseconds.
-    pub fn set_recovery(&mut self, recovery_ms: u64) {
+    pub fn set_recovery_time(&mut self, recovery_ms: u64) {
         self.recovery_ms = Some(recovery_ms);
     }
 
@@ -138,14 +138,14 @@
     }
 
     /// Counts a request's demand.
-    pub fn ask(&mut self, now: u64, tokens: u64) {
+    pub fn add_demand(&mut self, now: u64, tokens: u64) {
         self.demand.add(now, tokens);
         self.first_asked_at.get_or_insert(now);
         self.asked_at = Some(now);
     }
 
     /// Counts a request by the whole of what it can cost.
-    pub fn note_size(&mut self, now: u64, tokens: u64) {
+    pub fn add_request_size(&mut self, now: u64, tokens: u64) {
         self.sizes.add(now, tokens);
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// Returns the demand of all instances, in tokens a second.
-    fn rates(&self, now: u64, record: &Record) -> u64 {
-        record.rate.saturating_sub(self.line.rate) + self.demand.get(now)
+    fn rates(&self, now: u64, record: &BudgetRecord) -> u64 {
+        record.rate.saturating_sub(self.line.rate) + self.demand.per_second(now)
     }
 
     /// Returns what the requests need after a restart of all instances; all of it where nothing is known of their sizes.
@@ -192,7 +192,7 @@
     }
 
     /// Reserves as many of some tokens as there are, and returns how many.
-    pub fn reserve_part(&mut self, tokens: u64) -> u64 {
+    pub fn reserve_up_to(&mut self, tokens: u64) -> u64 {
         let part = tokens.min(self.usable());
         self.reserved += part;
         part
@@ -217,24 +217,24 @@
     }
 
     /// Returns whether tokens were spent that no line tells of yet.
-    pub fn has_untold(&self) -> bool {
+    pub fn has_unreported_spending(&self) -> bool {
         self.tellable() > self.planned
     }
 
     /// Passes the tokens spent that no line tells of yet on to the instance that this one draws from, which
     /// takes them into its own; returns the total passed on to it.
-    pub fn pass_on(&mut self, peer: &str) -> u64 {
+    pub fn forward_spending(&mut self, peer: &str) -> u64 {
         let news = self.tellable().saturating_sub(self.planned);
         self.passed.add(peer, news)
     }
 
     /// Returns the total of what is spent that was passed on to an instance so far.
-    pub fn passed_on(&self, peer: &str) -> u64 {
+    pub fn forwarded_spending(&self, peer: &str) -> u64 {
         self.passed.of(peer)
     }
 
     /// Takes the word of an instance that draws from this one on the total that it has passed on.
-    pub fn hear(&mut self, me: &str, told: &Told) {
+    pub fn receive_spending(&mut self, me: &str, told: &CumulativeTotal) {
         self.heard.raise(me, told);
     }
 
@@ -243,39 +243,39 @@
     /// # Panics
     ///
     /// Panics when more was reserved than ever was.
-    pub fn hand_over(&mut self, peer: &str, reserved: u64) -> u64 {
+    pub fn transfer_reserved(&mut self, peer: &str, reserved: u64) -> u64 {
         self.settle(reserved, 0);
         self.given.add(peer, reserved)
     }
 
     /// Counts tokens that a waiting request lacks.
-    pub fn lack(&mut self, tokens: u64) {
+    pub fn begin_wait(&mut self, tokens: u64) {
         self.lacking += tokens;
     }
 
     /// Counts the end of a wait.
-    pub fn lack_no_more(&mut self, tokens: u64) {
+    pub fn end_wait(&mut self, tokens: u64) {
         self.lacking = self.lacking.saturating_sub(tokens);
     }
 
     /// Returns the tokens that waiting requests lack beyond the balance.
-    pub fn missing(&self) -> u64 {
+    pub fn shortfall(&self) -> u64 {
         self.lacking.saturating_sub(self.usable())
     }
 
     /// Returns why a request of some tokens is refused.
-    pub fn refusal(&self, tokens: u64) -> Short {
+    pub fn reserve_error(&self, tokens: u64) -> ReserveError {
         if self.spent_known() + tokens > self.prepaid {
-            Short::Exhausted
+            ReserveError::Exhausted
         } else {
             let free = self.free() >= tokens;
-            Short::OutOfReach { free }
+            ReserveError::OutOfReach { free }
         }
     }
 
     /// Takes the record as the store has it.
-    pub fn learn(&mut self, known: Known) {
-        let newer = |k: &Known| k.revision > known.revision;
+    pub fn update_snapshot(&mut self, known: RecordSnapshot) {
+        let newer = |k: &RecordSnapshot| k.revision > known.revision;
         if !self.known.as_ref().is_some_and(newer) {
             self.known = Some(known);
         }
@@ -289,7 +289,7 @@
     /// # Panics
     ///
     /// Panics when a counter of the line went back: tokens could then be granted twice.
-    pub fn confirm(&mut self, line: Line, revision: i64) {
+    pub fn confirm_entry(&mut self, line: LedgerEntry, revision: i64) {
         let was = self.line;
         if line != was && self.known.as_ref().is_some_and(|k| k.revision < revision) {
             self.known = None;
@@ -306,28 +306,28 @@
     ///
     /// What stood there of this incarnation stays charged, but can't be handed back any more, also not
     /// what was debited for a write that has not landed.
-    pub fn replaced(&mut self, theirs: Line) {
+    pub fn on_foreign_ledger(&mut self, theirs: LedgerEntry) {
         let unconfirmed = self.returned - self.line.returned;
         self.carried += self.line.charged() - unconfirmed;
         self.returned = 0;
         self.told += self.planned;
         self.planned = 0;
         self.left_behind = theirs.charged().saturating_sub(theirs.spent);
-        self.line = Line {
+        self.line = LedgerEntry {
             rate: theirs.rate,
-            ..Line::default()
+            ..LedgerEntry::default()
         };
     }
 
     /// Returns the own line as the store confirmed it last.
-    pub fn line(&self) -> Line {
+    pub fn entry(&self) -> LedgerEntry {
         self.line
     }
 
     /// Returns whether the record as last read holds the own line. It does not when it shows a later write of the own line, by
     /// which tokens were handed back and whose answer was lost.
-    pub fn is_covered(&self) -> bool {
-        let covers = |k: &Known| k.record.charged >= self.line.charged();
+    pub fn snapshot_includes_entry(&self) -> bool {
+        let covers = |k: &RecordSnapshot| k.record.charged >= self.line.charged();
         self.known.as_ref().is_none_or(covers)
     }
 
@@ -338,8 +338,11 @@
     }
 
     /// Returns whether there is anything here to keep: requests, tokens, or a word on them.
-    pub fn has_work(&self, now: u64) -> bool {
-        !self.is_idle(now) || self.lacking > 0 || self.balance() > 0 || self.has_untold()
+    pub fn is_in_use(&self, now: u64) -> bool {
+        !self.is_idle(now)
+            || self.lacking > 0
+            || self.balance() > 0
+            || self.has_unreported_spending()
     }
 
     /// Returns whether it was not asked for tokens lately.
@@ -358,7 +361,7 @@
         let Some(known) = &self.known else {
             return 0;
         };
-        let rate = self.demand.get(now);
+        let rate = self.demand.per_second(now);
         let rates = self.rates(now, &known.record);
         let pool = self.pool(&known.record, rate, rates, sharers);
         let share = part(pool, rate, rates);
@@ -370,18 +373,18 @@
     /// the customer's home, or not, and one of `sharers`.
     ///
     /// Tokens to hand back are debited here at once: were the answer lost, the write may yet land.
-    pub fn plan(&mut self, now: u64, sharers: u64, home: bool) -> Option<Line> {
+    pub fn plan_update(&mut self, now: u64, sharers: u64, home: bool) -> Option<LedgerEntry> {
         let holds = home || !self.is_idle(now);
         let target = if holds { self.target(now, sharers) } else { 0 };
         let known = self.known.as_ref()?;
         let free = self.prepaid.saturating_sub(known.record.charged);
         let have = self.balance();
         let missing = self.lacking.saturating_sub(have);
-        let mut line = Line {
+        let mut line = LedgerEntry {
             granted: self.line.granted,
             returned: self.returned,
             spent: self.tellable(),
-            rate: self.demand.get(now),
+            rate: self.demand.per_second(now),
         };
         let low = have < target * LOW_PCT / 100 && target - have >= STEP_LEAST;
         if (low || missing > 0) && free > 0 {
@@ -408,12 +411,12 @@
 
     /// Returns the own line with everything handed back that can be, unless the store has it so: the last
     /// word before a stop.
-    pub fn leave(&mut self) -> Option<Line> {
+    pub fn plan_shutdown(&mut self) -> Option<LedgerEntry> {
         self.known.as_ref()?;
         let back = self.balance();
         let back = back.min(self.line.granted.saturating_sub(self.returned));
         self.returned += back;
-        let line = Line {
+        let line = LedgerEntry {
             granted: self.line.granted,
             returned: self.returned,
             spent: self.tellable(),
@@ -424,20 +427,27 @@
     }
 
     /// Returns the record as last read.
-    pub fn known(&self) -> Option<&Known> {
+    pub fn snapshot(&self) -> Option<&RecordSnapshot> {
         self.known.as_ref()
     }
 
     /// Returns the demand, in tokens a second.
     pub fn rate(&self, now: u64) -> u64 {
-        self.demand.get(now)
+        self.demand.per_second(now)
     }
 
     /// Debits tokens for another instance, which asks for `wanted` and has `balance` left at a
     /// demand of `rate`: so many that both then last equally long. Returns the total given to it.
-    pub fn give(&mut self, now: u64, peer: &str, wanted: u64, balance: u64, rate: u64) -> u64 {
+    pub fn transfer_share(
+        &mut self,
+        now: u64,
+        peer: &str,
+        wanted: u64,
+        balance: u64,
+        rate: u64,
+    ) -> u64 {
         let own = self.usable().saturating_sub(self.lacking);
-        let own_rate = self.demand.get(now).max(1);
+        let own_rate = self.demand.per_second(now).max(1);
         let theirs = part(own + balance, rate, rate + own_rate);
         let give = theirs.saturating_sub(balance).max(wanted).min(own);
         self.given.add(peer, give)
@@ -445,32 +455,32 @@
 
     /// Debits all tokens that are not reserved, for another instance: an instance that leaves while the
     /// store is out of reach would strand them. Returns the total given to it.
-    pub fn give_all(&mut self, peer: &str) -> u64 {
+    pub fn transfer_all(&mut self, peer: &str) -> u64 {
         self.given.add(peer, self.balance())
     }
 
     /// Debits what requests have left here, for the home; returns the total given to it. What this instance
     /// holds for others in the home's place stays.
-    pub fn give_rest(&mut self, now: u64, home: &str) -> u64 {
+    pub fn transfer_idle(&mut self, now: u64, home: &str) -> u64 {
         let keeps = self.lacking > 0 || !self.is_idle(now);
         let rest = if keeps { 0 } else { self.balance() };
         self.given.add(home, rest)
     }
 
     /// Returns whether requests wait for tokens.
-    pub fn lacks(&self) -> bool {
+    pub fn has_waiting_requests(&self) -> bool {
         self.lacking > 0
     }
 
     /// Takes the word of another instance on the total that it has given to this one; returns how much of it
     /// is new.
-    pub fn receive(&mut self, me: &str, told: &Told) -> u64 {
+    pub fn receive_tokens(&mut self, me: &str, told: &CumulativeTotal) -> u64 {
         self.received.raise(me, told)
     }
 
     /// Returns the tokens that grants may hold together, at the own demand and that of all: what there is beyond those
     /// that the customer goes on with after a loss of all instances.
-    fn pool(&self, record: &Record, rate: u64, rates: u64, sharers: u64) -> u64 {
+    fn pool(&self, record: &BudgetRecord, rate: u64, rates: u64, sharers: u64) -> u64 {
         let own = self.balance() + self.reserved;
         // What other living instances hold is not known here: by their demand, and never what the dead hold too.
         let unspent = record.charged.saturating_sub(record.spent);
--- a/crates/escrow/src/rate.rs
+++ b/crates/escrow/src/rate.rs
@@ -26,7 +26,7 @@
     }
 
     /// Returns the tokens a second.
-    pub fn get(&self, now: u64) -> u64 {
+    pub fn per_second(&self, now: u64) -> u64 {
         let Some(since) = self.since else {
             return 0;
         };
--- a/crates/escrow/src/record.rs
+++ b/crates/escrow/src/record.rs
@@ -9,7 +9,7 @@
 
 /// What one incarnation has to do with a budget; all but the rate only grow.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LedgerEntry {
     /// Tokens that it took from the budget.
     #[serde(rename = "g")]
     pub granted: u64,
@@ -24,7 +24,7 @@
     pub rate: u64,
 }
 
-impl Line {
+impl LedgerEntry {
     /// Returns the tokens that are charged for it.
     ///
     /// # Panics
@@ -38,7 +38,7 @@
 
 /// A customer's record: what all incarnations that ever were have to do with the budget.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct BudgetRecord {
     /// Tokens that are charged to the budget.
     #[serde(rename = "c")]
     pub charged: u64,
@@ -50,13 +50,13 @@
     pub rate: u64,
 }
 
-impl Record {
+impl BudgetRecord {
     /// Reads a record as it stands in the store.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with it.
-    pub fn parse(value: &[u8]) -> Result<Record, String> {
+    pub fn parse(value: &[u8]) -> Result<BudgetRecord, String> {
         parse(value)
     }
 
@@ -71,13 +71,13 @@
     ///
     /// Panics when a counter of the line would go back, or a sum below it: the write would take tokens
     /// from the record that somebody may spend.
-    pub fn with(&self, old: Line, new: Line) -> Record {
+    pub fn with_entry(&self, old: LedgerEntry, new: LedgerEntry) -> BudgetRecord {
         assert!(
             new.granted >= old.granted && new.returned >= old.returned && new.spent >= old.spent,
             "counters of a line only grow"
         );
         let others = self.charged.checked_sub(old.charged());
-        Record {
+        BudgetRecord {
             charged: others.expect("a line is part of its sum") + new.charged(),
             spent: self.spent + (new.spent - old.spent),
             // No tokens hang on it: one that is off corrects itself with the next writes.
@@ -88,24 +88,24 @@
 
 /// One instance's lines, by customer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Book {
+pub struct Ledger {
     /// The incarnation whose lines they are.
     #[serde(rename = "i")]
     pub owner: String,
     /// Its lines.
     #[serde(rename = "l")]
-    pub lines: BTreeMap<String, Line>,
+    pub entries: BTreeMap<String, LedgerEntry>,
 }
 
-impl Book {
+impl Ledger {
     /// Reads a book as it stands in the store.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with it.
-    pub fn parse(value: &[u8]) -> Result<Book, String> {
-        let book: Book = parse(value)?;
-        if book.lines.values().any(|l| l.granted < l.returned) {
+    pub fn parse(value: &[u8]) -> Result<Ledger, String> {
+        let book: Ledger = parse(value)?;
+        if book.entries.values().any(|l| l.granted < l.returned) {
             return Err("a line has more handed back than taken".to_string());
         }
         Ok(book)
@@ -117,8 +117,8 @@
     }
 
     /// Returns a customer's line.
-    pub fn line(&self, customer: &str) -> Line {
-        self.lines.get(customer).copied().unwrap_or_default()
+    pub fn entry(&self, customer: &str) -> LedgerEntry {
+        self.entries.get(customer).copied().unwrap_or_default()
     }
 }
 
--- a/crates/escrow/src/totals.rs
+++ b/crates/escrow/src/totals.rs
@@ -5,6 +5,7 @@
 //! comes next brings what the lost ones did not, and none brings anything twice.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
@@ -12,8 +13,8 @@
 ///
 /// It concerns two incarnations. One that starts again at the same address must not take a word to its
 /// predecessor, which has taken most of the total already.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+#[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct CumulativeTotal {
     /// The incarnation that tells.
     pub from: String,
     /// The incarnation that is told.
@@ -22,6 +23,17 @@
     pub total: u64,
 }
 
+/// Log lines about transfers between instances print this type as `Told`.
+impl fmt::Debug for CumulativeTotal {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Told")
+            .field("from", &self.from)
+            .field("to", &self.to)
+            .field("total", &self.total)
+            .finish()
+    }
+}
+
 /// Totals by instance, which is known by its incarnation.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Totals {
@@ -49,7 +61,7 @@
     }
 
     /// Takes a word to the incarnation `me`; returns what is new of it.
-    pub(crate) fn raise(&mut self, me: &str, told: &Told) -> u64 {
+    pub(crate) fn raise(&mut self, me: &str, told: &CumulativeTotal) -> u64 {
         if told.to != me {
             return 0;
         }
--- a/crates/escrow/tests/fleet/cases.rs
+++ b/crates/escrow/tests/fleet/cases.rs
@@ -4,7 +4,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use escrow::{Holding, Known, Line, Record, Told};
+use escrow::{BudgetRecord, CumulativeTotal, LedgerEntry, LocalBudget, RecordSnapshot};
 
 use crate::store::{Node, Store, CUSTOMER};
 
@@ -14,8 +14,8 @@
     xxh3_64(name.as_bytes())
 }
 
-pub(crate) fn tell(from: &str, to: &str, total: u64) -> Told {
-    Told {
+pub(crate) fn tell(from: &str, to: &str, total: u64) -> CumulativeTotal {
+    CumulativeTotal {
         from: from.to_string(),
         to: to.to_string(),
         total,
@@ -31,9 +31,12 @@
 #[test]
 fn a_take_that_lands_late_counts_once() {
     let (mut store, mut node) = alone(1_000_000);
-    node.holding.ask(0, 10_000);
+    node.holding.add_demand(0, 10_000);
     node.read(&store, 0);
-    let line = node.holding.plan(0, ALONE, true).expect("wants tokens");
+    let line = node
+        .holding
+        .plan_update(0, ALONE, true)
+        .expect("wants tokens");
     let late = node.write(line);
     node.read(&store, 10);
     assert_eq!(node.holding.balance(), 0, "nothing is covered yet");
@@ -48,31 +51,37 @@
 #[test]
 fn a_record_without_returned_tokens_waits_for_the_book() {
     let (mut store, mut node) = alone(1_000_000);
-    node.holding.ask(0, 50_000);
+    node.holding.add_demand(0, 50_000);
     node.read(&store, 0);
-    let line = node.holding.plan(0, ALONE, true).expect("wants tokens");
+    let line = node
+        .holding
+        .plan_update(0, ALONE, true)
+        .expect("wants tokens");
     node.commit(&mut store, line, 1);
-    assert!(node.holding.is_covered());
-    let line = node.holding.plan(60_000, ALONE, true);
+    assert!(node.holding.snapshot_includes_entry());
+    let line = node.holding.plan_update(60_000, ALONE, true);
     let line = line.expect("hands tokens back");
     assert!(line.returned > 0);
     assert!(store.commit(&node.write(line)), "without an answer");
     let (revision, record) = store.record;
-    node.holding.learn(Known {
+    node.holding.update_snapshot(RecordSnapshot {
         record,
         revision,
-        at: 60_010,
+        read_at: 60_010,
     });
-    assert!(!node.holding.is_covered(), "the book is read again first");
+    assert!(
+        !node.holding.snapshot_includes_entry(),
+        "the book is read again first"
+    );
     let (revision, book) = store.book("one");
     node.book = Some(revision);
-    node.holding.confirm(book.line(CUSTOMER), revision);
-    assert!(node.holding.is_covered());
-    node.holding.ask(60_020, 50_000);
-    node.holding.lack(50_000);
-    let line = node.holding.plan(60_020, ALONE, true);
+    node.holding.confirm_entry(book.entry(CUSTOMER), revision);
+    assert!(node.holding.snapshot_includes_entry());
+    node.holding.add_demand(60_020, 50_000);
+    node.holding.begin_wait(50_000);
+    let line = node.holding.plan_update(60_020, ALONE, true);
     node.commit(&mut store, line.expect("wants tokens"), 60_030);
-    assert_eq!(store.record.1.charged, node.holding.line().charged());
+    assert_eq!(store.record.1.charged, node.holding.entry().charged());
 }
 
 /// Symptom: an instance ends itself, "a line is part of its sum". Sequence: a take for one customer lands
@@ -81,24 +90,30 @@
 #[test]
 fn a_line_that_is_newer_than_its_record_waits_for_it() {
     let (mut store, mut node) = alone(1_000_000);
-    node.holding.ask(0, 50_000);
+    node.holding.add_demand(0, 50_000);
     node.read(&store, 0);
-    let line = node.holding.plan(0, ALONE, true).expect("wants tokens");
+    let line = node
+        .holding
+        .plan_update(0, ALONE, true)
+        .expect("wants tokens");
     assert!(store.commit(&node.write(line)), "without an answer");
     let (revision, book) = store.book("one");
     node.book = Some(revision);
-    node.holding.confirm(book.line(CUSTOMER), revision);
+    node.holding.confirm_entry(book.entry(CUSTOMER), revision);
     assert_eq!(node.holding.balance(), line.granted, "they count at once");
-    node.holding.lack(200_000);
-    assert_eq!(node.holding.plan(5_000, ALONE, true), None);
-    assert!(node.holding.known().is_none(), "to be read again");
+    node.holding.begin_wait(200_000);
+    assert_eq!(node.holding.plan_update(5_000, ALONE, true), None);
+    assert!(node.holding.snapshot().is_none(), "to be read again");
     let (revision, record) = store.record;
-    node.holding.learn(Known {
+    node.holding.update_snapshot(RecordSnapshot {
         record,
         revision,
-        at: 5_000,
+        read_at: 5_000,
     });
-    let line = node.holding.plan(5_000, ALONE, true).expect("wants more");
+    let line = node
+        .holding
+        .plan_update(5_000, ALONE, true)
+        .expect("wants more");
     node.commit(&mut store, line, 5_010);
 }
 
@@ -108,15 +123,18 @@
 fn tokens_on_their_way_back_are_not_spent() {
     let (mut store, mut node) = alone(1_000_000);
     for t in 0..20 {
-        node.holding.ask(t * 100, 20_000);
+        node.holding.add_demand(t * 100, 20_000);
     }
     node.read(&store, 2_000);
-    let line = node.holding.plan(2_000, ALONE, true).expect("wants tokens");
+    let line = node
+        .holding
+        .plan_update(2_000, ALONE, true)
+        .expect("wants tokens");
     node.commit(&mut store, line, 2_010);
     let before = node.holding.balance();
     let back = node
         .holding
-        .plan(60_000, ALONE, true)
+        .plan_update(60_000, ALONE, true)
         .expect("too much by now");
     assert!(back.returned > 0);
     assert_eq!(node.holding.balance(), before - back.returned);
@@ -129,10 +147,13 @@
 fn a_lowered_budget_binds_what_was_granted_before() {
     let (mut store, mut node) = alone(100_000_000);
     for t in 0..20 {
-        node.holding.ask(t * 100, 20_000);
+        node.holding.add_demand(t * 100, 20_000);
     }
     node.read(&store, 2_000);
-    let line = node.holding.plan(2_000, ALONE, true).expect("wants tokens");
+    let line = node
+        .holding
+        .plan_update(2_000, ALONE, true)
+        .expect("wants tokens");
     node.commit(&mut store, line, 2_010);
     assert!(line.granted > 100_000);
     node.holding.set_prepaid(50_000);
@@ -147,24 +168,27 @@
 fn a_line_that_was_replaced_stays_charged_and_usable() {
     let (mut store, mut node) = alone(1_000_000);
     node.read(&store, 0);
-    node.holding.ask(0, 50_000);
-    let line = node.holding.plan(0, ALONE, true).expect("wants tokens");
+    node.holding.add_demand(0, 50_000);
+    let line = node
+        .holding
+        .plan_update(0, ALONE, true)
+        .expect("wants tokens");
     node.commit(&mut store, line, 1);
     assert!(node.holding.reserve(20_000));
     node.holding.settle(20_000, 20_000);
     let told = node
         .holding
-        .plan(60_000, ALONE, true)
+        .plan_update(60_000, ALONE, true)
         .expect("news for others");
     node.commit(&mut store, told, 60_001);
 
     let mut second = Node::new("one", "one.2", 1_000_000);
     second.read(&store, 60_010);
     assert_eq!(second.holding.balance(), 0, "the first one's are not its");
-    second.holding.lack(30_000);
+    second.holding.begin_wait(30_000);
     let own = second
         .holding
-        .plan(60_010, ALONE, true)
+        .plan_update(60_010, ALONE, true)
         .expect("wants tokens");
     let charged = store.record.1.charged;
     second.commit(&mut store, own, 60_011);
@@ -173,8 +197,11 @@
     let before = node.holding.balance();
     node.read(&store, 60_020);
     assert_eq!(node.holding.balance(), before, "still usable");
-    node.holding.lack(before + 100_000);
-    let line = node.holding.plan(60_030, ALONE, true).expect("wants more");
+    node.holding.begin_wait(before + 100_000);
+    let line = node
+        .holding
+        .plan_update(60_030, ALONE, true)
+        .expect("wants more");
     node.commit(&mut store, line, 60_031);
     assert_eq!(node.holding.balance(), before + line.granted);
     assert_eq!(store.record.1.spent, 20_000, "told once");
@@ -187,16 +214,22 @@
 fn a_restart_replaces_the_demand_of_its_predecessor() {
     let (mut store, mut node) = alone(1_000_000_000);
     for t in 0..20 {
-        node.holding.ask(t * 100, 20_000);
+        node.holding.add_demand(t * 100, 20_000);
     }
     node.read(&store, 2_000);
-    let line = node.holding.plan(2_000, ALONE, true).expect("wants tokens");
+    let line = node
+        .holding
+        .plan_update(2_000, ALONE, true)
+        .expect("wants tokens");
     node.commit(&mut store, line, 2_010);
     assert_eq!(store.record.1.rate, line.rate);
     let mut next = Node::new("one", "one.2", 1_000_000_000);
     next.read(&store, 3_000);
-    next.holding.ask(3_000, 10_000);
-    let line = next.holding.plan(3_000, ALONE, true).expect("wants tokens");
+    next.holding.add_demand(3_000, 10_000);
+    let line = next
+        .holding
+        .plan_update(3_000, ALONE, true)
+        .expect("wants tokens");
     next.commit(&mut store, line, 3_010);
     assert_eq!(store.record.1.rate, line.rate);
 }
@@ -209,7 +242,7 @@
     for i in 0..100 {
         let mut node = Node::new(&format!("n{i}"), &format!("n{i}.1"), 1_000_000_000);
         node.read(&store, 0);
-        if let Some(line) = node.holding.plan(0, 100, true) {
+        if let Some(line) = node.holding.plan_update(0, 100, true) {
             node.commit(&mut store, line, 0);
         }
     }
@@ -220,48 +253,54 @@
 /// taken for what is spent.
 #[test]
 fn only_spent_tokens_make_a_budget_exhausted() {
-    let mut holding = Holding::default();
+    let mut holding = LocalBudget::default();
     holding.set_prepaid(100_000);
-    let lost = Line {
+    let lost = LedgerEntry {
         granted: 95_000,
-        ..Line::default()
+        ..LedgerEntry::default()
     };
-    let record = Record::default().with(Line::default(), lost);
-    let known = Known {
+    let record = BudgetRecord::default().with_entry(LedgerEntry::default(), lost);
+    let known = RecordSnapshot {
         record,
         revision: 1,
-        at: 0,
+        read_at: 0,
     };
-    holding.learn(known);
-    let elsewhere = escrow::Short::OutOfReach { free: false };
-    assert_eq!(holding.refusal(20_000), elsewhere);
-    let spent = Line {
+    holding.update_snapshot(known);
+    let elsewhere = escrow::ReserveError::OutOfReach { free: false };
+    assert_eq!(holding.reserve_error(20_000), elsewhere);
+    let spent = LedgerEntry {
         granted: 95_000,
         spent: 90_000,
-        ..Line::default()
+        ..LedgerEntry::default()
     };
-    let known = Known {
-        record: record.with(lost, spent),
+    let known = RecordSnapshot {
+        record: record.with_entry(lost, spent),
         revision: 2,
-        at: 0,
+        read_at: 0,
     };
-    holding.learn(known);
-    assert_eq!(holding.refusal(20_000), escrow::Short::Exhausted);
+    holding.update_snapshot(known);
+    assert_eq!(
+        holding.reserve_error(20_000),
+        escrow::ReserveError::Exhausted
+    );
 }
 
 /// Symptom: a stop writes the same lines twice. Cause: the last word did not look at what the store had.
 #[test]
 fn a_last_word_that_the_store_has_is_not_said_again() {
     let (mut store, mut node) = alone(1_000_000);
-    assert_eq!(node.holding.leave(), None, "nothing is known");
+    assert_eq!(node.holding.plan_shutdown(), None, "nothing is known");
     node.read(&store, 0);
-    node.holding.lack(50_000);
-    let line = node.holding.plan(0, ALONE, true).expect("wants tokens");
+    node.holding.begin_wait(50_000);
+    let line = node
+        .holding
+        .plan_update(0, ALONE, true)
+        .expect("wants tokens");
     node.commit(&mut store, line, 1);
-    let last = node.holding.leave().expect("tokens to hand back");
+    let last = node.holding.plan_shutdown().expect("tokens to hand back");
     assert_eq!(last.returned, last.granted);
     node.commit(&mut store, last, 2);
-    assert_eq!(node.holding.leave(), None);
+    assert_eq!(node.holding.plan_shutdown(), None);
     assert_eq!(store.record.1.charged, 0);
 }
 
@@ -271,7 +310,7 @@
 fn a_large_zone_has_one_home_for_a_customer_and_spreads_customers() {
     let names = |n: usize| (0..n).map(|i| format!("n{i}")).collect::<Vec<_>>();
     let homes = |customer: &str, zone: &[String]| -> Vec<String> {
-        let homes = escrow::homes(customer, zone, |n| hash(n));
+        let homes = escrow::home_candidates(customer, zone, |n| hash(n));
         homes.into_iter().cloned().collect()
     };
     let zone = names(30);
@@ -279,7 +318,7 @@
     for c in 0..300 {
         let customer = format!("c{c}");
         let asked = homes(&customer, &zone);
-        assert_eq!(asked.len(), escrow::ASKED);
+        assert_eq!(asked.len(), escrow::HOME_CANDIDATES);
         *firsts.entry(asked[0].clone()).or_insert(0) += 1;
         // One that leaves moves its own customers only, to the instance that was asked second.
         let left: Vec<String> = zone.iter().filter(|n| **n != asked[0]).cloned().collect();
@@ -304,14 +343,14 @@
     // Prompts of 10,000 tokens, ten a second: 100,000 tokens a second.
     for i in 0..90 {
         let now = i * 100;
-        node.holding.ask(now, 10_000);
+        node.holding.add_demand(now, 10_000);
         if !node.holding.reserve(10_000) {
-            node.holding.lack(10_000);
-            if let Some(line) = node.holding.plan(now, ALONE, true) {
+            node.holding.begin_wait(10_000);
+            if let Some(line) = node.holding.plan_update(now, ALONE, true) {
                 node.commit(&mut store, line, now);
                 writes += 1;
             }
-            node.holding.lack_no_more(10_000);
+            node.holding.end_wait(10_000);
             if !node.holding.reserve(10_000) {
                 continue;
             }
@@ -330,28 +369,35 @@
 fn tokens_of_a_lost_answer_come_with_the_next_one() {
     let (mut store, mut giver) = alone(1_000_000);
     giver.read(&store, 0);
-    giver.holding.lack(90_000);
-    let line = giver.holding.plan(0, ALONE, true).expect("wants tokens");
+    giver.holding.begin_wait(90_000);
+    let line = giver
+        .holding
+        .plan_update(0, ALONE, true)
+        .expect("wants tokens");
     giver.commit(&mut store, line, 1);
-    giver.holding.lack_no_more(90_000);
+    giver.holding.end_wait(90_000);
     let mut taker = Node::new("t", "t.1", 1_000_000);
     let before = giver.holding.balance();
-    giver.holding.give(2, "t.1", 30_000, 0, 0);
-    let total = giver.holding.give(3, "t.1", 10_000, 0, 0);
+    giver.holding.transfer_share(2, "t.1", 30_000, 0, 0);
+    let total = giver.holding.transfer_share(3, "t.1", 10_000, 0, 0);
     let told = tell("n0.1", "t.1", total);
-    assert_eq!(taker.holding.receive("t.1", &told), 40_000);
-    assert_eq!(taker.holding.receive("t.1", &told), 0, "it came twice");
+    assert_eq!(taker.holding.receive_tokens("t.1", &told), 40_000);
+    assert_eq!(
+        taker.holding.receive_tokens("t.1", &told),
+        0,
+        "it came twice"
+    );
     assert_eq!(giver.holding.balance(), before - 40_000);
     // The same for what is told of spending.
     assert!(taker.holding.reserve(25_000));
     taker.holding.settle(25_000, 20_000);
-    taker.holding.pass_on("n0.1");
+    taker.holding.forward_spending("n0.1");
     assert!(taker.holding.reserve(5_000));
     taker.holding.settle(5_000, 5_000);
-    let told = tell("t.1", "n0.1", taker.holding.pass_on("n0.1"));
-    giver.holding.hear("n0.1", &told);
-    giver.holding.hear("n0.1", &told);
-    let line = giver.holding.leave().expect("a last word");
+    let told = tell("t.1", "n0.1", taker.holding.forward_spending("n0.1"));
+    giver.holding.receive_spending("n0.1", &told);
+    giver.holding.receive_spending("n0.1", &told);
+    let line = giver.holding.plan_shutdown().expect("a last word");
     assert_eq!(line.spent, 25_000);
 }
 
@@ -363,15 +409,15 @@
         let fleet: Vec<String> = (0..count).map(|i| format!("n{i}")).collect();
         let mut most = BTreeMap::new();
         for c in 0..333 {
-            let homes = escrow::homes(&format!("c{c}"), &fleet, |n| hash(n));
+            let homes = escrow::home_candidates(&format!("c{c}"), &fleet, |n| hash(n));
             *most.entry(homes[0].clone()).or_insert(0) += 1;
         }
         let most = most.values().max().expect("some homes");
         let mean = 333_usize.div_ceil(count);
         assert!(*most <= 2 * mean + 5, "{count}: {most} at one instance");
     }
-    assert!(!escrow::is_crowded(200));
-    assert!(escrow::is_crowded(300));
+    assert!(!escrow::exceeds_home_capacity(200));
+    assert!(escrow::exceeds_home_capacity(300));
 }
 
 /// Symptom: tokens stay charged at an instance that nobody asks any more. Sequence: a customer's home is out of
@@ -381,25 +427,32 @@
 fn an_instance_that_took_the_place_of_a_home_hands_all_back() {
     let (mut store, mut node) = alone(1_000_000);
     node.read(&store, 0);
-    node.holding.ask(0, 100_000);
-    node.holding.lack(100_000);
-    let line = node.holding.plan(0, ALONE, false).expect("wants tokens");
+    node.holding.add_demand(0, 100_000);
+    node.holding.begin_wait(100_000);
+    let line = node
+        .holding
+        .plan_update(0, ALONE, false)
+        .expect("wants tokens");
     node.commit(&mut store, line, 1);
-    node.holding.lack_no_more(100_000);
+    node.holding.end_wait(100_000);
     assert!(node.holding.reserve(100_000));
     node.holding.settle(100_000, 30_000);
     let held = node.holding.balance();
     assert!(held >= 70_000);
     assert_eq!(
-        node.holding.give_rest(1_000, "home.1"),
+        node.holding.transfer_idle(1_000, "home.1"),
         0,
         "it is asked still"
     );
-    let line = node.holding.plan(4_000, ALONE, false).expect("hands back");
+    let line = node
+        .holding
+        .plan_update(4_000, ALONE, false)
+        .expect("hands back");
     assert_eq!(line.returned, held);
     // What came from others goes to the home.
-    node.holding.receive("n0.1", &tell("home.1", "n0.1", 5_000));
-    assert_eq!(node.holding.give_rest(4_000, "home.1"), 5_000);
+    node.holding
+        .receive_tokens("n0.1", &tell("home.1", "n0.1", 5_000));
+    assert_eq!(node.holding.transfer_idle(4_000, "home.1"), 5_000);
 }
 
 /// Symptom: more tokens are spent than prepaid. Sequence: instances hand back to a home what requests left; it
@@ -407,13 +460,16 @@
 /// gave to the one before. Cause: a total was taken for news by a process that had not taken its beginning.
 #[test]
 fn a_word_to_an_earlier_incarnation_brings_nothing() {
-    let mut home = Holding::default();
+    let mut home = LocalBudget::default();
     home.set_prepaid(1_000_000);
     let told = tell("a.1", "home.1", 400_000);
-    assert_eq!(home.receive("home.2", &told), 0);
-    home.hear("home.2", &told);
+    assert_eq!(home.receive_tokens("home.2", &told), 0);
+    home.receive_spending("home.2", &told);
     assert_eq!(home.balance(), 0);
-    assert_eq!(home.receive("home.2", &tell("a.1", "home.2", 7_000)), 7_000);
+    assert_eq!(
+        home.receive_tokens("home.2", &tell("a.1", "home.2", 7_000)),
+        7_000
+    );
 }
 
 /// Symptom: a customer is refused through an outage of the store though a half of its budget is left, or after a
@@ -424,10 +480,13 @@
     let granted = |lasts_s: u64, recovery_ms| {
         let (store, mut node) = alone(100_000 * lasts_s);
         node.read(&store, 0);
-        node.holding.set_recovery(recovery_ms);
+        node.holding.set_recovery_time(recovery_ms);
         // 100,000 tokens a second.
-        (0..40).for_each(|i| node.holding.ask(i * 100, 10_000));
-        let line = node.holding.plan(4_000, ALONE, true).expect("wants tokens");
+        (0..40).for_each(|i| node.holding.add_demand(i * 100, 10_000));
+        let line = node
+            .holding
+            .plan_update(4_000, ALONE, true)
+            .expect("wants tokens");
         line.granted / 1_000
     };
     assert!(granted(40, 12_000) > 950, "an outage of ten seconds");
@@ -447,13 +506,19 @@
 fn tokens_of_the_dead_are_not_what_a_customer_goes_on_with() {
     let (mut store, mut dead) = alone(3_000_000);
     dead.read(&store, 0);
-    dead.holding.lack(1_000_000);
-    let line = dead.holding.plan(0, ALONE, true).expect("wants tokens");
+    dead.holding.begin_wait(1_000_000);
+    let line = dead
+        .holding
+        .plan_update(0, ALONE, true)
+        .expect("wants tokens");
     dead.commit(&mut store, line, 1);
     let mut next = Node::new("two", "two.1", 3_000_000);
     next.read(&store, 1_000);
     // 100,000 tokens a second: what is left lasts for 20 s, what is not spent for 30.
-    (0..40).for_each(|i| next.holding.ask(1_000 + i * 100, 10_000));
-    let line = next.holding.plan(5_000, ALONE, true).expect("wants tokens");
+    (0..40).for_each(|i| next.holding.add_demand(1_000 + i * 100, 10_000));
+    let line = next
+        .holding
+        .plan_update(5_000, ALONE, true)
+        .expect("wants tokens");
     assert!(line.granted < 600_000, "{}", line.granted);
 }
--- a/crates/escrow/tests/fleet/day.rs
+++ b/crates/escrow/tests/fleet/day.rs
@@ -91,8 +91,8 @@
 
     fn request(&mut self, now: u64, tokens: u64, reach: bool) -> bool {
         let holding = &mut self.node.holding;
-        holding.ask(now, tokens);
-        holding.note_size(now, tokens);
+        holding.add_demand(now, tokens);
+        holding.add_request_size(now, tokens);
         if !holding.admits(now, tokens) {
             return false;
         }
@@ -102,15 +102,15 @@
         if !reach {
             return false;
         }
-        holding.lack(tokens);
+        holding.begin_wait(tokens);
         self.look(now);
-        self.node.holding.lack_no_more(tokens);
+        self.node.holding.end_wait(tokens);
         self.node.holding.reserve(tokens)
     }
 
     fn look(&mut self, now: u64) {
         self.node.read(&self.store, now);
-        if let Some(line) = self.node.holding.plan(now, self.sharers, true) {
+        if let Some(line) = self.node.holding.plan_update(now, self.sharers, true) {
             self.node.commit(&mut self.store, line, now);
         }
     }
--- a/crates/escrow/tests/fleet/random.rs
+++ b/crates/escrow/tests/fleet/random.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-use escrow::Told;
+use escrow::CumulativeTotal;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -18,7 +18,7 @@
     prepaid: u64,
     born: u64,
     /// The last words to each name.
-    words: HashMap<String, (Told, Option<Told>)>,
+    words: HashMap<String, (CumulativeTotal, Option<CumulativeTotal>)>,
 }
 
 impl Fleet {
@@ -70,12 +70,12 @@
     fn request(&mut self, at: usize) {
         let tokens = self.rng.random_range(1_000..40_000);
         let now = self.now;
-        self.nodes[at].holding.ask(now, tokens);
+        self.nodes[at].holding.add_demand(now, tokens);
         if !self.nodes[at].holding.reserve(tokens) {
             // It waits while the store is asked.
-            self.nodes[at].holding.lack(tokens);
+            self.nodes[at].holding.begin_wait(tokens);
             self.talk(at);
-            self.nodes[at].holding.lack_no_more(tokens);
+            self.nodes[at].holding.end_wait(tokens);
             if !self.nodes[at].holding.reserve(tokens) {
                 return;
             }
@@ -102,7 +102,7 @@
         if self.rng.random_range(0..3) > 0 {
             node.read(&self.store, self.now);
         }
-        let Some(line) = node.holding.plan(self.now, sharers, home) else {
+        let Some(line) = node.holding.plan_update(self.now, sharers, home) else {
             return;
         };
         let write = node.write(line);
@@ -134,7 +134,7 @@
         let (balance, rate) = (asker.balance(), asker.rate(self.now));
         let (giver_id, taker_id) = (self.nodes[from].id.clone(), self.nodes[to].id.clone());
         let giver = &mut self.nodes[from].holding;
-        let total = giver.give(self.now, &taker_id, wanted, balance, rate);
+        let total = giver.transfer_share(self.now, &taker_id, wanted, balance, rate);
         self.deliver(to, tell(&giver_id, &taker_id, total), None);
     }
 
@@ -145,22 +145,22 @@
             return;
         }
         let tokens = self.rng.random_range(1_000..40_000);
-        let part = self.nodes[at].holding.reserve_part(tokens);
+        let part = self.nodes[at].holding.reserve_up_to(tokens);
         let (id, home_id) = (self.nodes[at].id.clone(), self.nodes[home].id.clone());
-        let spent = self.nodes[at].holding.pass_on(&home_id);
+        let spent = self.nodes[at].holding.forward_spending(&home_id);
         let called = self.rng.random_range(0..8) > 0;
         let answered = called && self.rng.random_range(0..8) > 0;
         let lacking = tokens - part;
         let holding = &mut self.nodes[home].holding;
         if called {
-            holding.hear(&home_id, &tell(&id, &home_id, spent));
+            holding.receive_spending(&home_id, &tell(&id, &home_id, spent));
         }
         let drawn = called && holding.reserve(lacking);
-        let total = drawn.then(|| holding.hand_over(&id, lacking));
+        let total = drawn.then(|| holding.transfer_reserved(&id, lacking));
         let node = &mut self.nodes[at];
         if let Some(total) = total.filter(|_| answered) {
             let told = tell(&home_id, &id, total);
-            node.holding.receive(&id, &told);
+            node.holding.receive_tokens(&id, &told);
             assert!(node.holding.reserve(lacking));
             node.open.push(tokens);
         } else {
@@ -176,14 +176,14 @@
         }
         let (id, home_id) = (self.nodes[at].id.clone(), self.nodes[home].id.clone());
         let holding = &mut self.nodes[at].holding;
-        let given = holding.give_rest(self.now, &home_id);
-        let spent = holding.pass_on(&home_id);
+        let given = holding.transfer_idle(self.now, &home_id);
+        let spent = holding.forward_spending(&home_id);
         let spent = tell(&id, &home_id, spent);
         self.deliver(home, tell(&id, &home_id, given), Some(spent));
     }
 
     /// A word may be lost, come twice, or be followed by an old one, also one to the incarnation before.
-    fn deliver(&mut self, to: usize, given: Told, spent: Option<Told>) {
+    fn deliver(&mut self, to: usize, given: CumulativeTotal, spent: Option<CumulativeTotal>) {
         let times = self.rng.random_range(0..3);
         let name = self.nodes[to].name.clone();
         let old = self.words.get(&name).cloned();
@@ -191,9 +191,9 @@
         words.extend(old);
         for (given, spent) in words {
             let Node { id, holding, .. } = &mut self.nodes[to];
-            holding.receive(id, &given);
+            holding.receive_tokens(id, &given);
             if let Some(spent) = spent {
-                holding.hear(id, &spent);
+                holding.receive_spending(id, &spent);
             }
         }
         self.words.insert(name, (given, spent));
--- a/crates/escrow/tests/fleet/ration.rs
+++ b/crates/escrow/tests/fleet/ration.rs
@@ -64,7 +64,7 @@
     let store = Store::default();
     node.read(&store, 0);
     for i in 0..100 {
-        node.holding.note_size(i * 10, 5_000);
+        node.holding.add_request_size(i * 10, 5_000);
         assert!(node.holding.admits(i * 10, 5_000));
     }
 }
--- a/crates/proxy/src/bank/charge.rs
+++ b/crates/proxy/src/bank/charge.rs
@@ -40,7 +40,7 @@
     pub(super) fn hand_over(mut self, peer: &str) -> u64 {
         let reserved = std::mem::take(&mut self.reserved);
         self.bank
-            .open_holding(&self.customer, |h| h.hand_over(peer, reserved))
+            .open_holding(&self.customer, |h| h.transfer_reserved(peer, reserved))
     }
 
     /// Returns the tokens that were spent.
@@ -76,7 +76,7 @@
 
 impl<'a> Lack<'a> {
     pub(super) fn open(bank: &'a Bank, customer: &'a str, tokens: u64) -> Lack<'a> {
-        bank.with(customer, |h| h.lack(tokens));
+        bank.with(customer, |h| h.begin_wait(tokens));
         Lack {
             bank,
             customer,
@@ -87,7 +87,6 @@
 
 impl Drop for Lack<'_> {
     fn drop(&mut self) {
-        self.bank
-            .with(self.customer, |h| h.lack_no_more(self.tokens));
+        self.bank.with(self.customer, |h| h.end_wait(self.tokens));
     }
 }
--- a/crates/proxy/src/bank/draw.rs
+++ b/crates/proxy/src/bank/draw.rs
@@ -3,7 +3,7 @@
 use std::future::Future;
 use std::time::Duration;
 
-use escrow::{Short, Told};
+use escrow::{CumulativeTotal, ReserveError};
 use serde::{Deserialize, Serialize};
 use tokio::time::{timeout, Instant};
 
@@ -27,7 +27,7 @@
     /// The most that the whole request can cost.
     size: u64,
     /// What the caller has passed on to this home of what it has spent, in words before: they may be lost.
-    spent: Told,
+    spent: CumulativeTotal,
     /// What is prepaid by the configuration of the caller.
     prepaid: u64,
     /// Whether it goes to the home of the caller's availability zone, since the customer's first home has too many.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Drawn {
     /// The tokens are debited there.
-    Tokens(Told),
+    Tokens(CumulativeTotal),
     /// The budget does not cover them.
     Exhausted,
     /// There are none in reach; whether the budget had free ones.
@@ -61,7 +61,7 @@
         &self,
         customer: &str,
         tokens: u64,
-    ) -> Option<Result<Charge, Short>> {
+    ) -> Option<Result<Charge, ReserveError>> {
         let mut homes = self.homes(customer);
         if homes.is_empty() {
             return None;
@@ -83,8 +83,8 @@
                 }
                 // Another request was quicker.
                 Drawn::Tokens(_) => return None,
-                Drawn::Exhausted => return Some(Err(Short::Exhausted)),
-                Drawn::OutOfReach { free } => return Some(Err(Short::OutOfReach { free })),
+                Drawn::Exhausted => return Some(Err(ReserveError::Exhausted)),
+                Drawn::OutOfReach { free } => return Some(Err(ReserveError::OutOfReach { free })),
                 Drawn::CutOff => cut_off += 1,
                 Drawn::NotHere => {}
                 Drawn::Crowded => {
@@ -97,7 +97,7 @@
         // The home has asked all others, unless that is this one: there is nothing to wait for.
         let all_cut_off = cut_off == homes.len() && !self.is_home(customer);
         let nowhere = all_cut_off && self.is_cut_off();
-        nowhere.then_some(Err(Short::OutOfReach { free: false }))
+        nowhere.then_some(Err(ReserveError::OutOfReach { free: false }))
     }
 
     /// Calls a home.
@@ -111,7 +111,7 @@
             let drawn = bank.means().peers.draw(addr, &draw).await?;
             if let Drawn::Tokens(given) = &drawn {
                 bank.with(&draw.customer, |h| {
-                    h.receive(&draw.spent.from, given);
+                    h.receive_tokens(&draw.spent.from, given);
                 });
             }
             Ok(drawn)
@@ -145,7 +145,7 @@
             customer: customer.to_string(),
             tokens,
             size,
-            spent: self.tell(&home.id, h.passed_on(&home.id)),
+            spent: self.tell(&home.id, h.forwarded_spending(&home.id)),
             prepaid: h.prepaid(),
             zone,
         })
@@ -154,7 +154,7 @@
     /// Answers an instance that draws from this one.
     pub(crate) async fn drawn(&self, draw: &Draw) -> Drawn {
         let me = self.me();
-        self.with(&draw.customer, |h| h.hear(&me, &draw.spent));
+        self.with(&draw.customer, |h| h.receive_spending(&me, &draw.spent));
         if draw.spent.to != me || self.is_leaving() || self.prepaid(&draw.customer) < draw.prepaid {
             return Drawn::NotHere;
         }
@@ -175,11 +175,13 @@
                 Drawn::Tokens(self.tell(&draw.spent.from, total))
             }
             // By an older configuration the caller may know better.
-            Err(Short::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => Drawn::NotHere,
-            Err(Short::Exhausted) => Drawn::Exhausted,
+            Err(ReserveError::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => {
+                Drawn::NotHere
+            }
+            Err(ReserveError::Exhausted) => Drawn::Exhausted,
             // The next one may reach the store.
-            Err(Short::OutOfReach { .. }) if self.is_cut_off() => Drawn::CutOff,
-            Err(Short::OutOfReach { free }) => Drawn::OutOfReach { free },
+            Err(ReserveError::OutOfReach { .. }) if self.is_cut_off() => Drawn::CutOff,
+            Err(ReserveError::OutOfReach { free }) => Drawn::OutOfReach { free },
         }
     }
 
@@ -189,6 +191,6 @@
     }
 
     fn reserve_part(&self, customer: &str, tokens: u64) -> u64 {
-        self.open_holding(customer, |h| h.reserve_part(tokens))
+        self.open_holding(customer, |h| h.reserve_up_to(tokens))
     }
 }
--- a/crates/proxy/src/bank/handover.rs
+++ b/crates/proxy/src/bank/handover.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use escrow::{Holding, Told};
+use escrow::{CumulativeTotal, LocalBudget};
 use rand::seq::SliceRandom;
 use tokio::task::JoinSet;
 use tokio::time::timeout;
@@ -56,7 +56,7 @@
     fn want(&self, customer: &str) -> Option<Want> {
         let accounts = self.0.accounts.lock().expect("no panic inside");
         let holding = &accounts.get(customer)?.holding;
-        let tokens = holding.missing();
+        let tokens = holding.shortfall();
         (tokens > 0).then(|| Want {
             from: self.me(),
             customer: customer.to_string(),
@@ -66,11 +66,11 @@
         })
     }
 
-    fn receive(&self, customer: &str, given: &Told) {
+    fn receive(&self, customer: &str, given: &CumulativeTotal) {
         let (me, from) = (self.me(), &given.from);
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.get_mut(customer);
-        let tokens = account.map_or(0, |a| a.holding.receive(&me, given));
+        let tokens = account.map_or(0, |a| a.holding.receive_tokens(&me, given));
         drop(accounts);
         if tokens == 0 {
             return;
@@ -91,8 +91,8 @@
         let Some(account) = accounts.get_mut(&gift.customer) else {
             return false;
         };
-        account.holding.receive(&me, &gift.given);
-        account.holding.hear(&me, &gift.spent);
+        account.holding.receive_tokens(&me, &gift.given);
+        account.holding.receive_spending(&me, &gift.spent);
         gift.given.to == me
     }
 
@@ -173,7 +173,7 @@
     /// Returns the customers of which tokens are left here, or were spent without a word in the store.
     fn holders(&self) -> Vec<String> {
         let accounts = self.0.accounts.lock().expect("no panic inside");
-        let left = |h: &Holding| h.balance() > 0 || h.has_untold();
+        let left = |h: &LocalBudget| h.balance() > 0 || h.has_unreported_spending();
         let left = accounts.iter().filter(|(_, a)| left(&a.holding));
         left.map(|(name, _)| name.clone()).collect()
     }
@@ -182,8 +182,8 @@
     fn gift(&self, peer: &Member, customer: &str) -> Gift {
         self.open_holding(customer, |h| Gift {
             customer: customer.to_string(),
-            given: self.tell(&peer.id, h.give_all(&peer.id)),
-            spent: self.tell(&peer.id, h.pass_on(&peer.id)),
+            given: self.tell(&peer.id, h.transfer_all(&peer.id)),
+            spent: self.tell(&peer.id, h.forward_spending(&peer.id)),
         })
     }
 }
--- a/crates/proxy/src/bank/mod.rs
+++ b/crates/proxy/src/bank/mod.rs
@@ -27,7 +27,7 @@
 
 use clock::Clock;
 use conf::Routing;
-use escrow::{is_crowded, Holding, Rate, Short, Told};
+use escrow::{exceeds_home_capacity, CumulativeTotal, LocalBudget, Rate, ReserveError};
 use kv::Store;
 use tokio::sync::{watch, Notify};
 use tokio::time::{timeout_at, Instant};
@@ -93,7 +93,7 @@
 
 #[derive(Default)]
 struct Account {
-    holding: Holding,
+    holding: LocalBudget,
     dry_until: Option<Instant>,
     /// Draws that came here.
     draws: Rate,
@@ -144,7 +144,7 @@
         customer: &str,
         tokens: u64,
         deadline: Instant,
-    ) -> Result<Charge, Short> {
+    ) -> Result<Charge, ReserveError> {
         let reserved = self.reserve_at_home(customer, tokens).await;
         if let Some(reserved) = reserved {
             return reserved;
@@ -157,13 +157,13 @@
     fn ask(&self, customer: &str, tokens: u64, size: u64) {
         let now = self.0.clock.now();
         self.open_holding(customer, |h| {
-            h.ask(now, tokens);
-            h.note_size(now, size);
+            h.add_demand(now, tokens);
+            h.add_request_size(now, size);
         });
     }
 
     /// Works on a customer's holding, a new one if there is none.
-    fn open_holding<T>(&self, customer: &str, f: impl FnOnce(&mut Holding) -> T) -> T {
+    fn open_holding<T>(&self, customer: &str, f: impl FnOnce(&mut LocalBudget) -> T) -> T {
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.entry(customer.to_string()).or_default();
         f(&mut account.holding)
@@ -214,7 +214,7 @@
             return false;
         };
         account.draws.add(now, 1);
-        is_crowded(account.draws.get(now))
+        exceeds_home_capacity(account.draws.per_second(now))
     }
 
     fn charge(&self, customer: &str) -> Charge {
@@ -235,7 +235,7 @@
         tokens: u64,
         size: u64,
         deadline: Instant,
-    ) -> Result<Charge, Short> {
+    ) -> Result<Charge, ReserveError> {
         let charge = self.charge(customer);
         match self.first_try(customer, tokens, size) {
             Tried::Reserved => return Ok(charge.of(tokens)),
@@ -284,20 +284,20 @@
         account.is_some_and(|a| a.holding.reserve(tokens))
     }
 
-    fn refusal(&self, customer: &str, tokens: u64) -> Short {
+    fn refusal(&self, customer: &str, tokens: u64) -> ReserveError {
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let Some(account) = accounts.get_mut(customer) else {
-            return Short::OutOfReach { free: false };
+            return ReserveError::OutOfReach { free: false };
         };
         account.dry_until = Some(Instant::now() + DRY);
         self.why(&account.holding, tokens)
     }
 
     /// Returns why a holding has no tokens for a request: free ones can't be taken while the store is out.
-    fn why(&self, holding: &Holding, tokens: u64) -> Short {
+    fn why(&self, holding: &LocalBudget, tokens: u64) -> ReserveError {
         let out = self.is_cut_off();
-        match holding.refusal(tokens) {
-            Short::OutOfReach { free } => Short::OutOfReach { free: free && !out },
+        match holding.reserve_error(tokens) {
+            ReserveError::OutOfReach { free } => ReserveError::OutOfReach { free: free && !out },
             exhausted => exhausted,
         }
     }
@@ -311,8 +311,8 @@
         self.means().fleet.me().to_string()
     }
 
-    fn tell(&self, to: &str, total: u64) -> Told {
-        Told {
+    fn tell(&self, to: &str, total: u64) -> CumulativeTotal {
+        CumulativeTotal {
             from: self.me(),
             to: to.to_string(),
             total,
@@ -320,13 +320,13 @@
     }
 
     /// Debits tokens for another instance.
-    pub(crate) fn give(&self, want: &Want) -> Told {
+    pub(crate) fn give(&self, want: &Want) -> CumulativeTotal {
         let now = self.0.clock.now();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.get_mut(&want.customer);
         let given = account.map(|a| {
             let holding = &mut a.holding;
-            holding.give(now, &want.from, want.tokens, want.balance, want.rate)
+            holding.transfer_share(now, &want.from, want.tokens, want.balance, want.rate)
         });
         self.tell(&want.from, given.unwrap_or_default())
     }
@@ -336,20 +336,20 @@
         let now = self.0.clock.now();
         let accounts = self.0.accounts.lock().expect("no panic inside");
         let row = |(name, a): (&String, &Account)| {
-            let known = a.holding.known();
+            let known = a.holding.snapshot();
             let value = serde_json::json!({
                 "balance": a.holding.balance(),
                 "rate": a.holding.rate(now),
                 "charged": known.map(|k| k.record.charged),
                 "spent": known.map(|k| k.record.spent),
-                "known_at": known.map(|k| k.at),
+                "known_at": known.map(|k| k.read_at),
             });
             (name.clone(), value)
         };
         accounts.iter().map(row).collect()
     }
 
-    fn with(&self, customer: &str, f: impl FnOnce(&mut Holding)) {
+    fn with(&self, customer: &str, f: impl FnOnce(&mut LocalBudget)) {
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         if let Some(account) = accounts.get_mut(customer) {
             f(&mut account.holding);
@@ -360,6 +360,6 @@
 /// How a first look at a holding ends.
 enum Tried {
     Reserved,
-    Refused(Short),
+    Refused(ReserveError),
     Wait,
 }
--- a/crates/proxy/src/bank/records.rs
+++ b/crates/proxy/src/bank/records.rs
@@ -4,7 +4,7 @@
 use std::slice;
 use std::sync::atomic::Ordering;
 
-use escrow::{Book, Holding, Known, Line, Record};
+use escrow::{BudgetRecord, Ledger, LedgerEntry, LocalBudget, RecordSnapshot};
 use kv::{Found, Reading};
 
 use super::{Account, Bank};
@@ -33,10 +33,10 @@
         let accounts = self.0.accounts.lock().expect("no panic inside");
         let old = |(name, account): &(&String, &Account)| {
             let holding = &account.holding;
-            match holding.known() {
-                None => holding.has_work(now) || fleet.is_home(name, Area::Fleet),
+            match holding.snapshot() {
+                None => holding.is_in_use(now) || fleet.is_home(name, Area::Fleet),
                 Some(known) => {
-                    holding.missing() > holding.free() && now > known.at + RECORDS_OLD_MS
+                    holding.shortfall() > holding.free() && now > known.read_at + RECORDS_OLD_MS
                 }
             }
         };
@@ -107,13 +107,13 @@
             let mut accounts = self.0.accounts.lock().expect("no panic inside");
             let missing = customers.iter().filter(|c| !found.contains(c.as_str()));
             for customer in missing {
-                let empty = Known {
-                    record: Record::default(),
+                let empty = RecordSnapshot {
+                    record: BudgetRecord::default(),
                     revision: 0,
-                    at,
+                    read_at: at,
                 };
                 if let Some(account) = accounts.get_mut(customer) {
-                    account.holding.learn(empty);
+                    account.holding.update_snapshot(empty);
                 }
             }
         }
@@ -128,11 +128,11 @@
             let Some(account) = accounts.get_mut(name) else {
                 continue;
             };
-            match Record::parse(&found.value) {
-                Ok(record) => account.holding.learn(Known {
+            match BudgetRecord::parse(&found.value) {
+                Ok(record) => account.holding.update_snapshot(RecordSnapshot {
                     record,
                     revision: found.revision,
-                    at,
+                    read_at: at,
                 }),
                 Err(why) => self.broken(&found.key, &why),
             }
@@ -143,8 +143,8 @@
     ///
     /// One that can't be read leaves the budgets alone: nothing is taken by it.
     pub(super) fn learn_book(&self, found: Option<&Found>) {
-        let book = match found.map(|f| Book::parse(&f.value)) {
-            None => Book::default(),
+        let book = match found.map(|f| Ledger::parse(&f.value)) {
+            None => Ledger::default(),
             Some(Ok(book)) => book,
             Some(Err(why)) => return self.broken(&self.book_key(), &why),
         };
@@ -159,15 +159,15 @@
         let me = self.me();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         for (name, account) in accounts.iter_mut() {
-            let line = book.line(name);
+            let line = book.entry(name);
             if revision == 0 || book.owner == me {
-                let old = account.holding.line();
-                account.holding.confirm(line, revision);
+                let old = account.holding.entry();
+                account.holding.confirm_entry(line, revision);
                 if line != old {
                     self.log_grant(name, line, &account.holding);
                 }
             } else {
-                account.holding.replaced(line);
+                account.holding.on_foreign_ledger(line);
                 if line.granted > 0 {
                     self.log_left_behind(name, line);
                 }
@@ -195,8 +195,8 @@
     }
 
     /// Logs a line of the own book as the store has it: a planned one may lose against another instance's.
-    fn log_grant(&self, customer: &str, line: Line, holding: &Holding) {
-        let known = holding.known().map(|k| k.record);
+    fn log_grant(&self, customer: &str, line: LedgerEntry, holding: &LocalBudget) {
+        let known = holding.snapshot().map(|k| k.record);
         let shown = |sum: Option<u64>| sum.map_or("unknown".to_string(), |s| s.to_string());
         let detail = format_args!(
             "customer={customer} granted={} returned={} spent={} rate={} balance={} charged={} all_spent={} prepaid={}",
@@ -213,7 +213,7 @@
     }
 
     /// Logs what the incarnation before this one left charged.
-    fn log_left_behind(&self, customer: &str, line: Line) {
+    fn log_left_behind(&self, customer: &str, line: LedgerEntry) {
         let (granted, returned, spent) = (line.granted, line.returned, line.spent);
         let detail =
             format_args!("customer={customer} granted={granted} returned={returned} spent={spent}");
--- a/crates/proxy/src/bank/refill.rs
+++ b/crates/proxy/src/bank/refill.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use escrow::{Book, Line};
+use escrow::{Ledger, LedgerEntry};
 use futures_util::future::join_all;
 use kv::{Commit, Expect, Found, Put, Txn, TXN_MOST};
 use rand::Rng;
@@ -141,7 +141,7 @@
 
     fn missing(&self) -> Vec<String> {
         let accounts = self.0.accounts.lock().expect("no panic inside");
-        let lacking = accounts.iter().filter(|(_, a)| a.holding.missing() > 0);
+        let lacking = accounts.iter().filter(|(_, a)| a.holding.shortfall() > 0);
         lacking.map(|(name, _)| name.clone()).collect()
     }
 
@@ -214,9 +214,9 @@
         let Some(book_revision) = self.book() else {
             return txn;
         };
-        let mut book = Book {
+        let mut book = Ledger {
             owner: self.me(),
-            ..Book::default()
+            ..Ledger::default()
         };
         let checked = self.0.book_checked.load(Ordering::Relaxed);
         let mut doubted = 0;
@@ -224,17 +224,17 @@
         for (name, account) in accounts.iter_mut() {
             let holding = &mut account.holding;
             if let Some(recovery_ms) = self.means().recovery_ms {
-                holding.set_recovery(recovery_ms);
+                holding.set_recovery_time(recovery_ms);
             }
-            let old = holding.line();
-            book.lines.insert(name.clone(), old);
-            let chosen = scope != Scope::Missing || holding.missing() > 0;
+            let old = holding.entry();
+            book.entries.insert(name.clone(), old);
+            let chosen = scope != Scope::Missing || holding.shortfall() > 0;
             // Without its record no line changes: most of a large fleet's customers have their homes elsewhere.
-            let known = holding.known().map(|k| (k.record, k.revision));
+            let known = holding.snapshot().map(|k| (k.record, k.revision));
             let Some((record, revision)) = known.filter(|_| chosen) else {
                 continue;
             };
-            if !holding.is_covered() {
+            if !holding.snapshot_includes_entry() {
                 let newer = revision > book_revision.max(checked);
                 assert!(newer, "a line is part of its sum");
                 // A write whose answer was lost has landed since the book was read.
@@ -245,18 +245,23 @@
                 continue;
             }
             let line = match scope {
-                Scope::Leaving => holding.leave(),
+                Scope::Leaving => holding.plan_shutdown(),
                 Scope::All | Scope::Missing => {
                     let home = self.means().fleet.is_home(name, Area::Fleet);
-                    holding.plan(now, sharers, home)
+                    holding.plan_update(now, sharers, home)
                 }
             };
             let Some(line) = line else {
                 continue;
             };
-            book.lines.insert(name.clone(), line);
+            book.entries.insert(name.clone(), line);
             let key = format!("{PREFIX}{name}");
-            write(&mut txn, key, revision, record.with(old, line).to_bytes());
+            write(
+                &mut txn,
+                key,
+                revision,
+                record.with_entry(old, line).to_bytes(),
+            );
         }
         drop(accounts);
         if doubted > 0 {
@@ -264,7 +269,8 @@
             return Txn::default();
         }
         if !txn.put.is_empty() {
-            book.lines.retain(|_, line| *line != Line::default());
+            book.entries
+                .retain(|_, line| *line != LedgerEntry::default());
             write(&mut txn, self.book_key(), book_revision, book.to_bytes());
         }
         txn
--- a/crates/proxy/src/bank/settled.rs
+++ b/crates/proxy/src/bank/settled.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use escrow::Told;
+use escrow::CumulativeTotal;
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
@@ -28,9 +28,9 @@
 pub(crate) struct Settled {
     customer: String,
     /// What the teller has given to the home.
-    given: Told,
+    given: CumulativeTotal,
     /// What the teller has spent and passed on to the home.
-    spent: Told,
+    spent: CumulativeTotal,
 }
 
 impl Bank {
@@ -86,8 +86,8 @@
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let holding = &mut accounts.get_mut(&customer)?.holding;
         Some(Settled {
-            given: self.tell(&home.id, holding.give_rest(now, &home.id)),
-            spent: self.tell(&home.id, holding.pass_on(&home.id)),
+            given: self.tell(&home.id, holding.transfer_idle(now, &home.id)),
+            spent: self.tell(&home.id, holding.forward_spending(&home.id)),
             customer,
         })
     }
@@ -102,9 +102,9 @@
                 continue;
             };
             let holding = &mut account.holding;
-            holding.hear(&me, &word.spent);
-            let news = holding.receive(&me, &word.given);
-            awaited |= news > 0 && holding.missing() == 0 && holding.lacks();
+            holding.receive_spending(&me, &word.spent);
+            let news = holding.receive_tokens(&me, &word.given);
+            awaited |= news > 0 && holding.shortfall() == 0 && holding.has_waiting_requests();
         }
         drop(accounts);
         if awaited {
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use escrow::Told;
+use escrow::CumulativeTotal;
 use jsonrpsee_core::client::ClientT;
 use jsonrpsee_core::params::ArrayParams;
 use jsonrpsee_core::RpcResult;
@@ -62,9 +62,9 @@
 pub(crate) struct Gift {
     pub(crate) customer: String,
     /// All that the giver has ever given to the one that gets this.
-    pub(crate) given: Told,
+    pub(crate) given: CumulativeTotal,
     /// What the giver has spent and passed on to it: nobody else would write it into the record.
-    pub(crate) spent: Told,
+    pub(crate) spent: CumulativeTotal,
 }
 
 /// What an instance that asks for news has.
@@ -125,7 +125,7 @@
 /// Answers other instances.
 pub(crate) fn serve(server: Server, desk: Desk) -> ServerHandle {
     let mut module = RpcModule::new(desk);
-    let take = module.register_method("take", |params, desk, _| -> RpcResult<Told> {
+    let take = module.register_method("take", |params, desk, _| -> RpcResult<CumulativeTotal> {
         let want: Want = params.one()?;
         Ok(desk.bank.give(&want))
     });
@@ -269,7 +269,11 @@
     /// # Errors
     ///
     /// Returns why there is no answer: tokens that it debited come with its next one.
-    pub(crate) async fn take(&self, addr: SocketAddr, want: &Want) -> Result<Told, String> {
+    pub(crate) async fn take(
+        &self,
+        addr: SocketAddr,
+        want: &Want,
+    ) -> Result<CumulativeTotal, String> {
         self.call(addr, "take", want).await
     }
 
--- a/crates/proxy/src/pipe.rs
+++ b/crates/proxy/src/pipe.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use conf::Route;
 use err::Kind;
-use escrow::Short;
+use escrow::ReserveError;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -249,8 +249,8 @@
             Err(short) => short,
         };
         let (kind, why, back_ms) = match short {
-            Short::Exhausted => (Kind::BudgetExhausted, "the budget does not cover", None),
-            Short::OutOfReach { free } => {
+            ReserveError::Exhausted => (Kind::BudgetExhausted, "the budget does not cover", None),
+            ReserveError::OutOfReach { free } => {
                 let back_ms = if free { RETRY_FREE_MS } else { RETRY_TOKENS_MS };
                 (
                     Kind::BudgetOutOfReach,
--- a/crates/proxy/src/roster.rs
+++ b/crates/proxy/src/roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 
-use escrow::ASKED;
+use escrow::HOME_CANDIDATES;
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -14,7 +14,7 @@
 const KEEPERS: usize = 2;
 
 /// The instances that hold a customer's tokens, the one to ask first at first.
-pub(crate) type Homes = SmallVec<[Arc<Member>; ASKED]>;
+pub(crate) type Homes = SmallVec<[Arc<Member>; HOME_CANDIDATES]>;
 
 /// Which instances a customer's homes are chosen from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -112,7 +112,7 @@
         let homes = known.entry(key).or_insert_with(|| {
             let in_area = |l: &&Listed| area == Area::Fleet || l.member.zone == self.zone;
             let instances = self.listed.iter().filter(in_area);
-            let homes = escrow::homes(customer, instances, |l| l.hash);
+            let homes = escrow::home_candidates(customer, instances, |l| l.hash);
             homes.iter().map(|l| Arc::clone(&l.member)).collect()
         });
         homes.clone()
@@ -125,7 +125,7 @@
 
     /// Returns the instances that keep what is known of something, the one that decides about it first.
     pub(crate) fn keepers(&self, what: u64) -> SmallVec<[Arc<Member>; KEEPERS]> {
-        let keepers = escrow::first_by_rank::<_, KEEPERS>(what, &self.listed, |l| l.hash);
+        let keepers = escrow::rendezvous_select::<_, KEEPERS>(what, &self.listed, |l| l.hash);
         keepers.iter().map(|l| Arc::clone(&l.member)).collect()
     }
 }
