--- a/crates/escrow/src/home.rs
+++ b/crates/escrow/src/home.rs
@@ -14,14 +14,14 @@
 
 /// Draws a second that one instance answers for a customer, beside its own requests; beyond that each availability zone has a
 /// home of its own.
-const DRAWS_MOST: u64 = 250;
+const MAX_DRAWS_PER_SEC: u64 = 250;
 /// Instances that are asked: the home, and those that take its place when it does not answer, or is cut off from
 /// the store. With half of a fleet cut off, three of them are in one case of eight.
 pub const HOME_CANDIDATES: usize = 3;
 
 /// Returns whether a customer's draws a second are more than one instance answers.
 pub fn exceeds_home_capacity(draws_per_sec: u64) -> bool {
-    draws_per_sec > DRAWS_MOST
+    draws_per_sec > MAX_DRAWS_PER_SEC
 }
 
 /// Returns which of some instances hold a customer's tokens, the one to ask first at first.
--- a/crates/escrow/src/lib.rs
+++ b/crates/escrow/src/lib.rs
@@ -9,12 +9,12 @@
 //!
 //! No I/O, clock or randomness: the time comes in with each event, in milliseconds.
 
+mod holdback;
 mod home;
-mod keep;
 mod local_budget;
 mod rate;
 mod record;
-mod sizes;
+mod request_sizes;
 mod totals;
 
 pub use home::{exceeds_home_capacity, home_candidates, rendezvous_select, HOME_CANDIDATES};
--- a/crates/escrow/src/totals.rs
+++ b/crates/escrow/src/totals.rs
@@ -36,19 +36,19 @@
 
 /// Totals by instance, which is known by its incarnation.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Totals {
+pub(crate) struct PeerTotals {
     by_peer: BTreeMap<String, u64>,
     sum: u64,
 }
 
-impl Totals {
+impl PeerTotals {
     /// Returns the sum over all instances.
     pub(crate) fn sum(&self) -> u64 {
         self.sum
     }
 
     /// Returns an instance's total.
-    pub(crate) fn of(&self, peer: &str) -> u64 {
+    pub(crate) fn for_peer(&self, peer: &str) -> u64 {
         self.by_peer.get(peer).copied().unwrap_or_default()
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// Takes a word to the incarnation `me`; returns what is new of it.
-    pub(crate) fn raise(&mut self, me: &str, told: &CumulativeTotal) -> u64 {
+    pub(crate) fn merge(&mut self, me: &str, told: &CumulativeTotal) -> u64 {
         if told.to != me {
             return 0;
         }
