--- a/crates/escrow/src/lib.rs
+++ b/crates/escrow/src/lib.rs
@@ -1,13 +1,14 @@
-//! Budgets of an instance that holds its own grants: how many tokens it takes, keeps, hands back
-//! and passes on.
+//! Prepaid budgets: how many tokens an instance takes from a customer's budget, holds, returns and transfers.
 //!
-//! The record of a customer in the store is the only truth: the sum of what all incarnations that ever
-//! took tokens have taken. Each has its own lines beside it, with counters that only grow, in its
-//! instance's book. What an incarnation took stays charged until it hands it back itself: one that
-//! vanished may have spent all of it. So the sum of all that is taken never passes what is prepaid,
-//! whoever crashes, freezes or is cut off.
+//! The store has one record per customer, the only source of truth: sums over all incarnations that ever took
+//! tokens. The counters of a single incarnation, which only grow, are in the ledger of its instance. Tokens that an
+//! incarnation took stay charged until it returns them itself, because one that vanished may have spent all of them.
+//! The sum of all tokens taken therefore never exceeds the prepaid amount, whichever instances crash, freeze or are
+//! cut off.
 //!
-//! No I/O, clock or randomness: the time comes in with each event, in milliseconds.
+//! A customer's tokens are normally held by one instance, its home, from which the others draw.
+//!
+//! No I/O, clock or randomness: the time is passed with each event, in milliseconds.
 
 mod holdback;
 mod home;
--- a/crates/escrow/src/local_budget.rs
+++ b/crates/escrow/src/local_budget.rs
@@ -6,47 +6,48 @@
 use crate::request_sizes::{RequestSizes, SmallerHalf};
 use crate::totals::{CumulativeTotal, PeerTotals};
 
-/// Demand that a grant covers, in milliseconds: the store may be out of reach for nine seconds and
-/// more, and nothing can be taken meanwhile. What a crash strands grows with it.
+/// Demand that a grant covers, in milliseconds: the store may be out of reach for nine seconds and more, and no
+/// tokens can be taken from a budget meanwhile. The tokens that a crash strands grow with it.
 const GRANT_HORIZON_MS: u64 = 10_000;
-/// Time in which service is to be back after a loss of all instances, in milliseconds, where nothing names another.
+/// Time until service is back after a failure of all instances, in milliseconds, unless set.
 const DEFAULT_RECOVERY_MS: u64 = 12_000;
-/// Demand that a grant covers at least, in milliseconds, however soon the budget ends: without it each
-/// request needs a write of its own then, and loses against the others'. A loss strands it.
+/// Minimum demand that a grant covers, in milliseconds, however little of the budget remains. Without it, each request
+/// would then need a write of its own, which would conflict with those of the others. A crash strands these tokens.
 const MIN_GRANT_MS: u64 = 300;
-/// A grant below this percentage of its target is filled up.
+/// A balance below this percentage of its target is refilled to the target.
 const REFILL_BELOW_PCT: u64 = 75;
-/// A grant above this percentage of its target is cut down to it.
+/// A balance above this percentage of its target is reduced towards it by returning tokens.
 const RETURN_ABOVE_PCT: u64 = 150;
-/// Changes smaller than this are not worth a call, in tokens.
+/// Minimum change that is worth a write, in tokens.
 const MIN_CHANGE_TOKENS: u64 = 4_000;
-/// The store's word on what is spent is renewed this often, in milliseconds, for refusals elsewhere; in
-/// fleets of more than `SMALL_FLEET` instances so much more seldom that their calls stay as many.
+/// Interval of writes that only report spent tokens, in milliseconds: other instances refuse requests by the spent
+/// total in the store. In fleets of more than `SMALL_FLEET` instances, the interval grows with the fleet, so that the
+/// number of these writes stays the same.
 const REPORT_INTERVAL_MS: u64 = 3_000;
 const SMALL_FLEET: u64 = 9;
-/// An instance that is not a customer's home, and was not asked for its tokens for so long, in milliseconds,
-/// has none to hold: it took the home's place for a while.
+/// Time without demand, in milliseconds, after which an instance that is not the customer's home returns its tokens: it
+/// had replaced the home for a while.
 const IDLE_AFTER_MS: u64 = 3_000;
 
-/// What is known of the record.
+/// A customer's record as read from the store.
 #[derive(Clone, Debug)]
 pub struct RecordSnapshot {
     /// The record.
     pub record: BudgetRecord,
-    /// The store's revision of it; 0 when it does not exist yet.
+    /// Its revision in the store; 0 if it does not exist yet.
     pub revision: i64,
-    /// When it was read, in milliseconds.
+    /// Time of the read, in milliseconds.
     pub read_at: u64,
 }
 
-/// Why tokens can't be reserved.
+/// Why tokens cannot be reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReserveError {
-    /// What is spent on record and the request together pass what is prepaid.
+    /// The tokens known to be spent and those of the request together exceed the prepaid amount.
     Exhausted,
-    /// Tokens may remain elsewhere.
+    /// The budget may have enough tokens, but this instance does not hold them.
     OutOfReach {
-        /// Nobody held them when the record was read last.
+        /// Whether enough tokens were free, held by no instance, when the record was last read.
         free: bool,
     },
 }
@@ -55,134 +56,141 @@
 #[derive(Clone, Debug, Default)]
 pub struct LocalBudget {
     prepaid: u64,
-    /// The own line, as the store confirmed it.
+    /// The own ledger entry, as the store confirmed it.
     entry: LedgerEntry,
-    /// Charged for this incarnation in lines that are no longer in the book.
+    /// Charged by former entries of this incarnation, which another incarnation's ledger replaced.
     detached_charged: u64,
-    /// Spent by the word of those lines, at most: nobody knows which of their writes landed.
+    /// Maximum that those entries report as spent: it is unknown which of their writes took effect.
     detached_spent: u64,
-    /// Spent by the last line that was planned.
+    /// Reported as spent by the last planned entry.
     planned_spent: u64,
-    /// Handed back, cumulative: debited here before the store hears of it.
+    /// Total of returned tokens. A return is debited here before it is written to the store.
     returned: u64,
-    /// Charged for the incarnation before this one and not spent by its last report: out of reach for good.
+    /// Charged by the previous incarnation and not reported as spent: out of reach for good.
     stranded: u64,
-    /// Came from other instances.
+    /// Tokens received from other instances.
     tokens_received: PeerTotals,
-    /// Went to other instances.
+    /// Tokens transferred to other instances.
     tokens_sent: PeerTotals,
+    /// Tokens spent here.
     spent: u64,
-    /// Of what is spent here, other instances were told, which have it in their lines.
+    /// Spent tokens forwarded to other instances, which report them in their own entries.
     spending_forwarded: PeerTotals,
-    /// Spent at other instances by their word, for the own line.
+    /// Spent tokens forwarded by other instances, to be reported in the own entry.
     spending_received: PeerTotals,
     reserved: u64,
     demand: Rate,
     request_sizes: RequestSizes,
-    /// When tokens were asked for first, by this incarnation.
+    /// Time of the first demand in this incarnation.
     first_demand_at: Option<u64>,
-    /// When tokens were asked for last.
     last_demand_at: Option<u64>,
-    /// Tokens that waiting requests lack.
+    /// Tokens that waiting requests need.
     waiting_tokens: u64,
     snapshot: Option<RecordSnapshot>,
+    /// Time of the last planned write.
     reported_at: u64,
-    /// Time in which service is to be back after a loss of all instances, in milliseconds.
+    /// Time until service is back after a failure of all instances, in milliseconds, if set.
     recovery_ms: Option<u64>,
 }
 
 impl LocalBudget {
-    /// Sets what is prepaid.
+    /// Sets the prepaid amount.
     pub fn set_prepaid(&mut self, prepaid: u64) {
         self.prepaid = prepaid;
     }
 
-    /// Sets the time in which service is to be back after a loss of all instances, in milliseconds.
+    /// Sets the time until service is back after a failure of all instances, in milliseconds.
     pub fn set_recovery_time(&mut self, recovery_ms: u64) {
         self.recovery_ms = Some(recovery_ms);
     }
 
-    /// Returns what is prepaid.
+    /// Returns the prepaid amount.
     pub fn prepaid(&self) -> u64 {
         self.prepaid
     }
 
-    /// Returns the tokens that are neither spent nor reserved.
+    /// Returns the tokens held here that are neither spent nor reserved.
     ///
     /// # Panics
     ///
-    /// Panics when more is spent and reserved than was ever granted: the budget would be exceeded.
+    /// Panics if more tokens are spent and reserved than were granted: the budget would be exceeded.
     pub fn balance(&self) -> u64 {
         let covered = self.detached_charged + self.entry.granted + self.tokens_received.sum();
         let used = self.returned + self.tokens_sent.sum() + self.spent + self.reserved;
         covered
             .checked_sub(used)
-            .expect("never more used than granted")
+            .expect("used tokens exceed granted tokens")
     }
 
-    /// Returns the tokens that may be used: less than the balance after what is prepaid was lowered
-    /// below what is charged, until all instances have handed back their part of it.
+    /// Returns the tokens that may be used: less than the balance while the prepaid amount, after it was lowered, is
+    /// below the charged total. Each instance then forgoes its share of the excess until all have returned theirs.
     fn usable(&self) -> u64 {
         let balance = self.balance();
-        let Some(known) = &self.snapshot else {
+        let Some(snapshot) = &self.snapshot else {
             return balance;
         };
-        let over = known.record.charged.saturating_sub(self.prepaid);
-        if over == 0 {
+        let excess = snapshot.record.charged.saturating_sub(self.prepaid);
+        if excess == 0 {
             return balance;
         }
-        let unspent = known.record.charged.saturating_sub(known.record.spent);
+        let unspent = snapshot
+            .record
+            .charged
+            .saturating_sub(snapshot.record.spent);
         let own = u128::from(balance + self.reserved);
-        let cut = (u128::from(over) * own).div_ceil(u128::from(unspent.max(1)));
+        let cut = (u128::from(excess) * own).div_ceil(u128::from(unspent.max(1)));
         balance.saturating_sub(cut.try_into().unwrap_or(u64::MAX))
     }
 
-    /// Counts a request's demand.
+    /// Adds the tokens that a request asks for to the demand.
     pub fn add_demand(&mut self, now: u64, tokens: u64) {
         self.demand.add(now, tokens);
         self.first_demand_at.get_or_insert(now);
         self.last_demand_at = Some(now);
     }
 
-    /// Counts a request by the whole of what it can cost.
+    /// Adds a request to the distribution of sizes, by the most that it can cost as a whole.
     pub fn add_request_size(&mut self, now: u64, tokens: u64) {
         self.request_sizes.add(now, tokens);
     }
 
-    /// Returns whether a request may have tokens, in a fleet that has started again as a whole: one of the larger half may not
-    /// have those that the smaller half needs, where a part of the budget is out of reach for good.
+    /// Returns whether a request of the given size may reserve tokens after a restart of all instances. If part of the
+    /// budget is out of reach for good, requests of the larger half may not take the tokens that the smaller half needs.
     pub fn admits(&self, now: u64, size: u64) -> bool {
-        let Some(known) = &self.snapshot else {
+        let Some(snapshot) = &self.snapshot else {
             return true;
         };
-        let rates = self.total_rate(now, &known.record);
-        if self.stranded <= rates {
+        let total_rate = self.total_rate(now, &snapshot.record);
+        if self.stranded <= total_rate {
             return true;
         }
         let Some(half) = self.request_sizes.smaller_half() else {
             return true;
         };
-        let gone_ms = self.first_demand_at.map_or(0, |at| now.saturating_sub(at));
-        let kept = self.holdback(rates, Some(half)).smaller_half_left(gone_ms);
-        let left = self.usable() + self.free();
-        size <= half.max_tokens || left.saturating_sub(size) >= kept
+        let elapsed_ms = self.first_demand_at.map_or(0, |at| now.saturating_sub(at));
+        let withheld = self
+            .holdback(total_rate, Some(half))
+            .smaller_half_left(elapsed_ms);
+        let available = self.usable() + self.free();
+        size <= half.max_tokens || available.saturating_sub(size) >= withheld
     }
 
-    /// Returns the demand of all instances, in tokens a second.
+    /// Returns the demand of all instances, in tokens per second.
     fn total_rate(&self, now: u64, record: &BudgetRecord) -> u64 {
         record.rate.saturating_sub(self.entry.rate) + self.demand.per_second(now)
     }
 
-    /// Returns what the requests need after a restart of all instances; all of it where nothing is known of their sizes.
-    fn holdback(&self, rates: u64, half: Option<SmallerHalf>) -> Holdback {
+    /// Returns what the requests need after a restart of all instances. If nothing is known of their sizes, all of them
+    /// count as the smaller half.
+    fn holdback(&self, total_rate: u64, half: Option<SmallerHalf>) -> Holdback {
         Holdback {
             recovery_ms: self.recovery_ms.unwrap_or(DEFAULT_RECOVERY_MS),
-            total_rate: rates,
+            total_rate,
             smaller_half_share: half.map_or(1.0, |h| h.token_share),
         }
     }
 
-    /// Reserves tokens for a request.
+    /// Reserves tokens for a request; returns whether there were enough.
     pub fn reserve(&mut self, tokens: u64) -> bool {
         let fits = self.usable() >= tokens;
         if fits {
@@ -191,81 +199,81 @@
         fits
     }
 
-    /// Reserves as many of some tokens as there are, and returns how many.
+    /// Reserves the given number of tokens, or as many as there are; returns how many.
     pub fn reserve_up_to(&mut self, tokens: u64) -> u64 {
-        let part = tokens.min(self.usable());
-        self.reserved += part;
-        part
+        let reserved = tokens.min(self.usable());
+        self.reserved += reserved;
+        reserved
     }
 
-    /// Ends a reservation; what was not spent is free again.
+    /// Ends a reservation; the tokens that were not spent can be reserved again.
     ///
     /// # Panics
     ///
-    /// Panics when more was spent than reserved, or more reserved than ever was: the budget would
-    /// be exceeded.
+    /// Panics if more tokens were spent than reserved, or if the reservation is larger than all reserved tokens: the
+    /// budget would be exceeded.
     pub fn settle(&mut self, reserved: u64, spent: u64) {
-        assert!(spent <= reserved, "never more spent than reserved");
+        assert!(spent <= reserved, "spent tokens exceed the reservation");
         let rest = self.reserved.checked_sub(reserved);
-        self.reserved = rest.expect("a reservation ends once");
+        self.reserved = rest.expect("settled tokens exceed reserved tokens");
         self.spent += spent;
     }
 
-    /// Returns what is spent by the own line's word, were it written now.
+    /// Returns the spent tokens that the own entry would report if written now.
     fn reportable_spent(&self) -> u64 {
         self.spent + self.spending_received.sum()
             - self.spending_forwarded.sum()
             - self.detached_spent
     }
 
-    /// Returns whether tokens were spent that no line tells of yet.
+    /// Returns whether there are spent tokens that no planned entry reports yet.
     pub fn has_unreported_spending(&self) -> bool {
         self.reportable_spent() > self.planned_spent
     }
 
-    /// Passes the tokens spent that no line tells of yet on to the instance that this one draws from, which
-    /// takes them into its own; returns the total passed on to it.
+    /// Forwards the spent tokens that no planned entry reports yet to the instance that this one draws from, which
+    /// reports them in its own entry. Returns the total forwarded to it.
     pub fn forward_spending(&mut self, peer: &str) -> u64 {
-        let news = self.reportable_spent().saturating_sub(self.planned_spent);
-        self.spending_forwarded.add(peer, news)
+        let unreported = self.reportable_spent().saturating_sub(self.planned_spent);
+        self.spending_forwarded.add(peer, unreported)
     }
 
-    /// Returns the total of what is spent that was passed on to an instance so far.
+    /// Returns the total of spent tokens forwarded to an instance so far.
     pub fn forwarded_spending(&self, peer: &str) -> u64 {
         self.spending_forwarded.for_peer(peer)
     }
 
-    /// Takes the word of an instance that draws from this one on the total that it has passed on.
-    pub fn receive_spending(&mut self, me: &str, told: &CumulativeTotal) {
-        self.spending_received.merge(me, told);
+    /// Applies the total of spent tokens forwarded by an instance that draws from this one.
+    pub fn receive_spending(&mut self, own_id: &str, update: &CumulativeTotal) {
+        self.spending_received.merge(own_id, update);
     }
 
-    /// Passes a reservation on to an instance that draws from this one; returns the total given to it.
+    /// Transfers a reservation to an instance that draws from this one; returns the total transferred to it.
     ///
     /// # Panics
     ///
-    /// Panics when more was reserved than ever was.
+    /// Panics if the reservation is larger than all reserved tokens.
     pub fn transfer_reserved(&mut self, peer: &str, reserved: u64) -> u64 {
         self.settle(reserved, 0);
         self.tokens_sent.add(peer, reserved)
     }
 
-    /// Counts tokens that a waiting request lacks.
+    /// Adds the tokens that a request waits for.
     pub fn begin_wait(&mut self, tokens: u64) {
         self.waiting_tokens += tokens;
     }
 
-    /// Counts the end of a wait.
+    /// Removes the tokens of a request that no longer waits.
     pub fn end_wait(&mut self, tokens: u64) {
         self.waiting_tokens = self.waiting_tokens.saturating_sub(tokens);
     }
 
-    /// Returns the tokens that waiting requests lack beyond the balance.
+    /// Returns the tokens that waiting requests need beyond the usable ones.
     pub fn shortfall(&self) -> u64 {
         self.waiting_tokens.saturating_sub(self.usable())
     }
 
-    /// Returns why a request of some tokens is refused.
+    /// Returns why a request for the given number of tokens is refused.
     pub fn reserve_error(&self, tokens: u64) -> ReserveError {
         if self.known_spent() + tokens > self.prepaid {
             ReserveError::Exhausted
@@ -275,44 +283,46 @@
         }
     }
 
-    /// Takes the record as the store has it.
-    pub fn update_snapshot(&mut self, known: RecordSnapshot) {
-        let newer = |k: &RecordSnapshot| k.revision > known.revision;
+    /// Replaces the snapshot of the record unless the present one is newer.
+    pub fn update_snapshot(&mut self, snapshot: RecordSnapshot) {
+        let newer = |s: &RecordSnapshot| s.revision > snapshot.revision;
         if !self.snapshot.as_ref().is_some_and(newer) {
-            self.snapshot = Some(known);
+            self.snapshot = Some(snapshot);
         }
     }
 
-    /// Takes the own line as the book in the store has it at a revision.
+    /// Applies the own entry from the ledger in the store, which has the given revision.
     ///
-    /// A write whose answer was lost shows here: its tokens are charged, so they count. The record is
-    /// unknown then until it is read again: the one before does not hold them.
+    /// A write whose answer was lost shows here: its tokens are charged, so they count as granted. An older snapshot of
+    /// the record does not include them, so it is dropped and the record has to be read again.
     ///
     /// # Panics
     ///
-    /// Panics when a counter of the line went back: tokens could then be granted twice.
-    pub fn confirm_entry(&mut self, line: LedgerEntry, revision: i64) {
-        let was = self.entry;
-        if line != was
+    /// Panics if a counter of the entry has decreased: tokens could then be granted twice.
+    pub fn confirm_entry(&mut self, entry: LedgerEntry, revision: i64) {
+        let old = self.entry;
+        if entry != old
             && self
                 .snapshot
                 .as_ref()
-                .is_some_and(|k| k.revision < revision)
+                .is_some_and(|s| s.revision < revision)
         {
             self.snapshot = None;
         }
         assert!(
-            line.granted >= was.granted && line.returned >= was.returned && line.spent >= was.spent,
-            "own line went back"
+            entry.granted >= old.granted
+                && entry.returned >= old.returned
+                && entry.spent >= old.spent,
+            "a counter of the own ledger entry decreased"
         );
-        self.entry = line;
+        self.entry = entry;
     }
 
-    /// Takes the word that another incarnation's lines stand in the book, once for each revision of it;
-    /// only its demand concerns this one, which is to be taken out of the record's.
+    /// Handles a ledger in the store that another incarnation wrote, once for each revision of it. `theirs` is its
+    /// entry, whose rate is kept to subtract it from the record's.
     ///
-    /// What stood there of this incarnation stays charged, but can't be handed back any more, also not
-    /// what was debited for a write that has not landed.
+    /// Tokens that the own entry charged stay charged and usable, but can no longer be returned. Those already debited
+    /// for a return that the store has not confirmed are not usable either.
     pub fn on_foreign_ledger(&mut self, theirs: LedgerEntry) {
         let unconfirmed = self.returned - self.entry.returned;
         self.detached_charged += self.entry.charged() - unconfirmed;
@@ -326,25 +336,25 @@
         };
     }
 
-    /// Returns the own line as the store confirmed it last.
+    /// Returns the own entry as last confirmed by the store.
     pub fn entry(&self) -> LedgerEntry {
         self.entry
     }
 
-    /// Returns whether the record as last read holds the own line. It does not when it shows a later write of the own line, by
-    /// which tokens were handed back and whose answer was lost.
+    /// Returns whether the snapshot of the record includes the confirmed entry. It does not if the record is newer and
+    /// includes a write that returned tokens and whose answer was lost.
     pub fn snapshot_includes_entry(&self) -> bool {
-        let covers = |k: &RecordSnapshot| k.record.charged >= self.entry.charged();
-        self.snapshot.as_ref().is_none_or(covers)
+        let includes = |s: &RecordSnapshot| s.record.charged >= self.entry.charged();
+        self.snapshot.as_ref().is_none_or(includes)
     }
 
-    /// Returns the tokens that nobody holds, by the record as last read.
+    /// Returns the free tokens of the budget, which no instance holds, as of the last read of the record.
     pub fn free(&self) -> u64 {
-        let charged = self.snapshot.as_ref().map(|k| k.record.charged);
+        let charged = self.snapshot.as_ref().map(|s| s.record.charged);
         charged.map_or(0, |c| self.prepaid.saturating_sub(c))
     }
 
-    /// Returns whether there is anything here to keep: requests, tokens, or a word on them.
+    /// Returns whether there are recent or waiting requests, tokens, or unreported spending here.
     pub fn is_in_use(&self, now: u64) -> bool {
         !self.is_idle(now)
             || self.waiting_tokens > 0
@@ -352,86 +362,93 @@
             || self.has_unreported_spending()
     }
 
-    /// Returns whether it was not asked for tokens lately.
+    /// Returns whether there was no demand recently.
     fn is_idle(&self, now: u64) -> bool {
         self.last_demand_at
             .is_none_or(|at| now > at + IDLE_AFTER_MS)
     }
 
-    /// Returns what is spent of the budget, as far as known here.
+    /// Returns the spent tokens of the budget, as far as known here.
     fn known_spent(&self) -> u64 {
         let newer = self.reportable_spent().saturating_sub(self.entry.spent);
-        self.snapshot.as_ref().map_or(0, |k| k.record.spent) + newer
+        self.snapshot.as_ref().map_or(0, |s| s.record.spent) + newer
     }
 
     /// Returns the tokens that this instance should hold.
-    fn target(&self, now: u64, sharers: u64) -> u64 {
-        let Some(known) = &self.snapshot else {
+    fn target(&self, now: u64, instances: u64) -> u64 {
+        let Some(snapshot) = &self.snapshot else {
             return 0;
         };
         let rate = self.demand.per_second(now);
-        let rates = self.total_rate(now, &known.record);
-        let pool = self.grantable(&known.record, rate, rates, sharers);
-        let share = mul_div(pool, rate, rates);
+        let total_rate = self.total_rate(now, &snapshot.record);
+        let grantable = self.grantable(&snapshot.record, rate, total_rate, instances);
+        let share = mul_div(grantable, rate, total_rate);
         let wanted = rate * GRANT_HORIZON_MS / 1000;
         wanted.min(share.max(rate * MIN_GRANT_MS / 1000))
     }
 
-    /// Returns the own line as it should stand in the store, when that is worth a write, at an instance that is
-    /// the customer's home, or not, and one of `sharers`.
+    /// Returns the own entry that should be written to the store, or none if the change is not worth a write.
     ///
-    /// Tokens to hand back are debited here at once: were the answer lost, the write may yet land.
-    pub fn plan_update(&mut self, now: u64, sharers: u64, home: bool) -> Option<LedgerEntry> {
-        let holds = home || !self.is_idle(now);
-        let target = if holds { self.target(now, sharers) } else { 0 };
-        let known = self.snapshot.as_ref()?;
-        let free = self.prepaid.saturating_sub(known.record.charged);
-        let have = self.balance();
-        let missing = self.waiting_tokens.saturating_sub(have);
-        let mut line = LedgerEntry {
+    /// `instances` is the size of the fleet; `is_home` says whether this instance is the customer's home.
+    ///
+    /// Tokens to return are debited immediately: if the write gets no answer, it may still take effect later.
+    pub fn plan_update(&mut self, now: u64, instances: u64, is_home: bool) -> Option<LedgerEntry> {
+        let holds = is_home || !self.is_idle(now);
+        let target = if holds {
+            self.target(now, instances)
+        } else {
+            0
+        };
+        let snapshot = self.snapshot.as_ref()?;
+        let free = self.prepaid.saturating_sub(snapshot.record.charged);
+        let balance = self.balance();
+        let shortfall = self.waiting_tokens.saturating_sub(balance);
+        let mut entry = LedgerEntry {
             granted: self.entry.granted,
             returned: self.returned,
             spent: self.reportable_spent(),
             rate: self.demand.per_second(now),
         };
-        let low = have < target * REFILL_BELOW_PCT / 100 && target - have >= MIN_CHANGE_TOKENS;
-        if (low || missing > 0) && free > 0 {
-            line.granted += (target.saturating_sub(have)).max(missing).min(free);
-        } else if have > target * RETURN_ABOVE_PCT / 100 && have - target >= MIN_CHANGE_TOKENS {
-            let back = have - target.max(self.waiting_tokens.min(have));
-            // By halves: what is under way when the store falls silent can't be used by anyone.
-            let back = if holds { back / 2 } else { back };
-            // Tokens that came from others are charged to them: only the own line's go back.
-            let back = back.min(self.entry.granted.saturating_sub(self.returned));
-            self.returned += back;
-            line.returned = self.returned;
+        let low =
+            balance < target * REFILL_BELOW_PCT / 100 && target - balance >= MIN_CHANGE_TOKENS;
+        if (low || shortfall > 0) && free > 0 {
+            entry.granted += (target.saturating_sub(balance)).max(shortfall).min(free);
+        } else if balance > target * RETURN_ABOVE_PCT / 100 && balance - target >= MIN_CHANGE_TOKENS
+        {
+            let excess = balance - target.max(self.waiting_tokens.min(balance));
+            // Half at a time: if the store stops answering, nobody can use the tokens of a write under way.
+            let excess = if holds { excess / 2 } else { excess };
+            // Tokens received from other instances are charged to them: only those of the own entry can be returned.
+            let excess = excess.min(self.entry.granted.saturating_sub(self.returned));
+            self.returned += excess;
+            entry.returned = self.returned;
         }
-        let moved = line.granted != self.entry.granted || line.returned != self.entry.returned;
-        let pause = REPORT_INTERVAL_MS * sharers.max(SMALL_FLEET) / SMALL_FLEET;
-        let news = line.spent != self.entry.spent && now >= self.reported_at + pause;
-        if !moved && !news {
+        let moved = entry.granted != self.entry.granted || entry.returned != self.entry.returned;
+        let interval = REPORT_INTERVAL_MS * instances.max(SMALL_FLEET) / SMALL_FLEET;
+        let report = entry.spent != self.entry.spent && now >= self.reported_at + interval;
+        if !moved && !report {
             return None;
         }
         self.reported_at = now;
         self.planned_spent = self.reportable_spent();
-        Some(line)
+        Some(entry)
     }
 
-    /// Returns the own line with everything handed back that can be, unless the store has it so: the last
-    /// word before a stop.
+    /// Returns the last entry to write before a planned stop, with all tokens returned that can be; none if the store
+    /// already has it.
     pub fn plan_shutdown(&mut self) -> Option<LedgerEntry> {
         self.snapshot.as_ref()?;
-        let back = self.balance();
-        let back = back.min(self.entry.granted.saturating_sub(self.returned));
-        self.returned += back;
-        let line = LedgerEntry {
+        let balance = self.balance();
+        let returned = balance.min(self.entry.granted.saturating_sub(self.returned));
+        self.returned += returned;
+        let entry = LedgerEntry {
             granted: self.entry.granted,
             returned: self.returned,
             spent: self.reportable_spent(),
             rate: 0,
         };
         self.planned_spent = self.reportable_spent();
-        (line != self.entry).then_some(line)
+        (entry != self.entry).then_some(entry)
     }
 
     /// Returns the record as last read.
@@ -439,13 +456,14 @@
         self.snapshot.as_ref()
     }
 
-    /// Returns the demand, in tokens a second.
+    /// Returns the demand here, in tokens per second.
     pub fn rate(&self, now: u64) -> u64 {
         self.demand.per_second(now)
     }
 
-    /// Debits tokens for another instance, which asks for `wanted` and has `balance` left at a
-    /// demand of `rate`: so many that both then last equally long. Returns the total given to it.
+    /// Transfers tokens to another instance, which asks for `wanted`, has `balance` left and a demand of `rate`: as many
+    /// as make both balances last equally long, but no fewer than it asks for, if available. Returns the total
+    /// transferred to it.
     pub fn transfer_share(
         &mut self,
         now: u64,
@@ -456,22 +474,22 @@
     ) -> u64 {
         let own = self.usable().saturating_sub(self.waiting_tokens);
         let own_rate = self.demand.per_second(now).max(1);
-        let theirs = mul_div(own + balance, rate, rate + own_rate);
-        let give = theirs.saturating_sub(balance).max(wanted).min(own);
-        self.tokens_sent.add(peer, give)
+        let share = mul_div(own + balance, rate, rate + own_rate);
+        let transferred = share.saturating_sub(balance).max(wanted).min(own);
+        self.tokens_sent.add(peer, transferred)
     }
 
-    /// Debits all tokens that are not reserved, for another instance: an instance that leaves while the
-    /// store is out of reach would strand them. Returns the total given to it.
+    /// Transfers all tokens that are not reserved to another instance: an instance that stops while the store is out of
+    /// reach would strand them. Returns the total transferred to it.
     pub fn transfer_all(&mut self, peer: &str) -> u64 {
         self.tokens_sent.add(peer, self.balance())
     }
 
-    /// Debits what requests have left here, for the home; returns the total given to it. What this instance
-    /// holds for others in the home's place stays.
+    /// Transfers the tokens that ended requests left here to the home, unless there is recent demand or a request waits:
+    /// an instance that replaces the home keeps its tokens. Returns the total transferred to the home.
     pub fn transfer_idle(&mut self, now: u64, home: &str) -> u64 {
-        let keeps = self.waiting_tokens > 0 || !self.is_idle(now);
-        let rest = if keeps { 0 } else { self.balance() };
+        let in_use = self.waiting_tokens > 0 || !self.is_idle(now);
+        let rest = if in_use { 0 } else { self.balance() };
         self.tokens_sent.add(home, rest)
     }
 
@@ -480,23 +498,22 @@
         self.waiting_tokens > 0
     }
 
-    /// Takes the word of another instance on the total that it has given to this one; returns how much of it
-    /// is new.
-    pub fn receive_tokens(&mut self, me: &str, told: &CumulativeTotal) -> u64 {
-        self.tokens_received.merge(me, told)
+    /// Applies the total of tokens that another instance has transferred to this one; returns the increase.
+    pub fn receive_tokens(&mut self, own_id: &str, update: &CumulativeTotal) -> u64 {
+        self.tokens_received.merge(own_id, update)
     }
 
-    /// Returns the tokens that grants may hold together, at the own demand and that of all: what there is beyond those
-    /// that the customer goes on with after a loss of all instances.
-    fn grantable(&self, record: &BudgetRecord, rate: u64, rates: u64, sharers: u64) -> u64 {
+    /// Returns the tokens that all instances together may hold, given the demand here and that of all instances: the
+    /// remaining budget less what is held back for a failure of all instances.
+    fn grantable(&self, record: &BudgetRecord, rate: u64, total_rate: u64, instances: u64) -> u64 {
         let own = self.balance() + self.reserved;
-        // What other living instances hold is not known here: by their demand, and never what the dead hold too.
+        // What other live instances hold is not recorded. The estimate by their demand leaves out what dead ones hold.
         let unspent = record.charged.saturating_sub(record.spent);
-        let living = mul_div(own, rates, rate).min(unspent).max(own);
-        let left = self.free() + living;
-        left.saturating_sub(
-            self.holdback(rates, self.request_sizes.smaller_half())
-                .withheld(sharers),
+        let live = mul_div(own, total_rate, rate).min(unspent).max(own);
+        let remaining = self.free() + live;
+        remaining.saturating_sub(
+            self.holdback(total_rate, self.request_sizes.smaller_half())
+                .withheld(instances),
         )
     }
 }
--- a/crates/escrow/src/request_sizes.rs
+++ b/crates/escrow/src/request_sizes.rs
@@ -1,18 +1,18 @@
-//! How large a customer's requests are: what the smaller half of them takes.
+//! Sizes of a customer's requests, and the share of tokens that the smaller half of them takes.
 //!
-//! The load that this answers: a few kinds of requests that differ tenfold in tokens and little in number. After a loss of all
-//! instances a part of a budget is out of reach, and the rest does not last to the next top-up. The smaller half of
-//! the requests takes an eighth of the tokens there, so that what is kept for it serves half of the callers for as long as
-//! eight times as much would serve all.
+//! The load that this is made for: a few kinds of requests whose token counts differ tenfold and whose numbers are
+//! similar. After a failure of all instances, part of a budget is out of reach, and the rest does not last until the
+//! next top-up. The smaller half of such requests takes an eighth of the tokens, so that the tokens held back for it
+//! serve half of the callers for as long as eight times as many tokens would serve all of them.
 
-/// Time over which requests are counted, in milliseconds: kinds of requests come and go more slowly than demand.
+/// Time constant of the counts' decay, in milliseconds: the mix of requests changes more slowly than demand.
 const TIME_CONSTANT_MS: f64 = 20_000.0;
-/// Sizes are counted by classes, two to each doubling.
+/// Number of size classes, two per doubling.
 const CLASS_COUNT: usize = 48;
-/// With fewer requests than that the mean parts them: a new incarnation must not spend on large ones what the others need
-/// before it knows them.
+/// Below this number of requests, the mean size separates the halves: a new incarnation that does not know the sizes
+/// yet must not spend on large requests what the others need.
 const MIN_REQUESTS: f64 = 20.0;
-/// What a mean of equal sizes may lie below them by rounding.
+/// Factor on the mean: rounding may put the mean of equal sizes below them.
 const ROUNDING_MARGIN: f64 = 1.01;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -21,16 +21,16 @@
     tokens: f64,
 }
 
-/// What the smaller half of the requests is.
+/// The smaller half of the requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct SmallerHalf {
-    /// A request of more tokens belongs to the larger half.
+    /// Requests of more tokens belong to the larger half.
     pub(crate) max_tokens: u64,
-    /// Its part of all tokens asked for, from 0 to 1.
+    /// Its share of all requested tokens, from 0 to 1.
     pub(crate) token_share: f64,
 }
 
-/// Requests by size, forgetting.
+/// Histogram of request sizes whose counts decay exponentially.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestSizes {
     classes: [SizeClass; CLASS_COUNT],
@@ -47,13 +47,13 @@
 }
 
 impl RequestSizes {
-    /// Counts a request.
+    /// Adds a request.
     pub(crate) fn add(&mut self, now: u64, tokens: u64) {
-        let gone = now.saturating_sub(self.updated_at) as f64;
-        let left = (-gone / TIME_CONSTANT_MS).exp();
+        let elapsed = now.saturating_sub(self.updated_at) as f64;
+        let decay = (-elapsed / TIME_CONSTANT_MS).exp();
         for class in &mut self.classes {
-            class.count *= left;
-            class.tokens *= left;
+            class.count *= decay;
+            class.tokens *= decay;
         }
         self.updated_at = self.updated_at.max(now);
         let class = &mut self.classes[class_index(tokens)];
@@ -61,36 +61,36 @@
         class.tokens += tokens as f64;
     }
 
-    /// Returns what the smaller half is: whole classes, so a little more than a half. None without any request.
+    /// Returns the smaller half of the requests: whole size classes, so slightly more than half; none without requests.
     pub(crate) fn smaller_half(&self) -> Option<SmallerHalf> {
         let count: f64 = self.classes.iter().map(|c| c.count).sum();
         let tokens: f64 = self.classes.iter().map(|c| c.tokens).sum();
         if tokens <= 0.0 {
             return None;
         }
-        let (last, most) = if count < MIN_REQUESTS {
+        let (last, max_tokens) = if count < MIN_REQUESTS {
             let mean = (tokens / count * ROUNDING_MARGIN) as u64;
             (class_index(mean), mean)
         } else {
-            let middle = self.median_class(count);
-            (middle, class_max(middle))
+            let median = self.median_class(count);
+            (median, class_max(median))
         };
         let smaller: f64 = self.classes[..=last].iter().map(|c| c.tokens).sum();
-        let part = smaller / tokens;
+        let token_share = smaller / tokens;
         Some(SmallerHalf {
-            max_tokens: most,
-            token_share: part,
+            max_tokens,
+            token_share,
         })
     }
 
-    /// Returns the class in which half of so many requests is reached.
+    /// Returns the class that contains the median, given the count of all requests.
     fn median_class(&self, count: f64) -> usize {
         let mut smaller = 0.0;
-        let reached = self.classes.iter().position(|c| {
+        let found = self.classes.iter().position(|c| {
             smaller += c.count;
             smaller * 2.0 >= count
         });
-        reached.unwrap_or(CLASS_COUNT - 1)
+        found.unwrap_or(CLASS_COUNT - 1)
     }
 }
 
@@ -99,7 +99,7 @@
     (class as usize).min(CLASS_COUNT - 1)
 }
 
-/// Returns the most tokens of a request in a class.
+/// Returns the size of the largest requests in a class, in tokens.
 fn class_max(class: usize) -> u64 {
     if class == CLASS_COUNT - 1 {
         return u64::MAX;
--- a/crates/escrow/src/totals.rs
+++ b/crates/escrow/src/totals.rs
@@ -1,23 +1,23 @@
-//! What one instance counts of each other one, as totals that only grow.
+//! Cumulative totals that an instance keeps for each other instance.
 //!
-//! A message between instances may be lost, come twice, or come after a later one, and the sender has debited
-//! the tokens in any case. So it tells the total of all that it ever sent to that instance: whichever message
-//! comes next brings what the lost ones did not, and none brings anything twice.
+//! A message between instances may be lost, duplicated or overtaken by a later one, and the sender has debited the
+//! tokens in any case. Each message therefore carries the total of all that was ever sent to that instance: the next
+//! message to arrive makes up for lost ones, and none counts twice.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// One instance's word to another: a total that only grows.
+/// A total, only growing, that one incarnation reports to another.
 ///
-/// It concerns two incarnations. One that starts again at the same address must not take a word to its
-/// predecessor, which has taken most of the total already.
+/// It names both incarnations: one that starts again at the same address must not apply a total meant for its
+/// predecessor, which has already applied most of it.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CumulativeTotal {
-    /// The incarnation that tells.
+    /// The sending incarnation.
     pub from: String,
-    /// The incarnation that is told.
+    /// The receiving incarnation.
     pub to: String,
     /// The total.
     pub total: u64,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Totals by instance, which is known by its incarnation.
+/// Totals by incarnation of the other instance.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerTotals {
     by_peer: BTreeMap<String, u64>,
@@ -42,17 +42,17 @@
 }
 
 impl PeerTotals {
-    /// Returns the sum over all instances.
+    /// Returns the sum over all peers.
     pub(crate) fn sum(&self) -> u64 {
         self.sum
     }
 
-    /// Returns an instance's total.
+    /// Returns a peer's total.
     pub(crate) fn for_peer(&self, peer: &str) -> u64 {
         self.by_peer.get(peer).copied().unwrap_or_default()
     }
 
-    /// Adds to an instance's total, and returns that.
+    /// Adds to a peer's total and returns the new total.
     pub(crate) fn add(&mut self, peer: &str, tokens: u64) -> u64 {
         let total = self.by_peer.entry(peer.to_string()).or_default();
         *total += tokens;
@@ -60,15 +60,15 @@
         *total
     }
 
-    /// Takes a word to the incarnation `me`; returns what is new of it.
-    pub(crate) fn merge(&mut self, me: &str, told: &CumulativeTotal) -> u64 {
-        if told.to != me {
+    /// Applies a total if it is meant for the incarnation `own_id`; returns the increase.
+    pub(crate) fn merge(&mut self, own_id: &str, update: &CumulativeTotal) -> u64 {
+        if update.to != own_id {
             return 0;
         }
-        let known = self.by_peer.entry(told.from.clone()).or_default();
-        let news = told.total.saturating_sub(*known);
-        *known += news;
-        self.sum += news;
-        news
+        let known = self.by_peer.entry(update.from.clone()).or_default();
+        let increase = update.total.saturating_sub(*known);
+        *known += increase;
+        self.sum += increase;
+        increase
     }
 }
