--- a/crates/escrow/src/home.rs
+++ b/crates/escrow/src/home.rs
@@ -1,10 +1,10 @@
 //! Selection of the instances that hold a customer's tokens.
 //!
-//! A customer's tokens are held by one instance, its home, from which the others draw what a request needs. With a share
-//! at every instance, the shares were smaller than one prompt near the end of a budget, and always so in a large fleet:
-//! requests had to wait for the store, their writes conflicted on the customer's record, and in the end a tenth of the
-//! budget was held where nobody could use it. The instances need not agree on the home: two homes only cost a few more
-//! writes.
+//! A customer's tokens are held by one instance, its home, from which the others draw what a request needs. With a
+//! share at every instance, the shares were smaller than one prompt near the end of a budget, and always so in a large
+//! fleet: requests had to wait for the store, their writes conflicted on the customer's record, and in the end a tenth
+//! of the budget was held where nobody could use it. The instances need not agree on the home: two homes only cost a
+//! few more writes.
 //!
 //! A customer with more requests than one instance can answer has a home in each availability zone. Only the
 //! customer's own demand decides this, not the size of the fleet.
--- a/crates/escrow/src/local_budget.rs
+++ b/crates/escrow/src/local_budget.rs
@@ -155,7 +155,8 @@
     }
 
     /// Returns whether a request of the given size may reserve tokens after a restart of all instances. If part of the
-    /// budget is out of reach for good, requests of the larger half may not take the tokens that the smaller half needs.
+    /// budget is out of reach for good, requests of the larger half may not take the tokens that the smaller half
+    /// needs.
     pub fn admits(&self, now: u64, size: u64) -> bool {
         let Some(snapshot) = &self.snapshot else {
             return true;
@@ -461,8 +462,8 @@
         self.demand.per_second(now)
     }
 
-    /// Transfers tokens to another instance, which asks for `wanted`, has `balance` left and a demand of `rate`: as many
-    /// as make both balances last equally long, but no fewer than it asks for, if available. Returns the total
+    /// Transfers tokens to another instance, which asks for `wanted`, has `balance` left and a demand of `rate`: as
+    /// many as make both balances last equally long, but no fewer than it asks for, if available. Returns the total
     /// transferred to it.
     pub fn transfer_share(
         &mut self,
@@ -485,8 +486,8 @@
         self.tokens_sent.add(peer, self.balance())
     }
 
-    /// Transfers the tokens that ended requests left here to the home, unless there is recent demand or a request waits:
-    /// an instance that replaces the home keeps its tokens. Returns the total transferred to the home.
+    /// Transfers the tokens that ended requests left here to the home, unless there is recent demand or a request
+    /// waits: an instance that replaces the home keeps its tokens. Returns the total transferred to the home.
     pub fn transfer_idle(&mut self, now: u64, home: &str) -> u64 {
         let in_use = self.waiting_tokens > 0 || !self.is_idle(now);
         let rest = if in_use { 0 } else { self.balance() };
--- a/crates/escrow/tests/fleet/main.rs
+++ b/crates/escrow/tests/fleet/main.rs
@@ -1,8 +1,8 @@
-//! Budgets of a fleet, without a network.
+//! Budgets of a simulated fleet, without a network.
 
-mod cases;
-mod day;
-mod loss;
+mod fleet_failure;
+mod holdback;
 mod random;
-mod ration;
+mod regressions;
+mod simulation;
 mod store;
--- a/crates/escrow/tests/fleet/store.rs
+++ b/crates/escrow/tests/fleet/store.rs
@@ -1,4 +1,4 @@
-//! A record and books with their revisions, and incarnations that read and write them.
+//! Simulated store with a budget record and ledgers, and incarnations that read and write it.
 
 use std::collections::BTreeMap;
 
@@ -6,102 +6,105 @@
 
 pub(crate) const CUSTOMER: &str = "c";
 
-/// A write of the record and of one book, with the revisions that it expects.
+/// A write of the record and one ledger, with the revisions that it expects.
 #[derive(Clone)]
-pub(crate) struct Write {
+pub(crate) struct Transaction {
     pub(crate) name: String,
     pub(crate) record: (i64, BudgetRecord),
-    pub(crate) book: (i64, Ledger),
+    pub(crate) ledger: (i64, Ledger),
 }
 
-/// The record and the books with their revisions; late writes land when their conditions still hold.
+/// The record and the ledgers with their revisions, and transactions that are committed later, if their expected
+/// revisions are still current.
 #[derive(Default)]
 pub(crate) struct Store {
     pub(crate) record: (i64, BudgetRecord),
-    pub(crate) books: BTreeMap<String, (i64, Ledger)>,
+    pub(crate) ledgers: BTreeMap<String, (i64, Ledger)>,
     pub(crate) revision: i64,
-    pub(crate) late: Vec<Write>,
+    pub(crate) delayed: Vec<Transaction>,
 }
 
 impl Store {
-    pub(crate) fn book(&self, name: &str) -> (i64, Ledger) {
-        self.books.get(name).cloned().unwrap_or_default()
+    pub(crate) fn ledger(&self, name: &str) -> (i64, Ledger) {
+        self.ledgers.get(name).cloned().unwrap_or_default()
     }
 
-    pub(crate) fn commit(&mut self, write: &Write) -> bool {
-        let holds = self.record.0 == write.record.0 && self.book(&write.name).0 == write.book.0;
-        if !holds {
+    pub(crate) fn commit(&mut self, txn: &Transaction) -> bool {
+        let unchanged = self.record.0 == txn.record.0 && self.ledger(&txn.name).0 == txn.ledger.0;
+        if !unchanged {
             return false;
         }
         self.revision += 1;
-        // What goes through the store is text.
-        let record = BudgetRecord::parse(&write.record.1.to_bytes()).expect("sound");
-        let book = Ledger::parse(&write.book.1.to_bytes()).expect("sound");
+        // Through JSON, as in the real store.
+        let record = BudgetRecord::parse(&txn.record.1.to_bytes()).expect("sound");
+        let ledger = Ledger::parse(&txn.ledger.1.to_bytes()).expect("sound");
         self.record = (self.revision, record);
-        self.books.insert(write.name.clone(), (self.revision, book));
+        self.ledgers
+            .insert(txn.name.clone(), (self.revision, ledger));
         true
     }
 }
 
-/// One incarnation.
-pub(crate) struct Node {
+/// One incarnation of an instance.
+pub(crate) struct Instance {
     pub(crate) name: String,
     pub(crate) id: String,
-    pub(crate) holding: LocalBudget,
-    pub(crate) book: Option<i64>,
-    pub(crate) open: Vec<u64>,
+    pub(crate) budget: LocalBudget,
+    pub(crate) ledger_revision: Option<i64>,
+    /// Tokens reserved for running requests.
+    pub(crate) reservations: Vec<u64>,
 }
 
-impl Node {
-    pub(crate) fn new(name: &str, id: &str, prepaid: u64) -> Node {
-        let mut holding = LocalBudget::default();
-        holding.set_prepaid(prepaid);
-        Node {
+impl Instance {
+    pub(crate) fn new(name: &str, id: &str, prepaid: u64) -> Instance {
+        let mut budget = LocalBudget::default();
+        budget.set_prepaid(prepaid);
+        Instance {
             name: name.to_string(),
             id: id.to_string(),
-            holding,
-            book: None,
-            open: Vec::new(),
+            budget,
+            ledger_revision: None,
+            reservations: Vec::new(),
         }
     }
 
-    pub(crate) fn read(&mut self, store: &Store, at: u64) {
+    pub(crate) fn read(&mut self, store: &Store, now: u64) {
         let (revision, record) = store.record;
-        self.holding.update_snapshot(RecordSnapshot {
+        self.budget.update_snapshot(RecordSnapshot {
             record,
             revision,
-            read_at: at,
+            read_at: now,
         });
-        let (revision, book) = store.book(&self.name);
-        if self.book == Some(revision) {
+        let (revision, ledger) = store.ledger(&self.name);
+        if self.ledger_revision == Some(revision) {
             return;
         }
-        self.book = Some(revision);
-        let line = book.entry(CUSTOMER);
-        if revision == 0 || book.owner == self.id {
-            self.holding.confirm_entry(line, revision);
+        self.ledger_revision = Some(revision);
+        let entry = ledger.entry(CUSTOMER);
+        if revision == 0 || ledger.owner == self.id {
+            self.budget.confirm_entry(entry, revision);
         } else {
-            self.holding.on_foreign_ledger(line);
+            self.budget.on_foreign_ledger(entry);
         }
     }
 
-    pub(crate) fn write(&self, line: LedgerEntry) -> Write {
-        let known = self.holding.snapshot().expect("planned from it");
-        let record = known.record.with_entry(self.holding.entry(), line);
-        let book = Ledger {
+    pub(crate) fn transaction(&self, entry: LedgerEntry) -> Transaction {
+        let snapshot = self.budget.snapshot().expect("planned from it");
+        let record = snapshot.record.with_entry(self.budget.entry(), entry);
+        let ledger = Ledger {
             owner: self.id.clone(),
-            entries: BTreeMap::from([(CUSTOMER.to_string(), line)]),
+            entries: BTreeMap::from([(CUSTOMER.to_string(), entry)]),
         };
-        Write {
+        Transaction {
             name: self.name.clone(),
-            record: (known.revision, record),
-            book: (self.book.expect("read before"), book),
+            record: (snapshot.revision, record),
+            ledger: (self.ledger_revision.expect("read before"), ledger),
         }
     }
 
-    /// Writes a line and reads what came of it.
-    pub(crate) fn commit(&mut self, store: &mut Store, line: LedgerEntry, at: u64) {
-        assert!(store.commit(&self.write(line)));
-        self.read(store, at);
+    /// Writes an entry and reads the result.
+    pub(crate) fn commit(&mut self, store: &mut Store, entry: LedgerEntry, now: u64) {
+        assert!(store.commit(&self.transaction(entry)));
+        self.read(store, now);
     }
 }
