--- /dev/null
+++ b/crates/escrow/src/holdback.rs
@@ -0,0 +1,62 @@
+//! Tokens held back from grants, for a customer's requests after a failure of all instances.
+//!
+//! The tokens that homes hold when all processes end stay charged, because they may have been spent. With too few held
+//! back, the customer's requests are then refused until the end of the budget. With too many, requests are refused in
+//! an outage of the store, for as long as it lasts, because nothing can be granted meanwhile.
+
+use crate::rate::mul_div;
+
+/// How long a customer's tokens are to last after a failure of all instances, in percent of the recovery time, for all
+/// its requests and for the smaller half of them. More than 100, so that it is served for a while after recovery.
+const ALL_REQUESTS_PCT: u64 = 125;
+const SMALLER_HALF_PCT: u64 = 200;
+/// Fleets of up to this many instances hold back all of it, because at least one customer in nine loses its home there
+/// when an instance fails. In larger fleets, the failed instance is seldom a given customer's home.
+const SMALL_FLEET: u64 = 9;
+
+/// What a customer's requests need after a failure of all instances.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Holdback {
+    /// Time until service is back, in milliseconds.
+    pub(crate) recovery_ms: u64,
+    /// Demand of all instances, in tokens per second.
+    pub(crate) total_rate: u64,
+    /// Share of the smaller half of the requests in all requested tokens, from 0 to 1.
+    pub(crate) smaller_half_share: f64,
+}
+
+impl Holdback {
+    /// Returns the demand during the recovery time, in tokens.
+    fn demand(self) -> u64 {
+        self.total_rate.saturating_mul(self.recovery_ms) / 1000
+    }
+
+    /// Returns the tokens that all requests need.
+    fn all_requests(self) -> u64 {
+        self.demand().saturating_mul(ALL_REQUESTS_PCT) / 100
+    }
+
+    /// Returns the tokens that the smaller half of the requests needs.
+    fn smaller_half(self) -> u64 {
+        let tokens =
+            self.demand() as f64 * self.smaller_half_share * SMALLER_HALF_PCT as f64 / 100.0;
+        (tokens as u64).min(self.all_requests())
+    }
+
+    /// Returns the tokens that the smaller half of the requests still needs, given the time since the first request.
+    pub(crate) fn smaller_half_left(self, elapsed_ms: u64) -> u64 {
+        let window = self.recovery_ms * SMALLER_HALF_PCT / 100;
+        mul_div(
+            self.smaller_half(),
+            window.saturating_sub(elapsed_ms),
+            window,
+        )
+    }
+
+    /// Returns the tokens that are not granted in a fleet of the given size.
+    pub(crate) fn withheld(self, instances: u64) -> u64 {
+        let smaller_half = self.smaller_half();
+        let rest = self.all_requests() - smaller_half;
+        smaller_half + rest * SMALL_FLEET / instances.max(SMALL_FLEET)
+    }
+}
