--- a/crates/place/src/announcements.rs
+++ b/crates/place/src/announcements.rs
@@ -1,48 +1,50 @@
-//! What incarnations of upstreams have said of themselves, whether they are listed now or not.
+//! What incarnations of upstreams have announced about themselves, whether or not they are listed now.
 //!
-//! An entry of the list may lapse in an outage and come back as it was before, and peers report upstreams
-//! that are not listed here yet: what an incarnation has said holds until it ends.
+//! A list entry may expire in an outage and come back unchanged, and peers report upstreams that are not
+//! listed here yet, so an announcement holds until its incarnation ends.
 
 use std::collections::HashMap;
 
 use crate::limit::VersionedLimit;
 
-/// Incarnations that are remembered, bounding memory; those that spoke first go. Those that are listed keep it besides.
-const INCARNATIONS_MOST: usize = 1_024;
+/// Maximum number of incarnations remembered, to bound memory; the least recently updated one is dropped
+/// first. Listed upstreams also keep their own copy.
+const MAX_INCARNATIONS: usize = 1_024;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Saying {
+struct Announcement {
     leaving: bool,
-    rests_until: u64,
+    paused_until: u64,
     limit: VersionedLimit,
-    turn: u64,
+    /// Position in the order of updates.
+    update: u64,
 }
 
-/// Sayings by incarnation.
+/// Announcements by incarnation.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Said {
-    incarnations: HashMap<String, Saying>,
-    turns: u64,
+pub(crate) struct Announcements {
+    incarnations: HashMap<String, Announcement>,
+    updates: u64,
 }
 
-impl Said {
-    /// Notes that an incarnation leaves.
+impl Announcements {
+    /// Records that an incarnation is leaving.
     pub(crate) fn mark_leaving(&mut self, incarnation: &str) {
-        self.saying(incarnation).leaving = true;
+        self.get_mut(incarnation).leaving = true;
     }
 
-    /// Notes until when an incarnation wants nothing.
+    /// Records until when an incarnation accepts no requests, unless it has announced a later time.
     pub(crate) fn pause(&mut self, incarnation: &str, until: u64) {
-        let saying = self.saying(incarnation);
-        saying.rests_until = saying.rests_until.max(until);
+        let announcement = self.get_mut(incarnation);
+        announcement.paused_until = announcement.paused_until.max(until);
     }
 
     /// Merges the state of an incarnation's request rate limit; returns whether it replaced the known one.
     pub(crate) fn merge_limit(&mut self, incarnation: &str, limit: VersionedLimit) -> bool {
-        let saying = self.saying(incarnation);
-        let replaces = limit.supersedes(&saying.limit);
+        let announcement = self.get_mut(incarnation);
+        let replaces = limit.supersedes(&announcement.limit);
         if replaces {
-            saying.limit = limit;
+            announcement.limit = limit;
         }
         replaces
     }
@@ -51,39 +53,39 @@
     pub(crate) fn versioned_limit(&self, incarnation: &str) -> VersionedLimit {
         self.incarnations
             .get(incarnation)
-            .map_or_else(VersionedLimit::default, |s| s.limit)
+            .map_or_else(VersionedLimit::default, |a| a.limit)
     }
 
-    /// Returns whether an incarnation has said that it leaves.
+    /// Returns whether an incarnation has announced that it is leaving.
     pub(crate) fn is_leaving(&self, incarnation: &str) -> bool {
         self.incarnations
             .get(incarnation)
-            .is_some_and(|s| s.leaving)
+            .is_some_and(|a| a.leaving)
     }
 
-    /// Returns until when an incarnation wants nothing; 0 where it has not said so.
-    pub(crate) fn rests_until(&self, incarnation: &str) -> u64 {
+    /// Returns until when an incarnation accepts no requests; 0 if it has announced no such time.
+    pub(crate) fn paused_until(&self, incarnation: &str) -> u64 {
         self.incarnations
             .get(incarnation)
-            .map_or(0, |s| s.rests_until)
+            .map_or(0, |a| a.paused_until)
     }
 
-    fn saying(&mut self, incarnation: &str) -> &mut Saying {
-        if self.incarnations.len() >= INCARNATIONS_MOST
+    fn get_mut(&mut self, incarnation: &str) -> &mut Announcement {
+        if self.incarnations.len() >= MAX_INCARNATIONS
             && !self.incarnations.contains_key(incarnation)
         {
-            let first = self.incarnations.iter().min_by_key(|(_, s)| s.turn);
-            if let Some(first) = first.map(|(incarnation, _)| incarnation.clone()) {
-                self.incarnations.remove(&first);
+            let oldest = self.incarnations.iter().min_by_key(|(_, a)| a.update);
+            if let Some(oldest) = oldest.map(|(incarnation, _)| incarnation.clone()) {
+                self.incarnations.remove(&oldest);
             }
         }
-        self.turns += 1;
-        let turn = self.turns;
-        let saying = self
+        self.updates += 1;
+        let update = self.updates;
+        let announcement = self
             .incarnations
             .entry(incarnation.to_string())
             .or_default();
-        saying.turn = turn;
-        saying
+        announcement.update = update;
+        announcement
     }
 }
--- a/crates/place/src/choice.rs
+++ b/crates/place/src/choice.rs
@@ -1,76 +1,77 @@
-//! What a request wants of an upstream, and what it gets.
+//! What a request requires of an upstream, and the result of the choice.
 
 use crate::upstream::{AttemptId, PromptSegment, Spec, UpstreamKey};
 
-/// What a request wants.
+/// What a request requires of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct Criteria<'a> {
     /// The service.
     pub service: &'a str,
-    /// The own availability zone.
+    /// Availability zone of this instance.
     pub zone: &'a str,
-    /// The parts of its prompt, in order; the last one is its own.
+    /// Segments of the prompt, in order; no other request shares the last one.
     pub segments: &'a [PromptSegment],
-    /// Tokens of its prompt; 0 for a plain call.
+    /// Number of tokens in the prompt; 0 for a plain call.
     pub prompt_tokens: u32,
-    /// Regions whose upstreams it may reach; empty where it may reach all.
+    /// Regions whose upstreams may serve the request; empty if all may.
     pub regions: &'a [String],
-    /// Upstreams that were tried.
+    /// Upstreams that were tried already.
     pub tried: &'a [UpstreamKey],
-    /// When its answer is no longer wanted, in milliseconds.
+    /// When the response is no longer wanted, in milliseconds.
     pub deadline: u64,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub retryable: bool,
-    /// Uniform over all values.
+    /// A uniformly distributed random number.
     pub random: u64,
 }
 
-/// A chosen upstream.
+/// The chosen upstream.
 #[derive(Clone, Debug)]
 pub struct Choice {
     /// The upstream.
     pub key: UpstreamKey,
-    /// As its list shows it.
+    /// The upstream's list entry.
     pub spec: Spec,
-    /// The request there.
+    /// The attempt to serve the request there.
     pub attempt: AttemptId,
-    /// Tokens that it will have to read, as far as known.
+    /// Estimated number of prompt tokens that are not in the upstream's prefix cache.
     pub uncached_tokens: u32,
-    /// The same, weighed by how many tokens stand before them.
+    /// Work of the prefill: the uncached tokens, each weighted by the number of tokens before it.
     pub prefill_work: f64,
-    /// When the first token, or the answer, is expected, in milliseconds from now.
+    /// Expected time to the first token, or to the response of a plain call, in milliseconds.
     pub expected_ms: f64,
 }
 
-/// Why no upstream was chosen.
+/// Why no upstream was chosen. Log lines print the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChooseError {
-    /// None is known.
+    /// No upstream of the service is listed.
     Unknown,
-    /// All that are known were tried, leave, or are out.
+    /// All listed upstreams were tried, are leaving or are ejected.
     NoneLeft,
-    /// All that stay have named a time before which they want nothing.
+    /// All remaining upstreams have announced a time until which they accept no requests.
     Resting {
-        /// Milliseconds until the first of them does.
+        /// Milliseconds until the first of them accepts requests again.
         retry_ms: u64,
     },
-    /// The zones of all that stay are evacuated.
+    /// The zones of all remaining upstreams are evacuated.
     Evacuated,
-    /// None of those that stay is in a region that the request may reach.
+    /// No remaining upstream is in a region that the request may reach.
     Outside,
-    /// All that stay have just started, or came back, and get no more for now.
+    /// All remaining upstreams are cold, and this instance may send them no more requests for now.
     Cold {
         /// Milliseconds until the first of them is warm.
         retry_ms: u64,
     },
-    /// All remaining upstreams advertise a request rate limit, and this instance may send no more for now.
+    /// All remaining upstreams advertise a request rate limit, and this instance may send no more for
+    /// now.
     Limited {
         /// Milliseconds until one of them accepts the next request.
         retry_ms: u64,
     },
-    /// They are so busy that the answer would come too late.
+    /// The upstreams are full, or so busy that the response would come after the deadline.
     Busy {
-        /// Milliseconds after which coming back makes sense.
+        /// Milliseconds after which a retry makes sense.
         retry_ms: u64,
     },
 }
--- a/crates/place/src/cost.rs
+++ b/crates/place/src/cost.rs
@@ -1,165 +1,175 @@
-//! What a request would cost at an upstream: the time that it would take there, and what it costs others.
+//! Estimated cost of a request at an upstream: its own latency there and the cost for other requests.
 
 use crate::choice::Criteria;
-use crate::latency::{Usual, CALL_MS_FIRST, FIRST_MS};
+use crate::latency::{LatencyEstimate, FIRST_TOKEN_MS, INITIAL_CALL_MS};
 use crate::upstream::{Upstream, UpstreamKey};
 
-/// A token is read against all tokens before it: with so many of them before it, it takes twice as long.
-const CONTEXT_DOUBLES: f64 = 24_000.0;
-/// What a request to another availability zone is taken to cost besides, in milliseconds: the way
-/// there and back, and the bytes that are paid for.
-const ZONE_MS: f64 = 4.0;
-/// What reading the shared beginning of a prompt once more costs besides its time, as a part of that
-/// time: the engine's other requests wait for it, and it pushes other beginnings out.
-const AGAIN_PART: f64 = 0.75;
-/// Part of that at the engine that is next in turn for the beginning: when the first one is busy, all
-/// instances read it anew there, rather than each at another one.
-const NEXT_PART: f64 = 0.5;
-/// What a request is taken to cost at an upstream at which all requests fail, in milliseconds.
-const FAILING_MS: f64 = 2_000.0;
-/// Percentage of the slots above which an upstream counts as full: reports are late, and other
-/// instances fill the rest meanwhile.
-const FULL_PCT: u32 = 90;
-/// Plain services queue a few requests: percentage of the slots that may wait there.
-const QUEUE_PCT: u32 = 150;
+/// The prefill processes each token against all tokens before it: with this many of them, a token takes
+/// twice as long as the first one.
+const CONTEXT_DOUBLING_TOKENS: f64 = 24_000.0;
+/// Additional cost of a request to another availability zone, in milliseconds: the round trip, and the
+/// traffic that has to be paid for.
+const CROSS_ZONE_MS: f64 = 4.0;
+/// Additional cost of the repeated prefill of a shared prefix, as a fraction of its duration: the
+/// engine's other requests wait for it, and it evicts other prefixes from the cache.
+const REPEATED_PREFILL_FACTOR: f64 = 0.75;
+/// Fraction of that cost at the secondary engine of a prefix: when the primary one is busy, all
+/// instances repeat the prefill there, rather than each of them at a different engine.
+const SECONDARY_FACTOR: f64 = 0.5;
+/// Cost of an upstream at which all requests fail, in milliseconds.
+const FAILURE_MS: f64 = 2_000.0;
+/// Occupancy at which an engine counts as full, as a percentage of its slots: reports are late, and
+/// other instances fill the rest in the meantime.
+const ENGINE_FULL_PCT: u32 = 90;
+/// The same for a plain service, which queues a few requests.
+const SERVICE_FULL_PCT: u32 = 150;
 
-/// An upstream that may take a request, with what that would cost.
-pub(crate) struct Rated {
+/// An upstream that may serve a request, with the estimated cost.
+pub(crate) struct Candidate {
     pub(crate) key: UpstreamKey,
-    pub(crate) unread: u32,
-    pub(crate) work: f64,
-    pub(crate) expect_ms: f64,
+    pub(crate) uncached_tokens: u32,
+    pub(crate) prefill_work: f64,
+    pub(crate) expected_ms: f64,
     pub(crate) cost_ms: f64,
 }
 
-pub(crate) fn may_use(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
+/// Returns whether the health of an upstream allows a request.
+pub(crate) fn is_usable(up: &Upstream, now: u64, criteria: &Criteria<'_>) -> bool {
     if up.health.is_ejected(now) {
         return false;
     }
-    !up.health.is_on_probation() || (up.inflight == 0 && want.retryable)
+    !up.health.is_on_probation() || (up.inflight == 0 && criteria.retryable)
 }
 
-pub(crate) fn is_full(up: &Upstream, now: u64, want: &Criteria<'_>) -> bool {
-    let pct = if want.prompt_tokens > 0 {
-        FULL_PCT
+pub(crate) fn is_full(up: &Upstream, now: u64, criteria: &Criteria<'_>) -> bool {
+    let pct = if criteria.prompt_tokens > 0 {
+        ENGINE_FULL_PCT
     } else {
-        QUEUE_PCT
+        SERVICE_FULL_PCT
     };
     up.occupancy(now) * 100 >= up.slots() * pct
 }
 
-/// Where all instances send prompts with the same beginning.
+/// The upstreams to which all instances send prompts with the same prefix.
 ///
-/// Each instance sees a part of the requests only. Were each to go by what it sent itself, the same
-/// beginning would be read by as many engines as there are instances.
+/// Each instance sees only a part of the requests. If each of them went by what it had sent itself, as
+/// many engines as there are instances would prefill the same prefix.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Homes {
-    first: Option<UpstreamKey>,
-    next: Option<UpstreamKey>,
+pub(crate) struct PrefixAffinity {
+    primary: Option<UpstreamKey>,
+    secondary: Option<UpstreamKey>,
 }
 
-/// Whose turn it is to read a beginning.
+/// An upstream's position in the affinity of a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Turn {
-    First,
-    Next,
-    Later,
+pub(crate) enum Position {
+    Primary,
+    Secondary,
+    Other,
 }
 
-impl Homes {
-    pub(crate) fn turn(&self, key: UpstreamKey) -> Turn {
-        if self.first == Some(key) {
-            Turn::First
-        } else if self.next == Some(key) {
-            Turn::Next
+impl PrefixAffinity {
+    pub(crate) fn position(&self, key: UpstreamKey) -> Position {
+        if self.primary == Some(key) {
+            Position::Primary
+        } else if self.secondary == Some(key) {
+            Position::Secondary
         } else {
-            Turn::Later
+            Position::Other
         }
     }
 }
 
-pub(crate) fn homes(want: &Criteria<'_>, from: &[(UpstreamKey, &Upstream)]) -> Homes {
-    let Some(shared) = want.segments.len().checked_sub(2) else {
-        return Homes::default();
+/// Returns the affinity of the prefix that a request shares with others, among some upstreams.
+pub(crate) fn prefix_affinity(
+    criteria: &Criteria<'_>,
+    upstreams: &[(UpstreamKey, &Upstream)],
+) -> PrefixAffinity {
+    let Some(last_shared) = criteria.segments.len().checked_sub(2) else {
+        return PrefixAffinity::default();
     };
-    let what = want.segments[shared].id;
-    let rank = |(_, up): &&(UpstreamKey, &Upstream)| up.rank(what);
-    let first = from.iter().max_by_key(rank).map(|(key, _)| *key);
-    let others = from.iter().filter(|(key, _)| Some(*key) != first);
-    let next = others.max_by_key(rank).map(|(key, _)| *key);
-    Homes { first, next }
+    let prefix = criteria.segments[last_shared].id;
+    let rank = |(_, up): &&(UpstreamKey, &Upstream)| up.rank(prefix);
+    let primary = upstreams.iter().max_by_key(rank).map(|(key, _)| *key);
+    let others = upstreams.iter().filter(|(key, _)| Some(*key) != primary);
+    let secondary = others.max_by_key(rank).map(|(key, _)| *key);
+    PrefixAffinity { primary, secondary }
 }
 
-pub(crate) fn rate_one(
+/// Estimates the cost of a request at an upstream.
+pub(crate) fn estimate(
     key: UpstreamKey,
     up: &Upstream,
     now: u64,
-    want: &Criteria<'_>,
-    turn: Turn,
-    usual: Usual,
-) -> Rated {
+    criteria: &Criteria<'_>,
+    position: Position,
+    latency: LatencyEstimate,
+) -> Candidate {
     let slowness = up.slowness(now);
-    let (unread, work) = if want.prompt_tokens > 0 {
-        let unread = unread(up, now, want, turn == Turn::First);
-        (unread, work(unread, want.prompt_tokens))
+    let (uncached_tokens, prefill_work) = if criteria.prompt_tokens > 0 {
+        let uncached = uncached_tokens(up, now, criteria, position == Position::Primary);
+        (uncached, prefill_work(uncached, criteria.prompt_tokens))
     } else {
         (0, 0.0)
     };
-    let own = want
+    let own_tokens = criteria
         .segments
         .last()
-        .map_or(want.prompt_tokens, |p| p.tokens);
-    let again = f64::from(unread.saturating_sub(own)) * usual.read_ms;
-    let again = match turn {
-        Turn::First => 0.0,
-        Turn::Next => again * AGAIN_PART * NEXT_PART,
-        Turn::Later => again * AGAIN_PART,
+        .map_or(criteria.prompt_tokens, |s| s.tokens);
+    let repeated_ms =
+        f64::from(uncached_tokens.saturating_sub(own_tokens)) * latency.prefill_ms_per_token;
+    let repeated_cost_ms = match position {
+        Position::Primary => 0.0,
+        Position::Secondary => repeated_ms * REPEATED_PREFILL_FACTOR * SECONDARY_FACTOR,
+        Position::Other => repeated_ms * REPEATED_PREFILL_FACTOR,
     };
-    let expect_ms = if want.prompt_tokens > 0 {
-        let own = (FIRST_MS + work * usual.read_ms) * slowness;
-        let waits = (up.pending_prefill_ms(now) * slowness).max(up.queue_delay_ms(now));
-        own + waits
+    let expected_ms = if criteria.prompt_tokens > 0 {
+        let own_ms = (FIRST_TOKEN_MS + prefill_work * latency.prefill_ms_per_token) * slowness;
+        let wait_ms = (up.pending_prefill_ms(now) * slowness).max(up.queue_delay_ms(now));
+        own_ms + wait_ms
     } else {
         let ahead = up.occupancy(now).saturating_sub(up.slots() - 1);
         let rounds = 1.0 + f64::from(ahead) / f64::from(up.slots());
-        usual.call_ms * slowness * rounds
+        latency.call_ms * slowness * rounds
     };
-    let taken = f64::from(up.occupancy(now)) / f64::from(up.slots());
-    let away = if up.spec.zone == want.zone {
+    let occupied = f64::from(up.occupancy(now)) / f64::from(up.slots());
+    let zone_ms = if up.spec.zone == criteria.zone {
         0.0
     } else {
-        ZONE_MS
+        CROSS_ZONE_MS
     };
-    let failing = up.health.failure_rate(now) * FAILING_MS;
-    // Full upstreams answer more slowly; among equals this also spreads the requests.
-    let crowd = taken * expect_ms.min(CALL_MS_FIRST);
-    Rated {
+    let failure_ms = up.health.failure_rate(now) * FAILURE_MS;
+    // Occupied upstreams respond more slowly; this also spreads requests over upstreams that are
+    // otherwise equal.
+    let occupied_ms = occupied * expected_ms.min(INITIAL_CALL_MS);
+    Candidate {
         key,
-        unread,
-        work,
-        expect_ms,
-        cost_ms: expect_ms + again + away + failing + crowd,
+        uncached_tokens,
+        prefill_work,
+        expected_ms,
+        cost_ms: expected_ms + repeated_cost_ms + zone_ms + failure_ms + occupied_ms,
     }
 }
 
-/// Returns the tokens of a prompt that an upstream will have to read, as far as known.
-fn unread(up: &Upstream, now: u64, want: &Criteria<'_>, home: bool) -> u32 {
-    let shared = want.segments.len().saturating_sub(1);
-    let mut kept = 0;
-    for (i, part) in want.segments.iter().enumerate() {
-        let presumed = home && !up.reborn && i < shared;
-        let has = presumed || up.known.has(now, part.id);
-        if !has {
+/// Returns the estimated number of prompt tokens that are not in an upstream's prefix cache.
+fn uncached_tokens(up: &Upstream, now: u64, criteria: &Criteria<'_>, is_primary: bool) -> u32 {
+    let shared = criteria.segments.len().saturating_sub(1);
+    let mut cached_tokens = 0;
+    for (i, segment) in criteria.segments.iter().enumerate() {
+        let presumed = is_primary && !up.restarted && i < shared;
+        let cached = presumed || up.prefix_cache.contains(now, segment.id);
+        if !cached {
             break;
         }
-        kept += part.tokens;
+        cached_tokens += segment.tokens;
     }
-    // The last token is read in any case.
-    want.prompt_tokens.saturating_sub(kept).max(1)
+    // The last token is processed even if it is cached.
+    criteria.prompt_tokens.saturating_sub(cached_tokens).max(1)
 }
 
-/// Returns the work of reading the last tokens of a prompt, in tokens that stand at its beginning.
-fn work(unread: u32, prompt: u32) -> f64 {
-    let before = f64::from(prompt) - f64::from(unread) / 2.0;
-    f64::from(unread) * (1.0 + before / CONTEXT_DOUBLES)
+/// Returns the work of the prefill of the last tokens of a prompt, as an equivalent number of tokens at
+/// its start.
+fn prefill_work(uncached_tokens: u32, prompt_tokens: u32) -> f64 {
+    let mean_context = f64::from(prompt_tokens) - f64::from(uncached_tokens) / 2.0;
+    f64::from(uncached_tokens) * (1.0 + mean_context / CONTEXT_DOUBLING_TOKENS)
 }
--- a/crates/place/src/health.rs
+++ b/crates/place/src/health.rs
@@ -1,88 +1,89 @@
-//! What the results of requests say of an upstream's health.
+//! Health of an upstream, derived from the outcomes of its requests.
 
-/// First time that an upstream which can't be reached is left alone, in milliseconds; doubles.
-const OUT_MS: u64 = 600;
-/// Longest time that an upstream is left alone, in milliseconds: it may be back any moment.
-const OUT_MOST_MS: u64 = 4_000;
-/// Weight of one result in the share of failures.
-const RESULT_WEIGHT: f64 = 0.15;
-/// Time after which half of the failures are forgotten without any new result, in milliseconds: an
-/// upstream that gets no requests could not show that it is well again.
-const FORGET_MS: f64 = 4_000.0;
-/// Share of failures above which an upstream is left alone.
-const BAD_SHARE: f64 = 0.5;
+/// Duration of the first ejection, in milliseconds; doubles with each consecutive one.
+const EJECT_MS: u64 = 600;
+/// Maximum duration of an ejection, in milliseconds: the upstream may recover at any moment.
+const EJECT_MAX_MS: u64 = 4_000;
+/// Weight of one outcome in the failure rate.
+const OUTCOME_WEIGHT: f64 = 0.15;
+/// Half-life of the failure rate without new outcomes, in milliseconds: an upstream that gets no
+/// requests could not show that it has recovered.
+const FAILURE_HALF_LIFE_MS: f64 = 4_000.0;
+/// Failure rate above which an upstream is ejected.
+const MAX_FAILURE_RATE: f64 = 0.5;
 
-/// Health, as seen from here.
+/// Health of an upstream, as observed by this instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    failing: f64,
-    at: u64,
-    out_until: u64,
-    outs: u32,
-    on_trial: bool,
+    failure_rate: f64,
+    updated_at: u64,
+    ejected_until: u64,
+    /// Number of consecutive ejections.
+    ejections: u32,
+    on_probation: bool,
 }
 
 impl Health {
-    /// Returns the share of requests that fail, lately.
+    /// Returns the recent share of requests that failed.
     pub fn failure_rate(&self, now: u64) -> f64 {
-        let gone = now.saturating_sub(self.at) as f64;
-        self.failing * (0.5f64).powf(gone / FORGET_MS)
+        let elapsed_ms = now.saturating_sub(self.updated_at) as f64;
+        self.failure_rate * (0.5f64).powf(elapsed_ms / FAILURE_HALF_LIFE_MS)
     }
 
-    /// Returns whether it is left alone for now.
+    /// Returns whether the upstream is ejected: it gets no requests for now.
     pub fn is_ejected(&self, now: u64) -> bool {
-        now < self.out_until
+        now < self.ejected_until
     }
 
-    /// Returns whether it was left alone and has not answered since: one request at a time shows
-    /// whether it does.
+    /// Returns whether the upstream was ejected and has not responded since: it gets one request at
+    /// a time until it does.
     pub fn is_on_probation(&self) -> bool {
-        self.on_trial
+        self.on_probation
     }
 
-    /// Counts an answer that was well.
+    /// Records a successful response.
     pub fn record_success(&mut self, now: u64) {
-        self.count(now, 0.0);
-        self.on_trial = false;
-        self.outs = 0;
+        self.record(now, 0.0);
+        self.on_probation = false;
+        self.ejections = 0;
     }
 
-    /// Counts a failure that says little of the upstream: an error that it answered with.
+    /// Records an error response, which by itself says little about the upstream.
     pub fn record_error(&mut self, now: u64) {
-        self.count(now, 1.0);
-        self.on_trial = false;
-        if self.failing > BAD_SHARE {
-            self.leave_alone(now);
+        self.record(now, 1.0);
+        self.on_probation = false;
+        if self.failure_rate > MAX_FAILURE_RATE {
+            self.eject(now);
         }
     }
 
-    /// Counts a connection that broke, or an answer that was none.
+    /// Records a connection that broke, or a response that was not valid.
     pub fn record_invalid(&mut self, now: u64) {
-        self.count(now, 1.0);
-        if self.on_trial || self.failing > BAD_SHARE {
-            self.leave_alone(now);
+        self.record(now, 1.0);
+        if self.on_probation || self.failure_rate > MAX_FAILURE_RATE {
+            self.eject(now);
         }
     }
 
-    /// Counts that it could not be reached, or said nothing in time.
+    /// Records that the upstream could not be reached or did not respond in time.
     pub fn record_unresponsive(&mut self, now: u64) {
-        self.count(now, 1.0);
-        self.leave_alone(now);
+        self.record(now, 1.0);
+        self.eject(now);
     }
 
-    fn count(&mut self, now: u64, failed: f64) {
-        let before = self.failure_rate(now);
-        self.failing = before + (failed - before) * RESULT_WEIGHT;
-        self.at = self.at.max(now);
+    fn record(&mut self, now: u64, failed: f64) {
+        let previous = self.failure_rate(now);
+        self.failure_rate = previous + (failed - previous) * OUTCOME_WEIGHT;
+        self.updated_at = self.updated_at.max(now);
     }
 
-    fn leave_alone(&mut self, now: u64) {
+    fn eject(&mut self, now: u64) {
         if self.is_ejected(now) {
             return;
         }
-        let wait = (OUT_MS << self.outs.min(8)).min(OUT_MOST_MS);
-        self.out_until = now + wait;
-        self.outs += 1;
-        self.on_trial = true;
+        let duration_ms = (EJECT_MS << self.ejections.min(8)).min(EJECT_MAX_MS);
+        self.ejected_until = now + duration_ms;
+        self.ejections += 1;
+        self.on_probation = true;
     }
 }
--- a/crates/place/src/latency.rs
+++ b/crates/place/src/latency.rs
@@ -1,59 +1,59 @@
-//! How long requests of one service take, learnt from what is seen.
+//! Latency estimates of a service, learned from its requests.
 
-/// First guess of how long an engine reads a token, in milliseconds; learnt from what is seen.
-const READ_MS_FIRST: f64 = 0.016;
-/// Time of an engine's first token besides its reading, in milliseconds.
-pub(crate) const FIRST_MS: f64 = 10.0;
-/// First guess of how long a plain call takes, in milliseconds; learnt from what is seen.
-pub(crate) const CALL_MS_FIRST: f64 = 50.0;
-/// Weight of one request in a service's averages.
-const SERVICE_WEIGHT: f64 = 0.02;
-/// Prompts below this many unread tokens say little of the reading.
-const LEARN_TOKENS: f64 = 1_000.0;
-/// A request that waited for others takes longer than its own reading, so that what is slower counts
-/// for less than what is faster.
-const SLOWER_PART: f64 = 0.1;
+/// Initial estimate of an engine's prefill time per token, in milliseconds.
+const INITIAL_PREFILL_MS_PER_TOKEN: f64 = 0.016;
+/// Time to an engine's first token in addition to the prefill, in milliseconds.
+pub(crate) const FIRST_TOKEN_MS: f64 = 10.0;
+/// Initial estimate of the latency of a plain call, in milliseconds.
+pub(crate) const INITIAL_CALL_MS: f64 = 50.0;
+/// Weight of one request in the averages.
+const SAMPLE_WEIGHT: f64 = 0.02;
+/// Minimum prefill work of a sample, in tokens: shorter prefills say little about the time per token.
+const MIN_SAMPLE_WORK: f64 = 1_000.0;
+/// Factor on the weight of samples above the average: a request that waited for others takes longer
+/// than its own prefill.
+const SLOW_SAMPLE_FACTOR: f64 = 0.1;
 
-/// What is learnt of a service.
+/// Latency averages of a service.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Usual {
-    /// Time in which an engine reads a token, in milliseconds.
-    pub(crate) read_ms: f64,
-    /// Time in which a plain call is answered, in milliseconds.
+pub(crate) struct LatencyEstimate {
+    /// Prefill time of an engine per token, in milliseconds.
+    pub(crate) prefill_ms_per_token: f64,
+    /// Latency of a plain call, in milliseconds.
     pub(crate) call_ms: f64,
 }
 
-impl Default for Usual {
+impl Default for LatencyEstimate {
     fn default() -> Self {
-        Usual {
-            read_ms: READ_MS_FIRST,
-            call_ms: CALL_MS_FIRST,
+        LatencyEstimate {
+            prefill_ms_per_token: INITIAL_PREFILL_MS_PER_TOKEN,
+            call_ms: INITIAL_CALL_MS,
         }
     }
 }
 
-impl Usual {
-    /// Takes the time to the first token, or to the answer, of a request; returns what it would have taken
-    /// alone.
-    pub(crate) fn learn(&mut self, unread: u32, work: f64, took: f64) -> f64 {
-        if unread > 0 {
-            self.learn_reading(work, took);
-            return FIRST_MS + work * self.read_ms;
+impl LatencyEstimate {
+    /// Records the time to the first token, or to the response, of a request; returns the expected
+    /// time without other load.
+    pub(crate) fn record(&mut self, uncached_tokens: u32, prefill_work: f64, took_ms: f64) -> f64 {
+        if uncached_tokens > 0 {
+            self.record_prefill(prefill_work, took_ms);
+            return FIRST_TOKEN_MS + prefill_work * self.prefill_ms_per_token;
         }
-        self.call_ms += (took - self.call_ms) * SERVICE_WEIGHT;
+        self.call_ms += (took_ms - self.call_ms) * SAMPLE_WEIGHT;
         self.call_ms
     }
 
-    fn learn_reading(&mut self, work: f64, took: f64) {
-        if work < LEARN_TOKENS {
+    fn record_prefill(&mut self, prefill_work: f64, took_ms: f64) {
+        if prefill_work < MIN_SAMPLE_WORK {
             return;
         }
-        let sample = (took - FIRST_MS).max(0.0) / work;
-        let part = if sample > self.read_ms {
-            SLOWER_PART
+        let sample = (took_ms - FIRST_TOKEN_MS).max(0.0) / prefill_work;
+        let factor = if sample > self.prefill_ms_per_token {
+            SLOW_SAMPLE_FACTOR
         } else {
             1.0
         };
-        self.read_ms += (sample - self.read_ms) * SERVICE_WEIGHT * part;
+        self.prefill_ms_per_token += (sample - self.prefill_ms_per_token) * SAMPLE_WEIGHT * factor;
     }
 }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which upstream serves a request, who is refused, and what may be repeated.
+//! Upstream selection, admission limits and retry budgets of one instance.
 //!
-//! The load that this answers: long prompts that share long beginnings, on engines that keep the
-//! beginnings they read; short calls of plain services beside them; many instances that choose at the
-//! same time and see late reports only. No I/O, clock or randomness: the time comes in with each
-//! event, in milliseconds.
+//! The crate is built for LLM engines that cache prompt prefixes and get long prompts with long
+//! shared prefixes, for plain services with short calls, and for many instances that choose
+//! concurrently while load reports arrive late. It does no I/O and uses neither a clock nor
+//! randomness: callers pass the time with each event, in milliseconds.
 
 mod announcements;
 mod choice;
--- a/crates/place/src/limit.rs
+++ b/crates/place/src/limit.rs
@@ -9,7 +9,7 @@
 const SCALE: f64 = 1_000.0;
 /// Number of sharers in addition to one per request per second.
 const EXTRA_SHARERS: usize = 3;
-/// Minimum rate, in requests per second: only an answer to a request can show that a limit no longer applies.
+/// Minimum rate, in requests per second: only a response to a request can show that a limit no longer applies.
 const MIN_PER_SEC: f64 = 0.1;
 
 /// A request rate limit, stored as a fixed-point number.
@@ -74,7 +74,7 @@
 /// The limit that an incarnation of an upstream advertises, with its number of changes as a version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionedLimit {
-    /// The limit; none if its answers have none.
+    /// The limit; none if its responses have none.
     pub rate: Option<RateLimit>,
     /// Number of changes so far.
     pub changes: u32,
--- a/crates/place/src/link.rs
+++ b/crates/place/src/link.rs
@@ -1,124 +1,143 @@
-//! How full the own network link is, and what follows.
+//! Congestion of this instance's network link.
 //!
-//! Load: one caller that sends hundreds of long prompts a second comes to an instance whose link is slow.
-//! Callers are spread by who they are, not by what they send, so it stays there. On a full link
-//! everything waits: requests, answers, and the store's news of what leaves and what changed.
+//! A caller that sends hundreds of long prompts per second may be assigned to an instance with a slow
+//! link. Callers are distributed by who they are, not by how much they send, so the load stays there.
+//! On a full link everything waits: requests, responses, and the store's updates about upstreams that
+//! leave and configuration that changed.
 
-/// Part of the link that requests and answers may take: the rest is for the store, for other instances
-/// and for what is sent again.
-const USABLE: f64 = 0.8;
-/// Bytes of a request besides its body: its head, that of its answer, and the packets' own.
+/// Share of the bandwidth for requests and responses: the rest is for the store, for other instances
+/// and for retransmissions.
+const USABLE_SHARE: f64 = 0.8;
+/// Bytes of a request in addition to its body: its head, the head of its response, and packet headers.
 const HEAD_BYTES: f64 = 700.0;
-/// Bytes of a part of an answer besides itself: those of a packet.
+/// Bytes of a response chunk in addition to its data: the packet headers.
 const PACKET_BYTES: f64 = 60.0;
-/// With so much waiting, in milliseconds, new connections are wanted elsewhere: a balancer takes a second
-/// or two to notice, and half a second is what an answer may take.
-const CROWDED_MS: f64 = 120.0;
-/// With so much waiting, in milliseconds, long requests are refused at once: another instance answers
-/// sooner than this one could.
-const FULL_MS: f64 = 250.0;
-/// A request that takes the link for less than this, in milliseconds, is not worth refusing.
+/// Queueing delay above which new connections should go to other instances, in milliseconds: a load
+/// balancer takes a second or two to notice, and a response may take half a second.
+const CONGESTED_MS: f64 = 120.0;
+/// Queueing delay above which long requests are refused at once, in milliseconds: another instance
+/// responds sooner than this one could.
+const SATURATED_MS: f64 = 250.0;
+/// Transfer time up to which a request is not worth refusing, in milliseconds.
 const SHORT_MS: f64 = 2.0;
-/// New connections are wanted elsewhere for so long after the link was crowded, in milliseconds: what
-/// left comes back when they are wanted here again.
-const REST_MS: u64 = 6_000;
+/// How long new connections should go to other instances after the link was congested, in
+/// milliseconds: the load that moved away comes back once connections are accepted here again.
+const CONGESTED_HOLD_MS: u64 = 6_000;
 
-/// Bytes that wait in one direction, as far as can be told from what was read and written.
+/// Estimated bytes queued in one direction, from the data that was received and sent.
 #[derive(Clone, Copy, Debug, Default)]
 struct Queue {
     bytes: f64,
-    at: u64,
+    updated_at: u64,
 }
 
 impl Queue {
-    fn add(&mut self, now: u64, bytes: f64, per_ms: f64) {
-        self.bytes = self.get(now, per_ms) + bytes;
-        self.at = self.at.max(now);
+    fn add(&mut self, now: u64, bytes: f64, bytes_per_ms: f64) {
+        self.bytes = self.get(now, bytes_per_ms) + bytes;
+        self.updated_at = self.updated_at.max(now);
     }
 
-    fn get(&self, now: u64, per_ms: f64) -> f64 {
-        let gone = now.saturating_sub(self.at) as f64 * per_ms;
-        (self.bytes - gone).max(0.0)
+    fn get(&self, now: u64, bytes_per_ms: f64) -> f64 {
+        let drained = now.saturating_sub(self.updated_at) as f64 * bytes_per_ms;
+        (self.bytes - drained).max(0.0)
     }
 }
 
-/// The own link.
+/// The network link of this instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Link {
-    /// Bytes that requests and answers may take each way in a millisecond; none when it is not known.
-    per_ms: Option<f64>,
-    inward: Queue,
-    outward: Queue,
-    rest_until: u64,
-    /// What was last told of whether it is crowded.
-    told: bool,
+    /// Bandwidth for requests and responses in each direction, in bytes per millisecond; none if it
+    /// is not known.
+    bytes_per_ms: Option<f64>,
+    inbound: Queue,
+    outbound: Queue,
+    congested_until: u64,
+    /// Whether the link was congested when `take_congestion_change` was last called.
+    reported: bool,
 }
 
 impl Link {
-    /// Returns the link of an instance, by its bandwidth each way in megabits a second.
+    /// Creates a link with a bandwidth in each direction, in megabits per second; none if it is not
+    /// known.
     pub fn new(mbps: Option<f64>) -> Link {
-        let per_ms = mbps.filter(|m| *m > 0.0).map(|m| m * 125.0 * USABLE);
+        let bytes_per_ms = mbps.filter(|m| *m > 0.0).map(|m| m * 125.0 * USABLE_SHARE);
         Link {
-            per_ms,
+            bytes_per_ms,
             ..Link::default()
         }
     }
 
-    /// Counts a request that came from its caller.
+    /// Records a request received from its caller, with a body of `bytes`.
     pub fn record_request_received(&mut self, now: u64, bytes: usize) {
-        let Some(per_ms) = self.per_ms else { return };
-        self.inward.add(now, bytes as f64 + HEAD_BYTES, per_ms);
-        self.note(now);
+        let Some(bytes_per_ms) = self.bytes_per_ms else {
+            return;
+        };
+        self.inbound
+            .add(now, bytes as f64 + HEAD_BYTES, bytes_per_ms);
+        self.update_congestion(now);
     }
 
-    /// Counts a request that goes to an upstream.
+    /// Records a request sent to an upstream, with a body of `bytes`.
     pub fn record_request_sent(&mut self, now: u64, bytes: usize) {
-        let Some(per_ms) = self.per_ms else { return };
-        self.outward.add(now, bytes as f64 + HEAD_BYTES, per_ms);
-        self.note(now);
+        let Some(bytes_per_ms) = self.bytes_per_ms else {
+            return;
+        };
+        self.outbound
+            .add(now, bytes as f64 + HEAD_BYTES, bytes_per_ms);
+        self.update_congestion(now);
     }
 
-    /// Counts an answer, or a part of one, that comes from an upstream and goes to its caller.
+    /// Records a response, or a chunk of one, that is received from an upstream and sent to its
+    /// caller.
     pub fn record_response(&mut self, now: u64, bytes: usize) {
-        let Some(per_ms) = self.per_ms else { return };
-        self.inward.add(now, bytes as f64 + PACKET_BYTES, per_ms);
-        self.outward.add(now, bytes as f64 + PACKET_BYTES, per_ms);
-        self.note(now);
+        let Some(bytes_per_ms) = self.bytes_per_ms else {
+            return;
+        };
+        self.inbound
+            .add(now, bytes as f64 + PACKET_BYTES, bytes_per_ms);
+        self.outbound
+            .add(now, bytes as f64 + PACKET_BYTES, bytes_per_ms);
+        self.update_congestion(now);
     }
 
-    fn note(&mut self, now: u64) {
-        if self.inward_ms(now).max(self.outbound_delay_ms(now)) > CROWDED_MS {
-            self.rest_until = now + REST_MS;
+    fn update_congestion(&mut self, now: u64) {
+        if self.inbound_delay_ms(now).max(self.outbound_delay_ms(now)) > CONGESTED_MS {
+            self.congested_until = now + CONGESTED_HOLD_MS;
         }
     }
 
-    fn inward_ms(&self, now: u64) -> f64 {
-        self.per_ms.map_or(0.0, |p| self.inward.get(now, p) / p)
+    fn inbound_delay_ms(&self, now: u64) -> f64 {
+        self.bytes_per_ms
+            .map_or(0.0, |b| self.inbound.get(now, b) / b)
     }
 
-    /// Returns how long the last byte waits on its way out, in milliseconds.
+    /// Returns the queueing delay of outbound data, in milliseconds.
     pub fn outbound_delay_ms(&self, now: u64) -> f64 {
-        self.per_ms.map_or(0.0, |p| self.outward.get(now, p) / p)
+        self.bytes_per_ms
+            .map_or(0.0, |b| self.outbound.get(now, b) / b)
     }
 
-    /// Returns whether it is crowded, when that has changed since it was last asked for.
+    /// Returns whether the link is congested, if that has changed since the last call.
     pub fn take_congestion_change(&mut self, now: u64) -> Option<bool> {
-        let crowded = self.is_congested(now);
-        let turned = crowded != self.told;
-        self.told = crowded;
-        turned.then_some(crowded)
+        let congested = self.is_congested(now);
+        let changed = congested != self.reported;
+        self.reported = congested;
+        changed.then_some(congested)
     }
 
-    /// Returns whether new connections are wanted elsewhere.
+    /// Returns whether new connections should go to other instances.
     pub fn is_congested(&self, now: u64) -> bool {
-        now < self.rest_until
+        now < self.congested_until
     }
 
-    /// Returns whether a request with a body of some bytes is better served elsewhere.
+    /// Returns whether a request with a body of `bytes` is better served by another instance.
     ///
-    /// Only the way out decides: a request that is here has come in already, and its answer is small.
+    /// Only the outbound direction counts: the request has been received already, and its response
+    /// is small.
     pub fn is_saturated_for(&self, now: u64, bytes: usize) -> bool {
-        let long = self.per_ms.is_some_and(|p| bytes as f64 > SHORT_MS * p);
-        long && self.outbound_delay_ms(now) > FULL_MS
+        let long = self
+            .bytes_per_ms
+            .is_some_and(|b| bytes as f64 > SHORT_MS * b);
+        long && self.outbound_delay_ms(now) > SATURATED_MS
     }
 }
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -1,4 +1,4 @@
-//! All upstreams of all services, and the choice among them.
+//! The upstreams of all services, and the choice among them.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -6,64 +6,66 @@
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::announcements::Said;
+use crate::announcements::Announcements;
 use crate::choice::{Choice, ChooseError, Criteria};
 use crate::cold_start::ColdStart;
-use crate::cost::{homes, is_full, may_use, rate_one, Rated};
-use crate::latency::Usual;
+use crate::cost::{estimate, is_full, is_usable, prefix_affinity, Candidate};
+use crate::latency::LatencyEstimate;
 use crate::senders::Senders;
 use crate::upstream::{AttemptId, InstanceLoad, Load, Outcome, Spec, Upstream, UpstreamKey};
 
 mod throttle;
 
-/// At least so many percent of a service's upstreams stay in use, whatever their health: when most
-/// of them seem bad, the fault is elsewhere.
-const KEPT_PCT: usize = 50;
-/// Shortest time after which a refused request may come back, in milliseconds.
-const RETRY_LEAST_MS: u64 = 300;
+/// If less than this percentage of a service's upstreams is usable, their health is ignored: when most of
+/// them seem unhealthy, the fault is elsewhere.
+const MIN_USABLE_PCT: usize = 50;
+/// Minimum time after which a refused request may be retried, in milliseconds.
+const MIN_RETRY_MS: u64 = 300;
 
-/// Longest time for which an upstream that wants nothing is left alone, in milliseconds: one that names a
-/// year by mistake must not be lost until it ends. It is asked again then, and may say so again.
-const REST_MOST_MS: u64 = 3_600_000;
+/// Maximum pause of an upstream, in milliseconds: one that announces a year by mistake would otherwise be
+/// lost until it ends. After this time it gets requests again, and may announce another pause.
+const MAX_PAUSE_MS: u64 = 3_600_000;
 
-/// What an entry of the list is.
+/// How a list entry changed the pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryChange {
-    /// An upstream that was not known.
+    /// The upstream was not known.
     New,
-    /// A known upstream started again under its name: nothing of its earlier incarnation holds any more.
+    /// A known upstream started again under its name: nothing known of its earlier incarnation holds any
+    /// more.
     Restarted {
         /// The incarnation that ended.
         ended: String,
     },
-    /// A known upstream leaves.
+    /// A known upstream is now leaving.
     Leaving,
-    /// Nothing new.
+    /// None of these.
     Unchanged,
 }
 
-/// All upstreams.
+/// The upstreams of all services.
 #[derive(Debug, Default)]
 pub struct Pool {
     upstreams: Vec<Option<Upstream>>,
-    /// Places of upstreams that were dropped.
+    /// Unused indices, of upstreams that were removed.
     free: Vec<UpstreamKey>,
     by_id: HashMap<String, UpstreamKey>,
-    /// By the hash of the incarnation.
+    /// Upstreams by the hash of their incarnation.
     by_hash: HashMap<u64, UpstreamKey>,
-    /// At which upstreams another instance had something, by its last report.
-    held_by: HashMap<u64, SmallVec<[UpstreamKey; 4]>>,
-    /// The hashed name of this instance.
-    me: u64,
-    usual: HashMap<String, Usual>,
-    tickets: u64,
-    said: Said,
-    /// Zones that are evacuated.
-    evacuated: BTreeSet<String>,
+    /// The upstreams at which each other instance had requests, by its last report.
+    peer_upstreams: HashMap<u64, SmallVec<[UpstreamKey; 4]>>,
+    /// Hash of this instance's name.
+    own_name: u64,
+    /// Latency estimates by service.
+    latencies: HashMap<String, LatencyEstimate>,
+    /// Number of attempts so far.
+    attempts: u64,
+    announcements: Announcements,
+    evacuated_zones: BTreeSet<String>,
     /// The region of each zone.
     regions: BTreeMap<String, String>,
-    /// How the upstreams of a service behave while they are cold.
-    cold: HashMap<String, ColdStart>,
+    /// Cold-start settings by service.
+    cold_starts: HashMap<String, ColdStart>,
     senders: Senders,
 }
 
@@ -73,89 +75,89 @@
         self.regions = regions;
     }
 
-    /// Sets how the upstreams of each service behave while they are cold.
-    pub fn set_cold_starts(&mut self, cold: HashMap<String, ColdStart>) {
-        self.cold = cold;
+    /// Sets the cold-start settings of each service.
+    pub fn set_cold_starts(&mut self, cold_starts: HashMap<String, ColdStart>) {
+        self.cold_starts = cold_starts;
     }
 
-    /// Takes the hashed names of the listed instances, this one's first.
-    pub fn set_instances(&mut self, now: u64, me: u64, names: &[u64]) {
-        self.me = me;
-        // Instances that are gone say nothing more; what they had is forgotten soon.
-        self.held_by.clear();
-        self.senders.set_instances(now, me, names);
+    /// Sets the listed instances by the hashes of their names; `own_name` is that of this instance.
+    pub fn set_instances(&mut self, now: u64, own_name: u64, names: &[u64]) {
+        self.own_name = own_name;
+        // Instances that are gone report nothing more, and their last reports expire soon.
+        self.peer_upstreams.clear();
+        self.senders.set_instances(now, own_name, names);
         self.update_throttles(now);
     }
 
-    /// Takes that a zone is evacuated, or no longer.
+    /// Sets whether a zone is evacuated.
     pub fn set_evacuated(&mut self, now: u64, zone: &str, evacuated: bool) {
         if evacuated {
-            self.evacuated.insert(zone.to_string());
+            self.evacuated_zones.insert(zone.to_string());
         } else {
-            self.evacuated.remove(zone);
+            self.evacuated_zones.remove(zone);
         }
         let of_zone = |u: &&mut Upstream| u.spec.zone == zone;
         for up in self.upstreams.iter_mut().flatten().filter(of_zone) {
             if up.evacuated && !evacuated {
-                let usual = self.cold.get(&up.spec.service).copied();
-                up.comes_back(now, usual.unwrap_or_default());
+                let cold_start = self.cold_starts.get(&up.spec.service).copied();
+                up.return_to_service(now, cold_start.unwrap_or_default());
                 throttle::update(up, now, &self.senders);
             }
             up.evacuated = evacuated;
         }
     }
 
-    /// Returns the zones that are evacuated.
+    /// Returns the evacuated zones.
     pub fn evacuated_zones(&self) -> &BTreeSet<String> {
-        &self.evacuated
+        &self.evacuated_zones
     }
 
-    fn cold(&self, service: &str) -> ColdStart {
-        self.cold.get(service).copied().unwrap_or_default()
+    fn cold_start(&self, service: &str) -> ColdStart {
+        self.cold_starts.get(service).copied().unwrap_or_default()
     }
 
-    /// Takes an entry of the list.
+    /// Adds or updates an upstream from its list entry.
     pub fn upsert(&mut self, now: u64, spec: Spec) -> EntryChange {
         if spec.leaving {
-            self.said.mark_leaving(&spec.incarnation());
+            self.announcements.mark_leaving(&spec.incarnation());
         }
         let Some(key) = self.by_id.get(&spec.id).copied() else {
             self.add(now, spec);
             return EntryChange::New;
         };
         let up = self.get_mut(key);
-        if up.spec.is_reborn_since(&spec) {
+        if up.spec.is_restart_of(&spec) {
             return EntryChange::Unchanged;
         }
-        if spec.is_reborn_since(&up.spec) {
+        if spec.is_restart_of(&up.spec) {
             let ended = up.spec.incarnation();
             up.delisted = true;
-            self.drop_idle(key);
+            self.remove_idle(key);
             let key = self.add(now, spec);
-            self.get_mut(key).reborn = true;
+            self.get_mut(key).restarted = true;
             return EntryChange::Restarted { ended };
         }
-        let news = spec.leaving && !up.leaving;
-        let before = up.incarnation_hash();
-        up.relist(spec);
+        let newly_leaving = spec.leaving && !up.leaving;
+        let previous = up.incarnation_hash();
+        up.update_spec(spec);
         let hash = up.incarnation_hash();
-        self.by_hash.remove(&before);
+        self.by_hash.remove(&previous);
         self.by_hash.insert(hash, key);
-        self.place(now, key);
-        if news {
+        self.apply_entry(now, key);
+        if newly_leaving {
             EntryChange::Leaving
         } else {
             EntryChange::Unchanged
         }
     }
 
-    /// Takes what an upstream's entry says of its zone, and of how long it is cold.
-    fn place(&mut self, now: u64, key: UpstreamKey) {
-        let usual = self.cold(&self.get(key).spec.service);
-        let evacuated = self.evacuated.contains(&self.get(key).spec.zone);
+    /// Applies what an upstream's list entry says about its zone and for how long it is cold.
+    fn apply_entry(&mut self, now: u64, key: UpstreamKey) {
+        let cold_start = self.cold_start(&self.get(key).spec.service);
+        let evacuated = self.evacuated_zones.contains(&self.get(key).spec.zone);
         let up = self.get_mut(key);
         up.evacuated = evacuated;
-        up.warms_up(now, usual);
+        up.update_cold_until(now, cold_start);
         self.update_throttle(now, key);
     }
 
@@ -167,37 +169,38 @@
         });
         let mut up = Upstream::new(spec);
         let incarnation = up.spec.incarnation();
-        up.leaving |= self.said.is_leaving(&incarnation);
-        up.paused_until = self.said.rests_until(&incarnation);
-        up.set_versioned_limit(now, self.said.versioned_limit(&incarnation));
+        up.leaving |= self.announcements.is_leaving(&incarnation);
+        up.paused_until = self.announcements.paused_until(&incarnation);
+        up.set_versioned_limit(now, self.announcements.versioned_limit(&incarnation));
         self.by_hash.insert(up.incarnation_hash(), key);
         self.upstreams[key.0 as usize] = Some(up);
         self.by_id.insert(id, key);
-        self.place(now, key);
+        self.apply_entry(now, key);
         key
     }
 
-    /// Takes the end of an entry of the list; returns the incarnation that it ended, if it was there.
+    /// Records that an upstream's list entry was removed; returns its incarnation if it was listed.
     pub fn delist(&mut self, id: &str) -> Option<String> {
         let key = self.by_id.get(id).copied()?;
         let up = self.get_mut(key);
-        let was = !up.delisted;
+        let was_listed = !up.delisted;
         up.delisted = true;
         let incarnation = up.spec.incarnation();
-        self.drop_idle(key);
-        was.then_some(incarnation)
+        self.remove_idle(key);
+        was_listed.then_some(incarnation)
     }
 
-    /// Notes that an incarnation of an upstream is leaving, by whatever source; returns whether that is new.
+    /// Records that an incarnation of an upstream is leaving, by any source; returns whether a known
+    /// upstream was not known to be leaving.
     pub fn mark_leaving(&mut self, incarnation: &str) -> bool {
-        self.said.mark_leaving(incarnation);
+        self.announcements.mark_leaving(incarnation);
         let Some(key) = self.by_incarnation(incarnation) else {
             return false;
         };
         let up = self.get_mut(key);
-        let news = !up.leaving;
+        let newly_leaving = !up.leaving;
         up.leaving = true;
-        news
+        newly_leaving
     }
 
     /// Returns the listed upstreams.
@@ -205,36 +208,36 @@
         self.upstreams.iter().flatten().filter(|u| !u.delisted)
     }
 
-    /// Notes that an upstream wants nothing for some milliseconds; returns whether that is longer than it said before. What it
-    /// said before holds until its time.
+    /// Records that an upstream accepts no requests for some milliseconds; returns whether that extends an
+    /// earlier pause. An earlier pause is never shortened.
     pub fn pause(&mut self, now: u64, key: UpstreamKey, ms: u64) -> bool {
-        let until = now + ms.min(REST_MOST_MS);
+        let until = now + ms.min(MAX_PAUSE_MS);
         let up = self.get_mut(key);
-        let longer = until > up.paused_until;
+        let extended = until > up.paused_until;
         up.paused_until = up.paused_until.max(until);
         let incarnation = up.spec.incarnation();
-        self.said.pause(&incarnation, until);
-        longer
+        self.announcements.pause(&incarnation, until);
+        extended
     }
 
-    /// Returns the incarnation of an upstream, by its newest entry.
+    /// Returns the incarnation of an upstream, by its newest list entry.
     pub fn incarnation(&self, key: UpstreamKey) -> String {
         self.get(key).spec.incarnation()
     }
 
-    /// Returns whether a request that was chosen for an upstream may still be sent there.
+    /// Returns whether the request of a choice may still be sent to the chosen upstream.
     pub fn may_send(&self, now: u64, choice: &Choice) -> bool {
         let up = self.get(choice.key);
-        up.may_get(now, choice.attempt, self.cold(&up.spec.service))
+        up.may_send(now, choice.attempt, self.cold_start(&up.spec.service))
     }
 
-    /// Returns whether an upstream is listed, and nothing says that it leaves.
+    /// Returns whether an upstream is listed and not known to be leaving.
     pub fn is_active(&self, key: UpstreamKey) -> bool {
         let up = self.get(key);
         !up.delisted && !up.leaving
     }
 
-    /// Returns the incarnations of upstreams that all sources together say are leaving.
+    /// Returns the incarnations of upstreams that are leaving, by any source.
     pub fn leaving_incarnations(&self) -> BTreeSet<String> {
         let leaving = self.upstreams.iter().flatten().filter(|u| u.leaving);
         leaving.map(|u| u.spec.incarnation()).collect()
@@ -247,23 +250,24 @@
 
     fn get(&self, key: UpstreamKey) -> &Upstream {
         let up = self.upstreams[key.0 as usize].as_ref();
-        up.expect("kept while requests run there")
+        up.expect("an upstream is kept while it has requests in flight")
     }
 
     fn get_mut(&mut self, key: UpstreamKey) -> &mut Upstream {
         let up = self.upstreams[key.0 as usize].as_mut();
-        up.expect("kept while requests run there")
+        up.expect("an upstream is kept while it has requests in flight")
     }
 
-    fn drop_idle(&mut self, key: UpstreamKey) {
+    /// Removes an upstream if it is delisted and has no requests in flight.
+    fn remove_idle(&mut self, key: UpstreamKey) {
         let up = self.get(key);
         if up.delisted && up.inflight == 0 {
             let (id, hash) = (up.spec.id.clone(), up.incarnation_hash());
-            // A later incarnation may have the name by now.
+            // A later incarnation may have taken over the name.
             if self.by_id.get(&id) == Some(&key) {
                 self.by_id.remove(&id);
             }
-            // So may its hash, where its list does not tell incarnations apart.
+            // The hash too, if the list entries do not tell incarnations apart.
             if self.by_hash.get(&hash) == Some(&key) {
                 self.by_hash.remove(&hash);
             }
@@ -272,187 +276,208 @@
         }
     }
 
-    /// Chooses an upstream, which then counts one request more.
+    /// Chooses an upstream and counts one more request there.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
-    pub fn choose(&mut self, now: u64, want: &Criteria<'_>) -> Result<Choice, ChooseError> {
+    /// Returns why no upstream was chosen.
+    pub fn choose(&mut self, now: u64, criteria: &Criteria<'_>) -> Result<Choice, ChooseError> {
         if self.senders.expire(now) {
             self.update_throttles(now);
         }
-        let rated = self.rate(now, want)?;
-        // Instances that know nothing of the upstreams yet would all take the first one of the list.
-        let turn = |r: &Rated| self.get(r.key).rank(self.me);
-        let by_cost = |a: &&Rated, b: &&Rated| {
+        let candidates = self.candidates(now, criteria)?;
+        // Otherwise instances that know nothing of the upstreams yet would all take the first one of the
+        // list.
+        let tie_breaker = |c: &Candidate| self.get(c.key).rank(self.own_name);
+        let by_cost = |a: &&Candidate, b: &&Candidate| {
             let order = a.cost_ms.partial_cmp(&b.cost_ms);
             let order = order.unwrap_or(Ordering::Equal);
-            order.then_with(|| turn(a).cmp(&turn(b)))
+            order.then_with(|| tie_breaker(a).cmp(&tie_breaker(b)))
         };
-        let best = rated.iter().min_by(by_cost).ok_or(ChooseError::NoneLeft)?;
-        let left = want.deadline.saturating_sub(now);
-        if best.expect_ms > left as f64 {
-            let retry_ms = (best.expect_ms as u64).saturating_sub(left);
+        let best = candidates
+            .iter()
+            .min_by(by_cost)
+            .ok_or(ChooseError::NoneLeft)?;
+        let left_ms = criteria.deadline.saturating_sub(now);
+        if best.expected_ms > left_ms as f64 {
+            let retry_ms = (best.expected_ms as u64).saturating_sub(left_ms);
             return Err(ChooseError::Busy {
-                retry_ms: retry_ms.max(RETRY_LEAST_MS),
+                retry_ms: retry_ms.max(MIN_RETRY_MS),
             });
         }
-        let (key, unread, expect_ms) = (best.key, best.unread, best.expect_ms);
-        let work = best.work;
-        self.tickets += 1;
-        let ticket = AttemptId(self.tickets);
-        let read_ms = work * self.usual(want.service).read_ms;
+        let (key, uncached_tokens, expected_ms) =
+            (best.key, best.uncached_tokens, best.expected_ms);
+        let prefill_work = best.prefill_work;
+        self.attempts += 1;
+        let attempt = AttemptId(self.attempts);
+        let prefill_ms = prefill_work * self.latency(criteria.service).prefill_ms_per_token;
         let up = self.get_mut(key);
-        up.begin(now, ticket, read_ms);
-        for part in want.segments {
-            up.known.used(now, part.id);
+        up.begin(now, attempt, prefill_ms);
+        for segment in criteria.segments {
+            up.prefix_cache.touch(now, segment.id);
         }
         Ok(Choice {
             key,
             spec: up.spec.clone(),
-            attempt: ticket,
-            uncached_tokens: unread,
-            prefill_work: work,
-            expected_ms: expect_ms,
+            attempt,
+            uncached_tokens,
+            prefill_work,
+            expected_ms,
         })
     }
 
-    fn usual(&self, service: &str) -> Usual {
-        self.usual.get(service).copied().unwrap_or_default()
+    fn latency(&self, service: &str) -> LatencyEstimate {
+        self.latencies.get(service).copied().unwrap_or_default()
     }
 
-    /// Returns the upstreams that may take a request, with what it would cost there.
-    fn rate(&self, now: u64, want: &Criteria<'_>) -> Result<Vec<Rated>, ChooseError> {
-        let of_service = |u: &&Upstream| u.spec.service == want.service;
+    /// Returns the upstreams that may serve a request, with the estimated costs.
+    fn candidates(&self, now: u64, criteria: &Criteria<'_>) -> Result<Vec<Candidate>, ChooseError> {
+        let of_service = |u: &&Upstream| u.spec.service == criteria.service;
         if !self.listed().any(|u| of_service(&u)) {
             return Err(ChooseError::Unknown);
         }
         let all = self.upstreams.iter().enumerate();
         let all = all.filter_map(|(i, u)| Some((UpstreamKey(i as u32), u.as_ref()?)));
-        let cold = self.cold(want.service);
-        let staying = all.filter(|(_, u)| of_service(u) && u.accepts_requests(now));
-        let staying = staying.filter(|(_, u)| self.may_reach(u, want) && u.is_open(now, cold));
-        let staying: SmallVec<[(UpstreamKey, &Upstream); 32]> = staying.collect();
-        if staying.is_empty() {
-            self.why_none(now, want)?;
+        let cold_start = self.cold_start(criteria.service);
+        let accepting = all.filter(|(_, u)| of_service(u) && u.accepts_requests(now));
+        let accepting = accepting
+            .filter(|(_, u)| self.may_reach(u, criteria) && u.has_capacity(now, cold_start));
+        let accepting: SmallVec<[(UpstreamKey, &Upstream); 32]> = accepting.collect();
+        if accepting.is_empty() {
+            self.check_accepting(now, criteria)?;
         }
-        let fit: SmallVec<[(UpstreamKey, &Upstream); 32]> = {
-            let fit = staying.iter().filter(|(_, u)| may_use(u, now, want));
-            fit.copied().collect()
+        let usable: SmallVec<[(UpstreamKey, &Upstream); 32]> = {
+            let usable = accepting
+                .iter()
+                .filter(|(_, u)| is_usable(u, now, criteria));
+            usable.copied().collect()
         };
-        let kept = fit.len() * 100 >= staying.len() * KEPT_PCT;
-        let from = if kept { &fit } else { &staying };
-        let homes = homes(want, from);
-        let usual = self.usual(want.service);
-        let untried = from.iter().filter(|(k, _)| !want.tried.contains(k));
-        let (mut rated, mut full) = (Vec::with_capacity(from.len()), 0);
+        let enough = usable.len() * 100 >= accepting.len() * MIN_USABLE_PCT;
+        let considered = if enough { &usable } else { &accepting };
+        let affinity = prefix_affinity(criteria, considered);
+        let latency = self.latency(criteria.service);
+        let untried = considered
+            .iter()
+            .filter(|(k, _)| !criteria.tried.contains(k));
+        let (mut candidates, mut full) = (Vec::with_capacity(considered.len()), 0);
         for (key, up) in untried {
-            if is_full(up, now, want) {
+            if is_full(up, now, criteria) {
                 full += 1;
                 continue;
             }
-            rated.push(rate_one(*key, up, now, want, homes.turn(*key), usual));
+            candidates.push(estimate(
+                *key,
+                up,
+                now,
+                criteria,
+                affinity.position(*key),
+                latency,
+            ));
         }
-        if rated.is_empty() && full > 0 {
-            let retry_ms = RETRY_LEAST_MS + want.random % RETRY_LEAST_MS;
+        if candidates.is_empty() && full > 0 {
+            let retry_ms = MIN_RETRY_MS + criteria.random % MIN_RETRY_MS;
             return Err(ChooseError::Busy { retry_ms });
         }
-        Ok(rated)
+        Ok(candidates)
     }
 
     /// Returns whether an upstream is in a region that a request may reach.
-    fn may_reach(&self, up: &Upstream, want: &Criteria<'_>) -> bool {
+    fn may_reach(&self, up: &Upstream, criteria: &Criteria<'_>) -> bool {
         let region = self.regions.get(&up.spec.zone);
-        want.regions.is_empty() || region.is_some_and(|r| want.regions.contains(r))
+        criteria.regions.is_empty() || region.is_some_and(|r| criteria.regions.contains(r))
     }
 
-    /// Returns why no upstream of a service takes a request, where that is more than that all leave.
-    fn why_none(&self, now: u64, want: &Criteria<'_>) -> Result<(), ChooseError> {
-        let of_service = self.listed().filter(|u| u.spec.service == want.service);
-        let stay: SmallVec<[&Upstream; 32]> = of_service.filter(|u| !u.leaving).collect();
-        if stay.is_empty() {
+    /// Returns why no upstream of a service accepts a request, unless it is only that all of them are
+    /// leaving.
+    fn check_accepting(&self, now: u64, criteria: &Criteria<'_>) -> Result<(), ChooseError> {
+        let of_service = self.listed().filter(|u| u.spec.service == criteria.service);
+        let remaining: SmallVec<[&Upstream; 32]> = of_service.filter(|u| !u.leaving).collect();
+        if remaining.is_empty() {
             return Ok(());
         }
-        let reached = stay.into_iter().filter(|u| self.may_reach(u, want));
-        let reached: SmallVec<[&Upstream; 32]> = reached.collect();
-        if reached.is_empty() {
+        let reachable = remaining
+            .into_iter()
+            .filter(|u| self.may_reach(u, criteria));
+        let reachable: SmallVec<[&Upstream; 32]> = reachable.collect();
+        if reachable.is_empty() {
             return Err(ChooseError::Outside);
         }
-        if reached.iter().all(|u| u.evacuated) {
+        if reachable.iter().all(|u| u.evacuated) {
             return Err(ChooseError::Evacuated);
         }
-        if let Some(retry_ms) = soonest(now, reached.iter().map(|u| u.paused_until)) {
+        if let Some(retry_ms) = ms_until_first(now, reachable.iter().map(|u| u.paused_until)) {
             return Err(ChooseError::Resting { retry_ms });
         }
-        let limited = reached
+        let limited = reachable
             .iter()
             .filter(|u| u.accepts_requests(now) && !u.is_within_limit(now));
         if let Some(retry_ms) = limited.filter_map(|u| u.limit_retry_ms(now)).min() {
-            let retry_ms = retry_ms.max(RETRY_LEAST_MS);
-            let retry_ms = retry_ms + want.random % retry_ms;
+            let retry_ms = retry_ms.max(MIN_RETRY_MS);
+            let retry_ms = retry_ms + criteria.random % retry_ms;
             return Err(ChooseError::Limited { retry_ms });
         }
-        let cold = soonest(now, reached.iter().filter_map(|u| u.cold_until(now)));
+        let cold = ms_until_first(now, reachable.iter().filter_map(|u| u.cold_until(now)));
         cold.map_or(Ok(()), |retry_ms| Err(ChooseError::Cold { retry_ms }))
     }
 
-    /// Returns what this instance has at its upstreams, for the others.
+    /// Returns the load of this instance at its upstreams by the hash of their incarnation, to report it
+    /// to the other instances.
     pub fn own_loads(&self, now: u64) -> Vec<(u64, InstanceLoad)> {
         let busy = self.upstreams.iter().flatten().filter(|u| u.inflight > 0);
         busy.map(|u| (u.incarnation_hash(), u.own_load(now)))
             .collect()
     }
 
-    /// Takes the word of another instance on what it has at its upstreams.
-    pub fn set_peer_loads(&mut self, now: u64, from: u64, held: &HashMap<u64, InstanceLoad>) {
-        let nothing = InstanceLoad {
+    /// Sets the loads that another instance reported, by the hash of the upstream's incarnation.
+    pub fn set_peer_loads(&mut self, now: u64, from: u64, loads: &HashMap<u64, InstanceLoad>) {
+        let none = InstanceLoad {
             pending_prefill_ms: 0.0,
             inflight: 0,
         };
-        for key in self.held_by.remove(&from).unwrap_or_default() {
+        for key in self.peer_upstreams.remove(&from).unwrap_or_default() {
             if let Some(up) = self.upstreams[key.0 as usize].as_mut() {
-                up.set_peer_load(now, from, nothing);
+                up.set_peer_load(now, from, none);
             }
         }
         let mut keys = SmallVec::new();
-        for (hash, held) in held {
+        for (hash, load) in loads {
             let Some(key) = self.by_hash.get(hash) else {
                 continue;
             };
             if let Some(up) = self.upstreams[key.0 as usize].as_mut() {
-                up.set_peer_load(now, from, *held);
+                up.set_peer_load(now, from, *load);
                 keys.push(*key);
             }
         }
         if !keys.is_empty() {
-            self.held_by.insert(from, keys);
+            self.peer_upstreams.insert(from, keys);
         }
     }
 
-    /// Takes an upstream's word on its load.
+    /// Sets the load that an upstream reported.
     pub fn set_reported_load(&mut self, now: u64, key: UpstreamKey, load: Load) {
         self.get_mut(key).set_reported_load(now, load);
     }
 
-    /// Takes the first token, or the answer, of a request.
+    /// Records the first token, or the response, of a request sent at `sent_at`.
     pub fn record_latency(&mut self, now: u64, choice: &Choice, sent_at: u64) {
-        let took = now.saturating_sub(sent_at) as f64;
+        let took_ms = now.saturating_sub(sent_at) as f64;
         let service = choice.spec.service.clone();
-        let usual = self.usual.entry(service).or_default();
-        let alone_ms = usual.learn(choice.uncached_tokens, choice.prefill_work, took);
+        let latency = self.latencies.entry(service).or_default();
+        let unloaded_ms = latency.record(choice.uncached_tokens, choice.prefill_work, took_ms);
         self.get_mut(choice.key)
-            .record_latency(now, choice.attempt, alone_ms);
+            .record_latency(now, choice.attempt, unloaded_ms);
     }
 
-    /// Counts the end of a request.
-    pub fn end(&mut self, now: u64, key: UpstreamKey, ticket: AttemptId, outcome: Outcome) {
-        self.get_mut(key).end(now, ticket, outcome);
-        self.drop_idle(key);
+    /// Records the end of an attempt.
+    pub fn end(&mut self, now: u64, key: UpstreamKey, attempt: AttemptId, outcome: Outcome) {
+        self.get_mut(key).end(now, attempt, outcome);
+        self.remove_idle(key);
     }
 }
 
-/// Returns the milliseconds until the first of some times that are not over; none where all are.
-fn soonest(now: u64, until: impl Iterator<Item = u64>) -> Option<u64> {
+/// Returns the milliseconds until the first of some times that have not passed; none if all have.
+fn ms_until_first(now: u64, until: impl Iterator<Item = u64>) -> Option<u64> {
     let first = until.filter(|until| *until > now).min();
     first.map(|until| until - now)
 }
--- a/crates/place/src/pool/throttle.rs
+++ b/crates/place/src/pool/throttle.rs
@@ -6,8 +6,8 @@
 use crate::upstream::{Upstream, UpstreamKey};
 
 impl Pool {
-    /// Records the request rate limit, or its absence, in an upstream's answer to a request sent at `sent_at`. Returns the new
-    /// state if it changed.
+    /// Records the request rate limit, or its absence, in an upstream's response to a request sent at
+    /// `sent_at`. Returns the new state if it changed.
     pub fn set_limit(
         &mut self,
         now: u64,
@@ -18,14 +18,15 @@
         let up = self.get_mut(key);
         let updated = up.update_limit(now, sent_at, limit)?;
         let incarnation = up.spec.incarnation();
-        self.said.merge_limit(&incarnation, updated);
+        self.announcements.merge_limit(&incarnation, updated);
         self.update_throttle(now, key);
         Some(updated)
     }
 
-    /// Merges another instance's state of an incarnation's request rate limit; returns whether it replaced the known one.
+    /// Merges another instance's state of an incarnation's request rate limit; returns whether it
+    /// replaced the known one.
     pub fn merge_limit(&mut self, now: u64, incarnation: &str, limit: VersionedLimit) -> bool {
-        if !self.said.merge_limit(incarnation, limit) {
+        if !self.announcements.merge_limit(incarnation, limit) {
             return false;
         }
         if let Some(key) = self.by_incarnation(incarnation) {
@@ -35,7 +36,8 @@
         true
     }
 
-    /// Returns the request rate limits of listed upstreams by incarnation, including limits that were removed.
+    /// Returns the request rate limits of listed upstreams by incarnation, including limits that were
+    /// removed.
     pub fn versioned_limits(&self) -> Vec<(String, VersionedLimit)> {
         let known = self
             .listed()
@@ -67,7 +69,7 @@
 /// Updates what this instance may send to an upstream while it is cold or limited.
 pub(super) fn update(up: &mut Upstream, now: u64, senders: &Senders) {
     if up.cold_until(now).is_some() {
-        up.sends_cold(senders.sends_from(up.incarnation_hash(), 1));
+        up.set_cold_sends_from(senders.sends_from(up.incarnation_hash(), 1));
     }
     let share = up.limit().and_then(|limit| {
         let sharers = limit.sharers(senders.count());
--- a/crates/place/src/prefix_cache.rs
+++ b/crates/place/src/prefix_cache.rs
@@ -1,30 +1,34 @@
-//! Which parts of prompts an engine is thought to keep, by what was sent there from here.
+//! Estimate of the prompt segments in an engine's prefix cache, from the prompts that this instance
+//! sent there.
 
 use std::collections::HashMap;
 
-/// A part that was not used for this long is taken for forgotten, in milliseconds.
-const FORGET_MS: u64 = 20_000;
-/// Parts remembered of one engine, bounding memory; the oldest go.
-const PARTS_MOST: usize = 1_024;
+/// Time since its last use after which a segment counts as evicted, in milliseconds.
+const TTL_MS: u64 = 20_000;
+/// Maximum number of segments remembered per engine, to bound memory: at this number the expired
+/// ones are dropped, and all of them if none has expired.
+const MAX_SEGMENTS: usize = 1_024;
 
-/// Parts by the time of their last use.
+/// Segments with the time of their last use.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Known(HashMap<u64, u64>);
+pub(crate) struct PrefixCache(HashMap<u64, u64>);
 
-impl Known {
-    /// Notes the use of a part.
-    pub(crate) fn used(&mut self, now: u64, part: u64) {
-        if self.0.len() >= PARTS_MOST {
-            self.0.retain(|_, at| now < *at + FORGET_MS);
+impl PrefixCache {
+    /// Records the use of a segment.
+    pub(crate) fn touch(&mut self, now: u64, segment: u64) {
+        if self.0.len() >= MAX_SEGMENTS {
+            self.0.retain(|_, used_at| now < *used_at + TTL_MS);
         }
-        if self.0.len() >= PARTS_MOST {
+        if self.0.len() >= MAX_SEGMENTS {
             self.0.clear();
         }
-        self.0.insert(part, now);
+        self.0.insert(segment, now);
     }
 
-    /// Returns whether a part is thought to be kept.
-    pub(crate) fn has(&self, now: u64, part: u64) -> bool {
-        self.0.get(&part).is_some_and(|at| now < at + FORGET_MS)
+    /// Returns whether a segment is presumably cached.
+    pub(crate) fn contains(&self, now: u64, segment: u64) -> bool {
+        self.0
+            .get(&segment)
+            .is_some_and(|used_at| now < used_at + TTL_MS)
     }
 }
--- a/crates/place/src/request_memory.rs
+++ b/crates/place/src/request_memory.rs
@@ -1,51 +1,54 @@
-//! How much memory requests under way may take.
+//! Memory limit for requests in progress.
 //!
-//! Load: callers send faster than upstreams answer, or over a slow link; each request that waits keeps
-//! its body, two connections and its state. A process above its limit is killed, and with it everything
-//! that it had under way: what does not fit is refused, and finds room at another instance.
+//! Callers may send faster than upstreams respond, or over a slow link; each waiting request keeps its
+//! body, two connections and its state in memory. A process above its memory limit is killed together
+//! with all of its requests, so a request that does not fit is refused and goes to another instance.
 
-/// Memory of a request besides its body, in bytes: two connections with their buffers, and its state. From
-/// peaks of 57 MB with 900 requests of 10 kB under way.
+/// Memory of a request in addition to its body, in bytes: two connections with their buffers, and its
+/// state. Derived from peaks of 57 MB with 900 requests of 10 kB in progress.
 const REQUEST_BYTES: usize = 48 << 10;
-/// Percentage of the memory that requests may take: the rest is the program's own, and what has come and
-/// is not read yet.
+/// Percentage of the memory limit that requests may use: the rest is for the program itself and for
+/// received data that has not been read yet.
 const USABLE_PCT: usize = 60;
 
-/// The memory for requests.
+/// The memory for requests in progress.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RequestMemory {
-    /// Bytes that may be taken; none when there is no limit.
-    most: Option<usize>,
-    taken: usize,
+    /// Maximum number of reserved bytes; none if there is no limit.
+    max_bytes: Option<usize>,
+    reserved: usize,
 }
 
 impl RequestMemory {
-    /// Returns the room of a process with a limit in megabytes.
+    /// Creates the request memory of a process with a memory limit in megabytes.
     pub fn new(memory_mb: Option<u64>) -> RequestMemory {
         let bytes = memory_mb.map(|mb| (mb as usize) << 20);
         RequestMemory {
-            most: bytes.map(|b| b / 100 * USABLE_PCT),
-            taken: 0,
+            max_bytes: bytes.map(|b| b / 100 * USABLE_PCT),
+            reserved: 0,
         }
     }
 
-    /// Takes the room for a request with a body of some bytes; returns how much that is, if it fits.
+    /// Reserves memory for a request with a body of some bytes; returns the number of reserved bytes,
+    /// or none if the request does not fit.
     pub fn reserve(&mut self, body: usize) -> Option<usize> {
         let bytes = body + REQUEST_BYTES;
-        let fits = self.most.is_none_or(|most| self.taken + bytes <= most);
+        let fits = self
+            .max_bytes
+            .is_none_or(|max_bytes| self.reserved + bytes <= max_bytes);
         fits.then(|| {
-            self.taken += bytes;
+            self.reserved += bytes;
             bytes
         })
     }
 
-    /// Gives back what a request took.
+    /// Releases the bytes reserved for a request.
     ///
     /// # Panics
     ///
-    /// Panics when more is given back than was taken: the limit would no longer hold.
+    /// Panics if more bytes are released than were reserved: the limit would no longer hold.
     pub fn release(&mut self, bytes: usize) {
-        let left = self.taken.checked_sub(bytes);
-        self.taken = left.expect("room that was taken");
+        let left = self.reserved.checked_sub(bytes);
+        self.reserved = left.expect("no more bytes are released than were reserved");
     }
 }
--- a/crates/place/src/retry_budget.rs
+++ b/crates/place/src/retry_budget.rs
@@ -1,30 +1,30 @@
-//! The budget of repetitions that all instances share.
+//! Retry budgets of services, shared by all instances.
 //!
-//! A service may get no more repetitions in any span than a share of its requests and a slack, from
-//! all instances together. Each instance keeps to the share of its own requests and to its part of the
-//! slack, so the sum holds without a word between them.
+//! Within any window, all instances together may retry at most a share of a service's requests plus a
+//! fixed slack. Each instance stays within that share of its own requests and within its part of the
+//! slack, so the total holds without communication between the instances.
 
 use std::collections::{HashMap, VecDeque};
 
-/// Part of the bound that is used: the rest covers spans that are cut differently elsewhere.
-const SAFE_PART: f64 = 0.8;
-/// Slack is divided by at least so many instances: the list of instances may be behind.
-const SHARERS_LEAST: usize = 4;
+/// Fraction of the limit that is used: the rest covers windows that start at other times elsewhere.
+const SAFETY_FACTOR: f64 = 0.8;
+/// Minimum number of instances by which the slack is divided: the list of instances may be outdated.
+const MIN_SHARERS: usize = 4;
 
-/// The bound.
+/// Limits on the retries of a service.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryLimits {
-    /// Repetitions as a share of the requests.
+    /// Retries as a share of the requests.
     pub ratio: f64,
-    /// Repetitions besides.
+    /// Retries in addition to that share.
     pub slack: f64,
-    /// The span, in milliseconds.
+    /// Length of the window, in milliseconds.
     pub window_ms: u64,
 }
 
 impl Default for RetryLimits {
-    /// A tenth of the requests and ten besides, in ten seconds: what keeps a failing service from
-    /// being drowned by its own clients.
+    /// A tenth of the requests plus ten within ten seconds: this keeps the clients of a failing
+    /// service from overloading it with retries.
     fn default() -> Self {
         RetryLimits {
             ratio: 0.1,
@@ -34,55 +34,57 @@
     }
 }
 
+/// Times of the recent requests and retries of a service.
 #[derive(Debug, Default)]
-struct Seen {
+struct History {
     requests: VecDeque<u64>,
-    repeats: VecDeque<u64>,
+    retries: VecDeque<u64>,
 }
 
-/// Requests and repetitions of late, by service.
+/// The retry budget of each service.
 #[derive(Debug, Default)]
 pub struct RetryBudget {
-    bounds: RetryLimits,
-    seen: HashMap<String, Seen>,
+    limits: RetryLimits,
+    by_service: HashMap<String, History>,
 }
 
 impl RetryBudget {
-    /// Makes a budget.
-    pub fn new(bounds: RetryLimits) -> RetryBudget {
+    /// Creates a budget.
+    pub fn new(limits: RetryLimits) -> RetryBudget {
         RetryBudget {
-            bounds,
-            seen: HashMap::new(),
+            limits,
+            by_service: HashMap::new(),
         }
     }
 
-    /// Counts a request for a service.
+    /// Records a request for a service.
     pub fn record_request(&mut self, now: u64, service: &str) {
-        let horizon = now.saturating_sub(self.bounds.window_ms);
-        let seen = self.seen.entry(service.to_string()).or_default();
-        forget(&mut seen.requests, horizon);
-        seen.requests.push_back(now);
+        let window_start = now.saturating_sub(self.limits.window_ms);
+        let history = self.by_service.entry(service.to_string()).or_default();
+        remove_before(&mut history.requests, window_start);
+        history.requests.push_back(now);
     }
 
-    /// Takes a repetition; returns whether there was one.
+    /// Takes one retry of a service from the budget that `sharers` instances share; returns whether
+    /// the budget allowed it.
     pub fn try_acquire(&mut self, now: u64, service: &str, sharers: usize) -> bool {
-        let horizon = now.saturating_sub(self.bounds.window_ms);
-        let seen = self.seen.entry(service.to_string()).or_default();
-        forget(&mut seen.requests, horizon);
-        forget(&mut seen.repeats, horizon);
-        let own = self.bounds.ratio * seen.requests.len() as f64;
-        let slack = self.bounds.slack / sharers.max(SHARERS_LEAST) as f64;
-        let may = ((own + slack) * SAFE_PART) as usize;
-        if seen.repeats.len() >= may {
+        let window_start = now.saturating_sub(self.limits.window_ms);
+        let history = self.by_service.entry(service.to_string()).or_default();
+        remove_before(&mut history.requests, window_start);
+        remove_before(&mut history.retries, window_start);
+        let share = self.limits.ratio * history.requests.len() as f64;
+        let slack = self.limits.slack / sharers.max(MIN_SHARERS) as f64;
+        let max_retries = ((share + slack) * SAFETY_FACTOR) as usize;
+        if history.retries.len() >= max_retries {
             return false;
         }
-        seen.repeats.push_back(now);
+        history.retries.push_back(now);
         true
     }
 }
 
-fn forget(times: &mut VecDeque<u64>, horizon: u64) {
-    while times.front().is_some_and(|at| *at < horizon) {
+fn remove_before(times: &mut VecDeque<u64>, start: u64) {
+    while times.front().is_some_and(|at| *at < start) {
         times.pop_front();
     }
 }
--- a/crates/place/src/senders.rs
+++ b/crates/place/src/senders.rs
@@ -1,60 +1,62 @@
 //! Selection of the instances that may send to a throttled upstream.
 //!
-//! With hundreds of instances, an equal share of a small limit would be less than one request for each. Every instance therefore
-//! ranks all instances by a hash seeded with the upstream, and only the highest-ranked ones send. Membership views converge with
-//! a delay, so an instance sends only after it has been among the highest-ranked long enough for the others to know of it.
+//! With hundreds of instances, an equal share of a small limit would be less than one request for each.
+//! Every instance therefore ranks all instances by a hash seeded with the upstream, and only the
+//! highest-ranked ones send. Membership views converge with a delay, so an instance sends only after it
+//! has been among the highest-ranked long enough for the others to know of it.
 
 use std::collections::BTreeSet;
 
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long an instance must have been among the highest-ranked before it sends, in milliseconds: other instances may not know
-/// of it until then.
+/// How long an instance must have been among the highest-ranked before it sends, in milliseconds: other
+/// instances may not know of it until then.
 const SETTLED_MS: u64 = 3_000;
 
 /// The instances that may send, ranked from one instance's view of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct Senders {
-    me: u64,
-    listed: Vec<Listed>,
+    /// Hash of this instance's name.
+    own_name: u64,
+    instances: Vec<Instance>,
     /// When the first delisted instance expires, in milliseconds.
     expires_at: Option<u64>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Listed {
+struct Instance {
     name: u64,
-    since: u64,
+    listed_at: u64,
     /// When it was delisted; none while it is listed.
-    until: Option<u64>,
+    delisted_at: Option<u64>,
 }
 
 impl Senders {
     /// Replaces the listed instances with those of the given hashed names.
-    pub fn set_instances(&mut self, now: u64, me: u64, names: &[u64]) {
-        self.me = me;
+    pub fn set_instances(&mut self, now: u64, own_name: u64, names: &[u64]) {
+        self.own_name = own_name;
         let names: BTreeSet<u64> = names.iter().copied().collect();
         self.expire(now);
-        for listed in &mut self.listed {
-            if !names.contains(&listed.name) {
-                listed.until.get_or_insert(now);
+        for instance in &mut self.instances {
+            if !names.contains(&instance.name) {
+                instance.delisted_at.get_or_insert(now);
             }
         }
-        let present = self.listed.iter().filter(|l| l.until.is_none());
-        let present: BTreeSet<u64> = present.map(|l| l.name).collect();
-        self.listed
-            .extend(names.difference(&present).map(|name| Listed {
+        let listed = self.instances.iter().filter(|i| i.delisted_at.is_none());
+        let listed: BTreeSet<u64> = listed.map(|i| i.name).collect();
+        self.instances
+            .extend(names.difference(&listed).map(|name| Instance {
                 name: *name,
-                since: now,
-                until: None,
+                listed_at: now,
+                delisted_at: None,
             }));
         self.update_expiry();
     }
 
     fn update_expiry(&mut self) {
-        let first = self.listed.iter().filter_map(|l| l.until).min();
-        self.expires_at = first.map(|until| until + SETTLED_MS);
+        let first = self.instances.iter().filter_map(|i| i.delisted_at).min();
+        self.expires_at = first.map(|delisted_at| delisted_at + SETTLED_MS);
     }
 
     /// Removes the instances whose delisting has settled; returns whether there were any.
@@ -62,33 +64,35 @@
         if self.expires_at.is_none_or(|at| now < at) {
             return false;
         }
-        self.listed
-            .retain(|l| l.until.is_none_or(|until| now < until + SETTLED_MS));
+        self.instances.retain(|i| {
+            i.delisted_at
+                .is_none_or(|delisted_at| now < delisted_at + SETTLED_MS)
+        });
         self.update_expiry();
         true
     }
 
     /// Returns the number of instances, including delisted ones that have not expired.
     pub(crate) fn count(&self) -> usize {
-        self.listed.len()
+        self.instances.len()
     }
 
-    /// Returns when this instance may start sending to an upstream, in milliseconds: after it has been among the `max_senders`
-    /// highest-ranked for long enough; none if it is not among them.
+    /// Returns when this instance may start sending to an upstream, in milliseconds: after it has been
+    /// among the `max_senders` highest-ranked for long enough; none if it is not among them.
     pub(crate) fn sends_from(&self, upstream: u64, max_senders: usize) -> Option<u64> {
-        let rank = |l: &Listed| (xxh3_64_with_seed(&l.name.to_le_bytes(), upstream), l.name);
-        let own = self.listed.iter();
+        let rank = |i: &Instance| (xxh3_64_with_seed(&i.name.to_le_bytes(), upstream), i.name);
+        let own = self.instances.iter();
         let own = own
             .clone()
-            .find(|l| l.name == self.me && l.until.is_none())?;
-        let ahead = self.listed.iter().filter(|l| rank(l) > rank(own));
-        let present = ahead.clone().filter(|l| l.until.is_none()).count();
-        let free = max_senders.checked_sub(present + 1)?;
-        let mut delisted: SmallVec<[u64; 8]> = ahead.filter_map(|l| l.until).collect();
+            .find(|i| i.name == self.own_name && i.delisted_at.is_none())?;
+        let ahead = self.instances.iter().filter(|i| rank(i) > rank(own));
+        let listed = ahead.clone().filter(|i| i.delisted_at.is_none()).count();
+        let free = max_senders.checked_sub(listed + 1)?;
+        let mut delisted: SmallVec<[u64; 8]> = ahead.filter_map(|i| i.delisted_at).collect();
         delisted.sort_unstable();
         // The most recently delisted instances may still be sending, as many as there are free places.
         let awaited = delisted.len().saturating_sub(free);
         let last = awaited.checked_sub(1).map_or(0, |i| delisted[i]);
-        Some(own.since.max(last) + SETTLED_MS)
+        Some(own.listed_at.max(last) + SETTLED_MS)
     }
 }
--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One upstream: what its list entry, its reports and our own requests say of it.
+//! One upstream: its list entry, its load reports, and what this instance's own requests show.
 
 use std::net::SocketAddr;
 
@@ -7,56 +7,57 @@
 use crate::cold_start::ColdStart;
 use crate::health::Health;
 use crate::limit::{RateLimit, Share, VersionedLimit};
-use crate::prefix_cache::Known;
-use crate::throttled::Sent;
+use crate::prefix_cache::PrefixCache;
+use crate::throttled::ThrottledRequests;
 
-/// A report older than this says nothing any more, in milliseconds.
+/// Age at which an upstream's load report no longer counts, in milliseconds.
 const REPORT_STALE_MS: u64 = 3_000;
 /// Weight of one request in the averages of an upstream.
 const SAMPLE_WEIGHT: f64 = 0.2;
-/// Time after which half of a delay is forgotten, in milliseconds: a backlog is worked off in about
-/// a second, and an upstream that gets nothing because of it could not show that.
-const DELAY_FORGET_MS: f64 = 1_000.0;
-/// The word of another instance on what it has at an upstream holds for so long, in milliseconds:
-/// several of its rounds.
-const HEARD_MS: u64 = 1_500;
-/// Bounds of how much slower than its service an upstream is taken to be.
-const SLOWNESS: (f64, f64) = (0.5, 20.0);
-/// Time after which half of a slowness is forgotten, in milliseconds.
-const SLOWNESS_FORGET_MS: f64 = 5_000.0;
-
-/// Names an upstream in its pool.
+/// Half-life of a queueing delay, in milliseconds: a backlog is worked off in about a second, and an
+/// upstream that gets no requests because of it could not show that.
+const DELAY_HALF_LIFE_MS: f64 = 1_000.0;
+/// How long another instance's report of its load at an upstream counts, in milliseconds: several of its
+/// reporting rounds.
+const PEER_LOAD_TTL_MS: u64 = 1_500;
+/// Bounds of the slowness of an upstream.
+const SLOWNESS_RANGE: (f64, f64) = (0.5, 20.0);
+/// Half-life of the slowness, in milliseconds.
+const SLOWNESS_HALF_LIFE_MS: f64 = 5_000.0;
+
+/// Index of an upstream in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamKey(pub u32);
 
-/// Names a request at its upstream.
+/// Identifies an attempt to serve a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-/// An upstream as its list shows it.
+/// An upstream as its list entry describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spec {
-    /// Its name. One that starts again has a new one, or the same and another birth.
+    /// Name of the upstream. After a restart it has a new name, or the same one with another start time.
     pub id: String,
-    /// When this incarnation of it began, in milliseconds since the Unix epoch; none where its list does not say.
+    /// When this incarnation started, in milliseconds since the Unix epoch; none if the entry does not
+    /// say.
     pub started_at_ms: Option<u64>,
-    /// The service that it answers for.
+    /// The service that it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Address at which it listens.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: String,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// How much longer it is cold, in milliseconds; none where its list does not say.
+    /// For how much longer it is cold, in milliseconds; none if the entry does not say.
     pub cold_ms: Option<u64>,
 }
 
 impl Spec {
-    /// Returns the name of this incarnation of it: a process that starts again under the same name has nothing of
-    /// what the earlier one had.
+    /// Returns the name of this incarnation: a process that starts again under the same name has none of
+    /// the state of the earlier one.
     pub fn incarnation(&self) -> String {
         match self.started_at_ms {
             Some(started_at_ms) => format!("{}@{started_at_ms}", self.id),
@@ -64,84 +65,84 @@
         }
     }
 
-    /// Returns whether this is a later incarnation of the upstream that another entry of the same name shows.
-    pub(crate) fn is_reborn_since(&self, earlier: &Spec) -> bool {
+    /// Returns whether this is a later incarnation than the one in another entry of the same name.
+    pub(crate) fn is_restart_of(&self, earlier: &Spec) -> bool {
         matches!((self.started_at_ms, earlier.started_at_ms), (Some(now), Some(then)) if now > then)
     }
 }
 
-/// Its own word on its load.
+/// The load that an upstream reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// A part of a prompt that requests may share.
+/// A segment of a prompt that requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Its name.
+    /// Identifies the segment.
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// How a request ended at its upstream.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The upstream responded.
     Success,
-    /// It was answered with an error.
+    /// The upstream responded with an error.
     ErrorResponse,
-    /// It was refused without having run.
+    /// The request was refused before it ran.
     Refused,
-    /// The answer broke off, or was none.
+    /// The connection broke before the response was complete, or the response was not valid.
     InvalidResponse,
-    /// It could not be reached, or said nothing in time.
+    /// The upstream could not be reached, or did not respond in time.
     Unresponsive,
-    /// The caller left, or its time was over: this says nothing of the upstream.
+    /// The caller left, or the deadline passed: this says nothing about the upstream.
     Abandoned,
 }
 
-/// A request that waits for its first token.
+/// The prefill of a request that waits for its first token.
 #[derive(Clone, Copy, Debug)]
-struct Reading {
-    ticket: AttemptId,
+struct Prefill {
+    attempt: AttemptId,
     sent_at: u64,
-    read_ms: f64,
+    prefill_ms: f64,
 }
 
-/// What an instance has at an upstream.
+/// The load of one instance at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InstanceLoad {
-    /// How long the upstream still reads its prompts, in milliseconds.
+    /// Remaining prefill time of the instance's prompts, in milliseconds.
     pub pending_prefill_ms: f64,
-    /// Its requests there.
+    /// Number of the instance's requests in flight.
     pub inflight: u32,
 }
 
-/// The word of another instance.
+/// The load that another instance reported.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct PeerLoad {
     from: u64,
-    at: u64,
-    held: InstanceLoad,
+    received_at: u64,
+    load: InstanceLoad,
 }
 
 /// One upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// As its list shows it.
+    /// Its list entry.
     pub spec: Spec,
-    /// Own requests that run there.
+    /// Number of this instance's requests in flight.
     pub inflight: u32,
-    /// Whether any source said that it is leaving; never taken back.
+    /// Whether any source has said that it is leaving; never reset.
     pub leaving: bool,
-    /// It wants nothing before this time.
+    /// When it accepts requests again after a pause that it asked for, in milliseconds.
     pub paused_until: u64,
     /// The request rate limit that it advertises.
     versioned_limit: VersionedLimit,
@@ -151,39 +152,41 @@
     share: Option<Share>,
     /// Whether its zone is evacuated.
     pub evacuated: bool,
-    /// Until when it is cold, by its entry or by what is known of its zone, in milliseconds.
+    /// Until when it is cold, according to its list entry or its service's settings, in milliseconds.
     cold_until: u64,
-    /// It is taken for cold until then, whatever its entry says, in milliseconds.
-    cold_at_least: u64,
-    /// From when on this instance sends to it while it is cold, in milliseconds; none while another one does.
-    cold_from: Option<u64>,
+    /// Until when it counts as cold whatever its list entry says, in milliseconds.
+    min_cold_until: u64,
+    /// From when on this instance sends to it while it is cold, in milliseconds; none while another
+    /// instance does.
+    cold_sends_from: Option<u64>,
     /// Requests sent while it was throttled.
-    sent: Sent,
+    throttled: ThrottledRequests,
     /// Whether it is no longer listed.
     pub delisted: bool,
     /// Its health.
     pub health: Health,
-    pub(crate) known: Known,
-    /// It started again while it was listed: it has only what it was sent since, also where all instances
-    /// send the same beginnings to it.
-    pub(crate) reborn: bool,
-    /// By its name: places among the others stay over restarts.
+    pub(crate) prefix_cache: PrefixCache,
+    /// Whether it restarted while it was listed: it has cached only what it was sent since, even of the
+    /// prefixes that all instances send to it.
+    pub(crate) restarted: bool,
+    /// Hash of its name: its rank stays the same across restarts.
     name_hash: u64,
-    /// By its incarnation: what is said of an earlier one does not concern it.
+    /// Hash of its incarnation: reports about an earlier one do not apply to it.
     incarnation_hash: u64,
-    load: Load,
-    load_at: Option<u64>,
-    since_report: u32,
-    reading: Vec<Reading>,
-    heard: Vec<Heard>,
-    delay_ms: f64,
-    delay_at: u64,
+    reported_load: Load,
+    reported_at: Option<u64>,
+    /// Number of requests sent since the last load report.
+    sent_since_report: u32,
+    prefills: Vec<Prefill>,
+    peer_loads: Vec<PeerLoad>,
+    queue_delay_ms: f64,
+    queue_delay_updated_at: u64,
     slowness: f64,
-    slowness_at: u64,
+    slowness_updated_at: u64,
 }
 
 impl Upstream {
-    /// Makes an upstream of which only its list has spoken.
+    /// Creates an upstream of which only the list entry is known.
     pub fn new(spec: Spec) -> Upstream {
         Upstream {
             name_hash: xxh3_64(spec.id.as_bytes()),
@@ -197,112 +200,118 @@
             share: None,
             evacuated: false,
             cold_until: 0,
-            cold_at_least: 0,
-            cold_from: None,
-            sent: Sent::default(),
+            min_cold_until: 0,
+            cold_sends_from: None,
+            throttled: ThrottledRequests::default(),
             delisted: false,
             health: Health::default(),
-            known: Known::default(),
-            reborn: false,
-            load: Load::default(),
-            load_at: None,
-            since_report: 0,
-            reading: Vec::new(),
-            heard: Vec::new(),
-            delay_ms: 0.0,
-            delay_at: 0,
+            prefix_cache: PrefixCache::default(),
+            restarted: false,
+            reported_load: Load::default(),
+            reported_at: None,
+            sent_since_report: 0,
+            prefills: Vec::new(),
+            peer_loads: Vec::new(),
+            queue_delay_ms: 0.0,
+            queue_delay_updated_at: 0,
             slowness: 1.0,
-            slowness_at: 0,
+            slowness_updated_at: 0,
         }
     }
 
-    /// Returns its rank for something that all instances want at the same upstream.
-    pub fn rank(&self, what: u64) -> u64 {
-        xxh3_64_with_seed(&what.to_le_bytes(), self.name_hash)
+    /// Returns its rank for an item that all instances should assign to the same upstream.
+    pub fn rank(&self, item: u64) -> u64 {
+        xxh3_64_with_seed(&item.to_le_bytes(), self.name_hash)
     }
 
-    /// Takes its word on its load.
+    /// Sets the load that it reported.
     pub fn set_reported_load(&mut self, now: u64, load: Load) {
-        self.load = load;
-        self.load_at = Some(now);
-        self.since_report = 0;
+        self.reported_load = load;
+        self.reported_at = Some(now);
+        self.sent_since_report = 0;
     }
 
-    /// Returns the requests that it probably has: what the instances say that they have there, or
-    /// its own late word if that is more.
+    /// Returns the estimated number of its requests: the sum of what the instances report, or its own
+    /// delayed report if that is more.
     pub fn occupancy(&self, now: u64) -> u32 {
-        let fresh = self.load_at.is_some_and(|at| now < at + REPORT_STALE_MS);
-        let reported = if fresh && self.heard.is_empty() {
-            self.load.running + self.load.waiting + self.since_report
+        let fresh = self
+            .reported_at
+            .is_some_and(|at| now < at + REPORT_STALE_MS);
+        let reported = if fresh && self.peer_loads.is_empty() {
+            self.reported_load.running + self.reported_load.waiting + self.sent_since_report
         } else {
             0
         };
-        let others: u32 = self.fresh(now).map(|h| h.held.inflight).sum();
+        let others: u32 = self.fresh_peer_loads(now).map(|p| p.load.inflight).sum();
         reported.max(self.inflight + others)
     }
 
-    /// Returns whether it takes new work: it is listed, does not leave, its zone is in use, and it wants some.
+    /// Returns whether it accepts new requests: it is listed, not leaving and not paused, and its zone is
+    /// in use.
     pub fn accepts_requests(&self, now: u64) -> bool {
         !self.delisted && !self.leaving && !self.evacuated && self.paused_until <= now
     }
 
-    /// Returns until when it is cold, in milliseconds; none where it is warm.
+    /// Returns until when it is cold, in milliseconds; none if it is warm.
     pub fn cold_until(&self, now: u64) -> Option<u64> {
-        let until = self.cold_until.max(self.cold_at_least);
+        let until = self.cold_until.max(self.min_cold_until);
         (until > now).then_some(until)
     }
 
-    /// Takes what its entry says of how long it is cold.
-    pub(crate) fn warms_up(&mut self, now: u64, usual: ColdStart) {
-        self.cold_until = now + self.spec.cold_ms.unwrap_or(usual.duration_ms);
+    /// Updates until when it is cold from its list entry, or else from its service's settings.
+    pub(crate) fn update_cold_until(&mut self, now: u64, cold_start: ColdStart) {
+        self.cold_until = now + self.spec.cold_ms.unwrap_or(cold_start.duration_ms);
     }
 
-    /// Takes that it comes back into service: it may have become cold since its entry was written.
-    pub(crate) fn comes_back(&mut self, now: u64, usual: ColdStart) {
-        self.cold_at_least = now + usual.duration_ms;
+    /// Records that it is back in service: it may have become cold since its list entry was written.
+    pub(crate) fn return_to_service(&mut self, now: u64, cold_start: ColdStart) {
+        self.min_cold_until = now + cold_start.duration_ms;
     }
 
-    /// Takes from when on this instance sends to it while it is cold.
-    pub(crate) fn sends_cold(&mut self, from: Option<u64>) {
-        self.cold_from = from;
+    /// Sets from when on this instance sends to it while it is cold.
+    pub(crate) fn set_cold_sends_from(&mut self, from: Option<u64>) {
+        self.cold_sends_from = from;
     }
 
-    /// Returns whether it takes any number of requests: it is warm, or its service has no bound for cold ones.
-    fn is_unbounded(&self, now: u64, cold: ColdStart) -> bool {
-        cold.max_per_sec.is_none() || self.cold_until(now).is_none()
+    /// Returns whether no cold-start limit applies: it is warm, or its service has no such limit.
+    fn is_unlimited(&self, now: u64, cold_start: ColdStart) -> bool {
+        cold_start.max_per_sec.is_none() || self.cold_until(now).is_none()
     }
 
     /// Returns whether this instance may send it one more request while it is cold or limited.
-    pub(crate) fn is_open(&self, now: u64, cold: ColdStart) -> bool {
-        let sends = || self.cold_from.is_some_and(|from| from <= now);
-        let has_room = || {
-            cold.own_part()
-                .is_some_and(|most| self.sent.count(now) < most)
+    pub(crate) fn has_capacity(&self, now: u64, cold_start: ColdStart) -> bool {
+        let sends = || self.cold_sends_from.is_some_and(|from| from <= now);
+        let below_max = || {
+            cold_start
+                .max_per_instance()
+                .is_some_and(|max| self.throttled.count(now) < max)
         };
-        let open = self.is_unbounded(now, cold) || (sends() && has_room());
+        let open = self.is_unlimited(now, cold_start) || (sends() && below_max());
         open && self.is_within_limit(now)
     }
 
     /// Returns whether one more request stays within this instance's share of the request rate limit.
     pub(crate) fn is_within_limit(&self, now: u64) -> bool {
-        let has_room = |s: Share| s.starts_at <= now && self.sent.count(now) < s.max_requests;
-        self.limit().is_none() || self.share.is_some_and(has_room)
+        let below_max = |s: Share| s.starts_at <= now && self.throttled.count(now) < s.max_requests;
+        self.limit().is_none() || self.share.is_some_and(below_max)
     }
 
-    /// Returns the time until this or another instance may send the next request under the limit, in milliseconds.
+    /// Returns the time until this or another instance may send the next request under the limit, in
+    /// milliseconds.
     pub(crate) fn limit_retry_ms(&self, now: u64) -> Option<u64> {
         let limit = self.limit()?;
         let own = self.share.map(|share| {
-            let room_at = self.sent.next_expiry(now).unwrap_or(now);
-            room_at.max(share.starts_at).saturating_sub(now)
+            let below_max_at = self.throttled.next_expiry(now).unwrap_or(now);
+            below_max_at.max(share.starts_at).saturating_sub(now)
         });
         Some(own.unwrap_or(u64::MAX).min(limit.interval_ms()))
     }
 
-    /// Returns whether a request that was chosen for it may be sent: it has not become cold or limited since.
-    pub(crate) fn may_get(&self, now: u64, ticket: AttemptId, cold: ColdStart) -> bool {
-        let unbounded = self.is_unbounded(now, cold) && self.limit().is_none();
-        self.accepts_requests(now) && (unbounded || self.sent.holds(ticket))
+    /// Returns whether an attempt for which it was chosen may be sent: it has not become cold or limited
+    /// since.
+    pub(crate) fn may_send(&self, now: u64, attempt: AttemptId, cold_start: ColdStart) -> bool {
+        let unlimited = self.is_unlimited(now, cold_start) && self.limit().is_none();
+        self.accepts_requests(now) && (unlimited || self.throttled.is_in_flight(attempt))
     }
 
     /// Returns the request rate limit that it advertises.
@@ -315,8 +324,9 @@
         self.versioned_limit
     }
 
-    /// Records the request rate limit in its answer to a request sent at `sent_at`; returns the new state if it changed. A limit
-    /// that allows more is ignored if the request was sent before the last update, because the answer may be older than that.
+    /// Records the request rate limit in its response to a request sent at `sent_at`; returns the new
+    /// state if it changed. A limit that allows more is ignored if the request was sent before the last
+    /// update, because the response may be older than that.
     pub(crate) fn update_limit(
         &mut self,
         now: u64,
@@ -349,13 +359,13 @@
         self.share = share;
     }
 
-    /// Returns the name that instances use among each other for this incarnation of it.
+    /// Returns the hash by which instances refer to this incarnation among each other.
     pub fn incarnation_hash(&self) -> u64 {
         self.incarnation_hash
     }
 
-    /// Takes what its list shows now of the same incarnation.
-    pub(crate) fn relist(&mut self, spec: Spec) {
+    /// Updates its list entry, which is of the same incarnation.
+    pub(crate) fn update_spec(&mut self, spec: Spec) {
         self.leaving |= spec.leaving;
         self.delisted = false;
         let started_at_ms = spec.started_at_ms.or(self.spec.started_at_ms);
@@ -366,113 +376,120 @@
         self.incarnation_hash = xxh3_64(self.spec.incarnation().as_bytes());
     }
 
-    /// Returns what this instance has there.
+    /// Returns the load of this instance at the upstream.
     pub fn own_load(&self, now: u64) -> InstanceLoad {
         InstanceLoad {
-            pending_prefill_ms: self.own_reading_ms(now),
+            pending_prefill_ms: self.own_pending_prefill_ms(now),
             inflight: self.inflight,
         }
     }
 
-    /// Takes the word of another instance on what it has there.
-    pub fn set_peer_load(&mut self, now: u64, from: u64, held: InstanceLoad) {
-        self.heard
-            .retain(|h| h.from != from && now < h.at + HEARD_MS);
-        let heard = Heard {
+    /// Sets the load that another instance reported.
+    pub fn set_peer_load(&mut self, now: u64, from: u64, load: InstanceLoad) {
+        self.peer_loads
+            .retain(|p| p.from != from && now < p.received_at + PEER_LOAD_TTL_MS);
+        let peer_load = PeerLoad {
             from,
-            at: now,
-            held,
+            received_at: now,
+            load,
         };
-        if held.inflight > 0 {
-            self.heard.push(heard);
+        if load.inflight > 0 {
+            self.peer_loads.push(peer_load);
         }
     }
 
-    fn fresh(&self, now: u64) -> impl Iterator<Item = &Heard> {
-        self.heard.iter().filter(move |h| now < h.at + HEARD_MS)
+    fn fresh_peer_loads(&self, now: u64) -> impl Iterator<Item = &PeerLoad> {
+        self.peer_loads
+            .iter()
+            .filter(move |p| now < p.received_at + PEER_LOAD_TTL_MS)
     }
 
-    /// Returns the requests that it runs at once.
+    /// Returns the number of requests that it runs concurrently.
     pub fn slots(&self) -> u32 {
-        self.spec.slots.max(self.load.slots).max(1)
+        self.spec.slots.max(self.reported_load.slots).max(1)
     }
 
-    /// Counts a request sent there, whose prompt takes `read_ms` to read.
-    pub fn begin(&mut self, now: u64, ticket: AttemptId, read_ms: f64) {
+    /// Records the start of an attempt, whose prompt takes `prefill_ms` to prefill.
+    pub fn begin(&mut self, now: u64, attempt: AttemptId, prefill_ms: f64) {
         self.inflight += 1;
-        self.since_report += 1;
+        self.sent_since_report += 1;
         let cold = self.cold_until(now).is_some();
         let share = self.share.filter(|_| self.limit().is_some());
         if cold || share.is_some() {
             let window_ms = share.map_or(0, |s| s.window_ms);
-            self.sent.begin(now, ticket, window_ms, cold);
+            self.throttled.begin(now, attempt, window_ms, cold);
         }
-        self.reading.push(Reading {
-            ticket,
+        self.prefills.push(Prefill {
+            attempt,
             sent_at: now,
-            read_ms,
+            prefill_ms,
         });
     }
 
-    /// Takes the first token, or the answer, of a request; `alone_ms` is what it would have taken on
-    /// an upstream of its service's usual speed with nothing else to do.
-    pub fn record_latency(&mut self, now: u64, ticket: AttemptId, alone_ms: f64) {
-        self.sent.end(now, ticket, true);
-        let Some(i) = self.reading.iter().position(|r| r.ticket == ticket) else {
+    /// Records the first token, or the response, of an attempt; `unloaded_ms` is the time that it would
+    /// have taken without other load at the usual speed of the service.
+    pub fn record_latency(&mut self, now: u64, attempt: AttemptId, unloaded_ms: f64) {
+        self.throttled.end(now, attempt, true);
+        let Some(i) = self.prefills.iter().position(|p| p.attempt == attempt) else {
             return;
         };
-        let reading = self.reading.swap_remove(i);
-        let took = now.saturating_sub(reading.sent_at) as f64;
-        let behind = self.queue_delay_ms(now);
-        self.delay_ms = behind + ((took - alone_ms).max(0.0) - behind) * SAMPLE_WEIGHT;
-        self.delay_at = now;
-        let ratio = (took / alone_ms.max(1.0)).clamp(SLOWNESS.0, SLOWNESS.1);
-        let slow = self.slowness(now);
-        self.slowness = slow + (ratio - slow) * SAMPLE_WEIGHT;
-        self.slowness_at = now;
-    }
-
-    /// Returns how much slower than its service it is, lately.
+        let prefill = self.prefills.swap_remove(i);
+        let took_ms = now.saturating_sub(prefill.sent_at) as f64;
+        let previous = self.queue_delay_ms(now);
+        self.queue_delay_ms =
+            previous + ((took_ms - unloaded_ms).max(0.0) - previous) * SAMPLE_WEIGHT;
+        self.queue_delay_updated_at = now;
+        let ratio = (took_ms / unloaded_ms.max(1.0)).clamp(SLOWNESS_RANGE.0, SLOWNESS_RANGE.1);
+        let previous = self.slowness(now);
+        self.slowness = previous + (ratio - previous) * SAMPLE_WEIGHT;
+        self.slowness_updated_at = now;
+    }
+
+    /// Returns its recent latency as a multiple of the usual one of its service.
     pub fn slowness(&self, now: u64) -> f64 {
-        let gone = now.saturating_sub(self.slowness_at) as f64;
-        1.0 + (self.slowness - 1.0) * (0.5f64).powf(gone / SLOWNESS_FORGET_MS)
+        let elapsed_ms = now.saturating_sub(self.slowness_updated_at) as f64;
+        1.0 + (self.slowness - 1.0) * (0.5f64).powf(elapsed_ms / SLOWNESS_HALF_LIFE_MS)
     }
 
-    /// Returns how long requests waited there beyond their own reading, lately, in milliseconds.
+    /// Returns how long requests recently waited there in addition to their own prefill, in milliseconds.
     pub fn queue_delay_ms(&self, now: u64) -> f64 {
-        let gone = now.saturating_sub(self.delay_at) as f64;
-        self.delay_ms * (0.5f64).powf(gone / DELAY_FORGET_MS)
+        let elapsed_ms = now.saturating_sub(self.queue_delay_updated_at) as f64;
+        self.queue_delay_ms * (0.5f64).powf(elapsed_ms / DELAY_HALF_LIFE_MS)
     }
 
-    /// Returns how long it still reads the prompts that all instances sent, in milliseconds.
+    /// Returns the remaining prefill time of the prompts that all instances sent, in milliseconds.
     pub fn pending_prefill_ms(&self, now: u64) -> f64 {
-        let others = self.fresh(now);
-        let others = others.map(|h| h.held.pending_prefill_ms - (now - h.at) as f64);
-        self.own_reading_ms(now) + others.filter(|ms| *ms > 0.0).sum::<f64>()
+        let others = self.fresh_peer_loads(now);
+        let others = others.map(|p| p.load.pending_prefill_ms - (now - p.received_at) as f64);
+        self.own_pending_prefill_ms(now) + others.filter(|ms| *ms > 0.0).sum::<f64>()
     }
 
-    fn own_reading_ms(&self, now: u64) -> f64 {
-        let oldest = self.reading.iter().map(|r| r.sent_at).min();
-        let sum: f64 = self.reading.iter().map(|r| r.read_ms).sum();
-        let gone = oldest.map_or(0, |at| now.saturating_sub(at)) as f64;
-        (sum - gone).max(0.0)
+    fn own_pending_prefill_ms(&self, now: u64) -> f64 {
+        let oldest = self.prefills.iter().map(|p| p.sent_at).min();
+        let sum: f64 = self.prefills.iter().map(|p| p.prefill_ms).sum();
+        let elapsed_ms = oldest.map_or(0, |at| now.saturating_sub(at)) as f64;
+        (sum - elapsed_ms).max(0.0)
     }
 
-    /// Counts the end of a request.
+    /// Records the end of an attempt.
     ///
     /// # Panics
     ///
-    /// Panics when more requests end than began: an end counted twice would let in more than the
-    /// upstream can bear.
-    pub fn end(&mut self, now: u64, ticket: AttemptId, outcome: Outcome) {
-        assert!(self.inflight > 0, "{}: an end too many", self.spec.id);
+    /// Panics if more attempts end than began: an end that is counted twice would admit more requests
+    /// than the upstream can bear.
+    pub fn end(&mut self, now: u64, attempt: AttemptId, outcome: Outcome) {
+        assert!(
+            self.inflight > 0,
+            "{}: more attempts ended than began",
+            self.spec.id
+        );
         self.inflight -= 1;
-        self.reading.retain(|r| r.ticket != ticket);
+        self.prefills.retain(|p| p.attempt != attempt);
         let answered = matches!(
             outcome,
             Outcome::Success | Outcome::ErrorResponse | Outcome::Refused
         );
-        self.sent.end(now, ticket, answered);
+        self.throttled.end(now, attempt, answered);
         match outcome {
             Outcome::Success => self.health.record_success(now),
             Outcome::ErrorResponse => self.health.record_error(now),
