--- a/crates/place/src/health.rs
+++ b/crates/place/src/health.rs
@@ -1,6 +1,7 @@
 //! Health of an upstream, derived from the outcomes of its requests.
 
-/// Duration of the first ejection, in milliseconds; doubles with each consecutive one.
+/// Duration of the first ejection, in milliseconds; doubles with each further one until a request
+/// succeeds.
 const EJECT_MS: u64 = 600;
 /// Maximum duration of an ejection, in milliseconds: the upstream may recover at any moment.
 const EJECT_MAX_MS: u64 = 4_000;
@@ -18,7 +19,7 @@
     failure_rate: f64,
     updated_at: u64,
     ejected_until: u64,
-    /// Number of consecutive ejections.
+    /// Number of ejections since the last successful response.
     ejections: u32,
     on_probation: bool,
 }
--- a/crates/place/src/link.rs
+++ b/crates/place/src/link.rs
@@ -13,7 +13,7 @@
 /// Bytes of a response chunk in addition to its data: the packet headers.
 const PACKET_BYTES: f64 = 60.0;
 /// Queueing delay above which new connections should go to other instances, in milliseconds: a load
-/// balancer takes a second or two to notice, and a response may take half a second.
+/// balancer takes a second or two to notice, and a response may take at most half a second.
 const CONGESTED_MS: f64 = 120.0;
 /// Queueing delay above which long requests are refused at once, in milliseconds: another instance
 /// responds sooner than this one could.
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -39,7 +39,7 @@
     },
     /// A known upstream is now leaving.
     Leaving,
-    /// None of these.
+    /// No such change.
     Unchanged,
 }
 
@@ -190,8 +190,8 @@
         was_listed.then_some(incarnation)
     }
 
-    /// Records that an incarnation of an upstream is leaving, by any source; returns whether a known
-    /// upstream was not known to be leaving.
+    /// Records that an incarnation of an upstream is leaving, by any source; returns whether this is new
+    /// for an upstream of the pool.
     pub fn mark_leaving(&mut self, incarnation: &str) -> bool {
         self.announcements.mark_leaving(incarnation);
         let Some(key) = self.by_incarnation(incarnation) else {
@@ -286,8 +286,8 @@
             self.update_throttles(now);
         }
         let candidates = self.candidates(now, criteria)?;
-        // Otherwise instances that know nothing of the upstreams yet would all take the first one of the
-        // list.
+        // Breaks ties: instances that know nothing about the upstreams yet would otherwise all choose the
+        // first one of the list.
         let tie_breaker = |c: &Candidate| self.get(c.key).rank(self.own_name);
         let by_cost = |a: &&Candidate, b: &&Candidate| {
             let order = a.cost_ms.partial_cmp(&b.cost_ms);
--- a/crates/place/tests/announcements.rs
+++ b/crates/place/tests/announcements.rs
@@ -23,13 +23,13 @@
 }
 
 fn choose(pool: &mut Pool, now: u64) -> Result<Choice, ChooseError> {
-    let want = Criteria {
+    let criteria = Criteria {
         service: "desk",
         deadline: now + 1_000,
         random: 0,
         ..common::call("z")
     };
-    pool.choose(now, &want)
+    pool.choose(now, &criteria)
 }
 
 fn end(pool: &mut Pool, now: u64, choice: &Choice) {
@@ -106,8 +106,8 @@
         ChooseError::Resting { retry_ms: 600 }
     );
     pool.mark_leaving("c");
-    let denied = ChooseError::Resting { retry_ms: 2_600 };
-    assert_eq!(choose(&mut pool, 400).unwrap_err(), denied);
+    let error = ChooseError::Resting { retry_ms: 2_600 };
+    assert_eq!(choose(&mut pool, 400).unwrap_err(), error);
     assert_eq!(
         choose(&mut pool, 3_000).expect("its pause is over").spec.id,
         "b"
@@ -125,13 +125,13 @@
     end(&mut pool, 100, &choice);
     pool.delist("a");
     pool.upsert(0, spec("a"));
-    let denied = ChooseError::Resting { retry_ms: 8_000 };
-    assert_eq!(choose(&mut pool, 1_000).unwrap_err(), denied);
+    let error = ChooseError::Resting { retry_ms: 8_000 };
+    assert_eq!(choose(&mut pool, 1_000).unwrap_err(), error);
     let choice = choose(&mut pool, 9_000).expect("its pause is over");
     pool.pause(9_000, choice.key, u64::MAX);
     end(&mut pool, 9_000, &choice);
-    let denied = ChooseError::Resting { retry_ms: HOUR };
-    assert_eq!(choose(&mut pool, 9_000).unwrap_err(), denied);
+    let error = ChooseError::Resting { retry_ms: HOUR };
+    assert_eq!(choose(&mut pool, 9_000).unwrap_err(), error);
 }
 
 /// Guards against requests to paused upstreams when most of a service's upstreams are paused: only the remaining
--- a/crates/place/tests/choice.rs
+++ b/crates/place/tests/choice.rs
@@ -242,18 +242,18 @@
     let mut refused = None;
     for i in 0..60 {
         let segments = [segment(i, 40_000), segment(1_000 + i, 10_000)];
-        let want = Criteria {
+        let criteria = Criteria {
             deadline: 5_000,
             ..chat(&segments)
         };
-        if let Err(denied) = pool.choose(0, &want) {
-            refused = Some((i, denied));
+        if let Err(error) = pool.choose(0, &criteria) {
+            refused = Some((i, error));
             break;
         }
     }
-    let (after, denied) = refused.expect("a refused request");
+    let (after, error) = refused.expect("a refused request");
     assert!((2..20).contains(&after), "{after}");
-    assert!(matches!(denied, ChooseError::Busy { retry_ms } if retry_ms > 0));
+    assert!(matches!(error, ChooseError::Busy { retry_ms } if retry_ms > 0));
 }
 
 #[test]
--- a/crates/place/tests/cold_start.rs
+++ b/crates/place/tests/cold_start.rs
@@ -179,8 +179,8 @@
     assert!(pool.may_send(10, &choice));
     pool.upsert(10, spec(1, "a", Some(2_000)));
     assert!(!pool.may_send(10, &choice));
-    let denied = pool.choose(20, &call("a")).unwrap_err();
-    assert_eq!(denied, ChooseError::Cold { retry_ms: 1_990 });
+    let error = pool.choose(20, &call("a")).unwrap_err();
+    assert_eq!(error, ChooseError::Cold { retry_ms: 1_990 });
     assert!(pool.choose(2_010, &call("a")).is_ok(), "warm again");
 }
 
--- a/crates/place/tests/limit.rs
+++ b/crates/place/tests/limit.rs
@@ -243,7 +243,7 @@
     assert!(sent["u0"] <= 1, "{sent:?}");
     sent.insert("u1".to_string(), 0);
     pool.merge_limit(0, "u1", versioned(0.5, 1));
-    let denied = loop {
+    let error = loop {
         match pool.choose(SETTLED_MS + 20, &call("a")) {
             Ok(choice) => {
                 *sent.get_mut(&choice.spec.id).unwrap() += 1;
@@ -254,12 +254,12 @@
                     Outcome::Success,
                 );
             }
-            Err(denied) => break denied,
+            Err(error) => break error,
         }
     };
     assert!(sent["u0"] <= 1 && sent["u1"] <= 1, "{sent:?}");
-    let ChooseError::Limited { retry_ms } = denied else {
-        panic!("{denied:?}");
+    let ChooseError::Limited { retry_ms } = error else {
+        panic!("{error:?}");
     };
     assert!((300..=2_000).contains(&retry_ms), "{retry_ms}");
 }
--- a/crates/place/tests/restarts.rs
+++ b/crates/place/tests/restarts.rs
@@ -28,14 +28,14 @@
 }
 
 fn choose(pool: &mut Pool, now: u64) -> Choice {
-    let want = Criteria {
+    let criteria = Criteria {
         segments: &SEGMENTS,
         prompt_tokens: 8_500,
         deadline: now + 10_000,
         random: 1,
         ..common::call("z")
     };
-    pool.choose(now, &want).expect("one upstream")
+    pool.choose(now, &criteria).expect("one upstream")
 }
 
 /// Guards against prompts that wait at an engine which is wrongly thought to have cached their prefixes, and against
--- a/crates/place/tests/zones.rs
+++ b/crates/place/tests/zones.rs
@@ -39,7 +39,7 @@
 fn an_evacuated_zone_gets_no_requests_until_it_is_back_in_service() {
     let mut pool = pool();
     let before = pool.choose(10, &criteria(&[])).unwrap();
-    assert_eq!(before.spec.zone, "a", "the own zone first");
+    assert_eq!(before.spec.zone, "a", "the zone of the instance first");
     pool.set_evacuated(20, "a", true);
     assert!(!pool.may_send(20, &before), "chosen before");
     pool.upsert(30, spec("u1", "a"));
