--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -232,7 +232,7 @@
     }
 
     /// Returns the estimated number of its requests: the sum of what the instances report, or its own
-    /// delayed report if that is more.
+    /// delayed report if that is more and no other instance has reported.
     pub fn occupancy(&self, now: u64) -> u32 {
         let fresh = self
             .reported_at
