--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -8,7 +8,7 @@
 use clock::Clock;
 use rand::seq::IndexedRandom;
 use relay::{
-    Candidate, CatchUp, CatchUpSource, Delta, Entry, First, Head, Readers, Replica, Serving,
+    Candidate, CatchUp, CatchUpSource, Delta, Entry, FetchLimiter, First, Head, Readers, Replica,
     Standing, BEAT_MS,
 };
 use tokio::sync::Notify;
@@ -44,9 +44,9 @@
     neighbours: Mutex<Vec<SocketAddr>>,
     boards: Mutex<[Replica; TOPICS]>,
     /// Fetches of all upstreams, by instances that have just started.
-    lists: Mutex<Serving>,
+    lists: Mutex<FetchLimiter>,
     /// Fetches of the configuration.
-    configs: Mutex<Serving>,
+    configs: Mutex<FetchLimiter>,
     /// Versions of the configuration that are known to exist and not known here.
     behind: Mutex<CatchUp>,
     /// Wakes those that wait for a reader's word.
@@ -63,8 +63,8 @@
             readers: Mutex::new(Readers::open(clock.now())),
             neighbours: Mutex::default(),
             boards: Mutex::default(),
-            lists: Mutex::new(Serving::lists()),
-            configs: Mutex::new(Serving::configs()),
+            lists: Mutex::new(FetchLimiter::for_lists()),
+            configs: Mutex::new(FetchLimiter::for_configs()),
             behind: Mutex::default(),
             heard: Notify::new(),
             learnt: Notify::new(),
@@ -302,7 +302,11 @@
         }
         let page = board.delta_page(ask.revision, ask.after.as_ref());
         if page.next.is_none() && ask.topic == Topic::Upstreams {
-            self.0.lists.lock().expect("no panic inside").end(ask.fetch);
+            self.0
+                .lists
+                .lock()
+                .expect("no panic inside")
+                .release(ask.fetch);
         }
         Passed {
             since: page.delta,
@@ -311,7 +315,7 @@
         }
     }
 
-    fn admits(&self, serving: &Mutex<Serving>, ask: &Ask) -> bool {
+    fn admits(&self, serving: &Mutex<FetchLimiter>, ask: &Ask) -> bool {
         let now = self.0.clock.now();
         let mut serving = serving.lock().expect("no panic inside");
         serving.admit(now, ask.fetch)
--- a/crates/relay/src/serving.rs
+++ b/crates/relay/src/fetch_limiter.rs
@@ -23,25 +23,25 @@
 
 /// The fetches of one kind that one instance serves.
 #[derive(Clone, Debug)]
-pub struct Serving {
+pub struct FetchLimiter {
     most: usize,
     ended_ms: u64,
     fetches: SmallVec<[Fetch; CONFIGS_MOST]>,
 }
 
-impl Serving {
+impl FetchLimiter {
     /// Returns none of the fetches of all upstreams.
-    pub fn lists() -> Serving {
-        Serving::new(LISTS_MOST, LIST_ENDED_MS)
+    pub fn for_lists() -> FetchLimiter {
+        FetchLimiter::new(LISTS_MOST, LIST_ENDED_MS)
     }
 
     /// Returns none of the fetches of a configuration.
-    pub fn configs() -> Serving {
-        Serving::new(CONFIGS_MOST, CONFIG_ENDED_MS)
+    pub fn for_configs() -> FetchLimiter {
+        FetchLimiter::new(CONFIGS_MOST, CONFIG_ENDED_MS)
     }
 
-    fn new(most: usize, ended_ms: u64) -> Serving {
-        Serving {
+    fn new(most: usize, ended_ms: u64) -> FetchLimiter {
+        FetchLimiter {
             most,
             ended_ms,
             fetches: SmallVec::new(),
@@ -64,7 +64,7 @@
     }
 
     /// Takes that a fetch got its last page.
-    pub fn end(&mut self, id: u64) {
+    pub fn release(&mut self, id: u64) {
         self.fetches.retain(|f| f.id != id);
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -9,11 +9,11 @@
 //! No I/O, clock or randomness: the time comes in with each event, in milliseconds.
 
 mod catch_up;
+mod fetch_limiter;
 mod readers;
 mod replica;
-mod serving;
 
 pub use catch_up::{CatchUp, CatchUpSource};
+pub use fetch_limiter::FetchLimiter;
 pub use readers::{Candidate, First, Head, Readers, Standing, BEAT_MS};
 pub use replica::{Cursor, Delta, Entry, Page, Replica};
-pub use serving::Serving;
--- a/crates/relay/tests/start.rs
+++ b/crates/relay/tests/start.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use relay::{First, Readers, Serving, BEAT_MS};
+use relay::{FetchLimiter, First, Readers, BEAT_MS};
 
 use crate::common::{addr, broadcast, index, names, zone};
 
@@ -40,7 +40,7 @@
 struct Zone {
     rng: StdRng,
     readers: Vec<Readers>,
-    serving: Vec<Serving>,
+    serving: Vec<FetchLimiter>,
     does: Vec<Does>,
     lists: usize,
     /// When each instance knew a first page, in milliseconds.
@@ -52,7 +52,7 @@
         Zone {
             rng: StdRng::seed_from_u64(count as u64),
             readers: (0..count).map(|_| Readers::open(0)).collect(),
-            serving: vec![Serving::lists(); count],
+            serving: vec![FetchLimiter::for_lists(); count],
             does: vec![Does::Waits(0); count],
             lists: 0,
             first_page: vec![None; count],
@@ -125,7 +125,7 @@
                         self.first_page[i].get_or_insert(now);
                     }
                     if bytes >= LIST_BYTES {
-                        self.serving[peer].end(i as u64);
+                        self.serving[peer].release(i as u64);
                         self.knows(now, i);
                     } else {
                         assert!(self.serving[peer].admit(now, i as u64));
--- a/crates/relay/tests/version.rs
+++ b/crates/relay/tests/version.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use relay::{Candidate, CatchUp, CatchUpSource, Readers, Serving, BEAT_MS};
+use relay::{Candidate, CatchUp, CatchUpSource, FetchLimiter, Readers, BEAT_MS};
 
 use crate::common::{addr, broadcast, index, names, zone};
 
@@ -34,7 +34,7 @@
     rng: StdRng,
     readers: Vec<Readers>,
     behind: Vec<CatchUp>,
-    serving: Vec<Serving>,
+    serving: Vec<FetchLimiter>,
     does: Vec<Does>,
     /// Instances that turned to the store.
     store: usize,
@@ -56,7 +56,7 @@
             rng: StdRng::seed_from_u64(count as u64),
             readers: zone.iter().map(open).collect(),
             behind: vec![behind; count],
-            serving: vec![Serving::configs(); count],
+            serving: vec![FetchLimiter::for_configs(); count],
             does: vec![Does::Waits(CALL_MS); count],
             store: 0,
         }
