--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -12,7 +12,7 @@
 use clock::Clock;
 use notice::Notice;
 use place::{Held, Pool};
-use relay::Head;
+use relay::Heartbeat;
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
@@ -42,7 +42,7 @@
     /// What requests have spent and left of budgets.
     Settled(Vec<Settled>),
     /// How far it has read the store for its zone.
-    Head(Head),
+    Head(Heartbeat),
     /// Requests under which upstreams have ended.
     Suspects(Vec<suspect::Word>),
     /// Small and urgent news.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -8,8 +8,8 @@
 use clock::Clock;
 use rand::seq::IndexedRandom;
 use relay::{
-    Candidate, CatchUp, CatchUpSource, Delta, Entry, FetchLimiter, First, Head, Readers, Replica,
-    Standing, BEAT_MS,
+    Candidate, CatchUp, CatchUpSource, Delta, Entry, FetchLimiter, Heartbeat, InitialSource,
+    Readers, Replica, Role, HEARTBEAT_INTERVAL_MS,
 };
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
@@ -19,7 +19,7 @@
 use crate::reach::Reach;
 
 /// How often a reader says how far it has read, and the others look whether they still hear one.
-const BEAT: Duration = Duration::from_millis(BEAT_MS);
+const BEAT: Duration = Duration::from_millis(HEARTBEAT_INTERVAL_MS);
 
 /// Where a topic is read next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,7 +60,7 @@
         Relay(Arc::new(Inner {
             clock,
             reach,
-            readers: Mutex::new(Readers::open(clock.now())),
+            readers: Mutex::new(Readers::new(clock.now())),
             neighbours: Mutex::default(),
             boards: Mutex::default(),
             lists: Mutex::new(FetchLimiter::for_lists()),
@@ -79,7 +79,7 @@
         neighbours: Vec<SocketAddr>,
     ) {
         let mut readers = self.0.readers.lock().expect("no panic inside");
-        readers.place(me, zone);
+        readers.set_zone(me, zone);
         drop(readers);
         *self.0.neighbours.lock().expect("no panic inside") = neighbours;
         self.0.heard.notify_waiters();
@@ -115,10 +115,10 @@
         }
         let now = self.0.clock.now();
         let readers = self.0.readers.lock().expect("no panic inside");
-        if readers.standing(now) == Standing::Reads {
+        if readers.role(now) == Role::Reader {
             return Source::Store;
         }
-        let ahead = readers.ahead(now, topic as usize, known);
+        let ahead = readers.reader_ahead(now, topic as usize, known);
         ahead.map_or(Source::Nowhere, Source::Peer)
     }
 
@@ -131,10 +131,10 @@
         let neighbour = self.neighbour();
         let now = self.0.clock.now();
         let readers = self.0.readers.lock().expect("no panic inside");
-        match readers.first(now, topic as usize, many_calls, neighbour, rand::random()) {
-            First::Store => Source::Store,
-            First::Peer(addr) => Source::Peer(addr),
-            First::Nowhere => Source::Nowhere,
+        match readers.initial_source(now, topic as usize, many_calls, neighbour, rand::random()) {
+            InitialSource::Store => Source::Store,
+            InitialSource::Peer(addr) => Source::Peer(addr),
+            InitialSource::Unavailable => Source::Nowhere,
         }
     }
 
@@ -149,7 +149,7 @@
         let now = self.0.clock.now();
         let reads = {
             let readers = self.0.readers.lock().expect("no panic inside");
-            readers.standing(now) == Standing::Reads
+            readers.role(now) == Role::Reader
         };
         if reads || !self.is_behind(topic) {
             return self.source(topic);
@@ -157,7 +157,7 @@
         let (known, neighbour) = (self.revision(topic), self.neighbour());
         let peer = {
             let readers = self.0.readers.lock().expect("no panic inside");
-            readers.peer(now, topic as usize, known, neighbour, rand::random())
+            readers.pick_peer(now, topic as usize, known, neighbour, rand::random())
         };
         match self.with_behind(|behind, now, wait_ms| behind.alternative_source(now, wait_ms, peer))
         {
@@ -181,7 +181,7 @@
         let now = self.0.clock.now();
         let wait_ms = {
             let readers = self.0.readers.lock().expect("no panic inside");
-            CatchUp::store_delay_ms(readers.rank(), readers.zone())
+            CatchUp::store_delay_ms(readers.rank(), readers.zone_size())
         };
         let mut behind = self.0.behind.lock().expect("no panic inside");
         ask(&mut behind, now, wait_ms)
@@ -244,13 +244,13 @@
     pub(crate) fn others_ask(&self) -> bool {
         let now = self.0.clock.now();
         let readers = self.0.readers.lock().expect("no panic inside");
-        readers.others_ask(now)
+        readers.others_probe_store(now)
     }
 
     /// Leaves a reader alone that did not answer.
     pub(crate) fn forget(&self, reader: SocketAddr) {
         let mut readers = self.0.readers.lock().expect("no panic inside");
-        readers.forget(reader);
+        readers.remove_reader(reader);
         drop(readers);
         self.0
             .behind
@@ -337,15 +337,15 @@
     }
 
     /// Takes a reader's word.
-    pub(crate) fn hear(&self, from: SocketAddr, head: Head) {
+    pub(crate) fn hear(&self, from: SocketAddr, head: Heartbeat) {
         let now = self.0.clock.now();
-        if let Some(ago) = head.back_ms {
+        if let Some(ago) = head.ms_since_recovery {
             self.0.reach.told_back(now.saturating_sub(ago));
         }
-        let out = head.out;
+        let out = head.store_unreachable;
         let mut readers = self.0.readers.lock().expect("no panic inside");
-        readers.hear(now, from, head);
-        let all_out = readers.says_out(now);
+        readers.record_heartbeat(now, from, head);
+        let all_out = readers.all_report_store_unreachable(now);
         drop(readers);
         self.0.heard.notify_waiters();
         if all_out {
@@ -357,25 +357,25 @@
     }
 
     /// Waits until there is something to say, and returns it; none while nobody follows this instance.
-    pub(crate) async fn next_word(&self) -> Option<Head> {
+    pub(crate) async fn next_word(&self) -> Option<Heartbeat> {
         // Either way it is said how far this instance has read.
         let _ = timeout(BEAT, self.0.learnt.notified()).await;
         let now = self.0.clock.now();
         let out = self.0.reach.is_out();
         let readers = self.0.readers.lock().expect("no panic inside");
-        if !readers.speaks(now, out) {
+        if !readers.sends_heartbeats(now, out) {
             return None;
         }
         let rank = readers.rank();
         drop(readers);
         let boards = self.0.boards.lock().expect("no panic inside");
         let back_at = self.0.reach.back_at();
-        Some(Head {
+        Some(Heartbeat {
             rank,
             revisions: boards.iter().map(Replica::revision).collect(),
-            out,
-            failing: self.0.reach.is_failing(),
-            back_ms: (back_at > 0).then(|| now.saturating_sub(back_at)),
+            store_unreachable: out,
+            last_call_failed: self.0.reach.is_failing(),
+            ms_since_recovery: (back_at > 0).then(|| now.saturating_sub(back_at)),
         })
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -15,5 +15,5 @@
 
 pub use catch_up::{CatchUp, CatchUpSource};
 pub use fetch_limiter::FetchLimiter;
-pub use readers::{Candidate, First, Head, Readers, Standing, BEAT_MS};
+pub use readers::{Candidate, Heartbeat, InitialSource, Readers, Role, HEARTBEAT_INTERVAL_MS};
 pub use replica::{Cursor, Delta, Entry, Page, Replica};
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -13,7 +13,7 @@
 /// save little, and a small fleet pays little for its calls.
 const SMALL_ZONE: usize = 6;
 /// How often a reader says how far it has read, in milliseconds.
-pub const BEAT_MS: u64 = 300;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
 /// An instance that heard of no reader in reach of the store for so long, in milliseconds, reads by itself: three
 /// words were lost. With what it takes to read then it is half of the shortest time in which a change is to
 /// be in force everywhere.
@@ -30,7 +30,7 @@
 
 /// What a reader says of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Head {
+pub struct Heartbeat {
     /// How many instances of its zone come before it.
     #[serde(rename = "n")]
     pub rank: usize,
@@ -39,39 +39,39 @@
     pub revisions: Vec<i64>,
     /// Whether the store is out of its reach.
     #[serde(rename = "o")]
-    pub out: bool,
+    pub store_unreachable: bool,
     /// Whether its last call of the store had no answer: what it says may be old.
     #[serde(rename = "f")]
-    pub failing: bool,
+    pub last_call_failed: bool,
     /// How long ago the store came back into its reach, in milliseconds; none where it never left.
     #[serde(rename = "b")]
-    pub back_ms: Option<u64>,
+    pub ms_since_recovery: Option<u64>,
 }
 
 /// What an instance does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum Role {
     /// It reads the store.
-    Reads,
+    Reader,
     /// It fetches from those that do.
-    Follows,
+    Follower,
 }
 
 /// Where something is read of which nothing is known yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum First {
+pub enum InitialSource {
     /// The store.
     Store,
     /// Another instance, which may have it.
     Peer(SocketAddr),
     /// Nowhere, as no other instance is known.
-    Nowhere,
+    Unavailable,
 }
 
 /// A reader that was heard.
 #[derive(Clone, Debug)]
 struct Heard {
-    head: Head,
+    head: Heartbeat,
     at: u64,
 }
 
@@ -91,7 +91,7 @@
 
 impl Readers {
     /// Returns an instance that was started at a time, and knows of no other one.
-    pub fn open(now: u64) -> Readers {
+    pub fn new(now: u64) -> Readers {
         Readers {
             opened_at: now,
             fed_at: now,
@@ -100,7 +100,7 @@
     }
 
     /// Takes the instances of the own zone, this one among them or not.
-    pub fn place(&mut self, me: &Candidate<'_>, zone: &[Candidate<'_>]) {
+    pub fn set_zone(&mut self, me: &Candidate<'_>, zone: &[Candidate<'_>]) {
         let own = me.order();
         let others = zone.iter().filter(|c| c.name != me.name);
         self.zone = 1 + others.clone().count();
@@ -108,10 +108,10 @@
     }
 
     /// Takes a reader's word.
-    pub fn hear(&mut self, now: u64, from: SocketAddr, head: Head) {
+    pub fn record_heartbeat(&mut self, now: u64, from: SocketAddr, head: Heartbeat) {
         // One that reads in the place of others goes on until an earlier one does: were it to yield to a later one,
         // both would yield to each other, and nobody would read for a while.
-        if !head.out && !head.failing && head.rank < self.rank {
+        if !head.store_unreachable && !head.last_call_failed && head.rank < self.rank {
             self.fed_at = now;
         }
         self.heard.retain(|_, h| now < h.at + FED_MS);
@@ -119,7 +119,7 @@
     }
 
     /// Returns whether an earlier reader in reach of the store was heard lately.
-    pub fn is_fed(&self, now: u64) -> bool {
+    pub fn has_live_reader(&self, now: u64) -> bool {
         now < self.fed_at + FED_MS
     }
 
@@ -134,39 +134,39 @@
     }
 
     /// Returns how many instances the zone has, as far as known.
-    pub fn zone(&self) -> usize {
+    pub fn zone_size(&self) -> usize {
         self.zone
     }
 
     /// Returns whether readers were heard lately, and the store is out of reach for all of them.
-    pub fn says_out(&self, now: u64) -> bool {
+    pub fn all_report_store_unreachable(&self, now: u64) -> bool {
         let mut fresh = self.fresh(now).peekable();
-        fresh.peek().is_some() && fresh.all(|(_, h)| h.head.out)
+        fresh.peek().is_some() && fresh.all(|(_, h)| h.head.store_unreachable)
     }
 
     /// Returns what this instance does.
-    pub fn standing(&self, now: u64) -> Standing {
+    pub fn role(&self, now: u64) -> Role {
         // Instances that start together would all read everything before they know of each other.
         let placed = self.zone > 0;
         let named = placed && (!self.has_followers() || self.is_named());
         let patience = FED_MS + (self.rank as u64 * STAGGER_MS).min(STAGGER_MOST_MS);
         if named || now >= self.fed_at + patience {
-            Standing::Reads
+            Role::Reader
         } else {
-            Standing::Follows
+            Role::Follower
         }
     }
 
     /// Returns whether this instance says how far it has read; `out` is whether the store is out of its reach.
-    pub fn speaks(&self, now: u64, out: bool) -> bool {
-        let reads = self.standing(now) == Standing::Reads;
+    pub fn sends_heartbeats(&self, now: u64, out: bool) -> bool {
+        let reads = self.role(now) == Role::Reader;
         // Were all to say in an outage that they can't read, a zone would be full of it.
         reads && self.has_followers() && (self.is_named() || !out)
     }
 
     /// Returns whether others ask if the store is back, and say so when it is.
-    pub fn others_ask(&self, now: u64) -> bool {
-        !self.is_named() && self.says_out(now)
+    pub fn others_probe_store(&self, now: u64) -> bool {
+        !self.is_named() && self.all_report_store_unreachable(now)
     }
 
     /// Returns whether some instances of the zone follow others.
@@ -175,7 +175,7 @@
     }
 
     /// Returns a reader that knows more of a board than up to a revision; the readers share those that ask.
-    pub fn ahead(&self, now: u64, board: usize, revision: i64) -> Option<SocketAddr> {
+    pub fn reader_ahead(&self, now: u64, board: usize, revision: i64) -> Option<SocketAddr> {
         let knows = |h: &Heard| h.head.revisions.get(board).is_some_and(|r| *r > revision);
         let ahead = self.fresh(now).filter(|(_, h)| knows(h));
         let ahead: Vec<SocketAddr> = ahead.map(|(addr, _)| *addr).collect();
@@ -186,25 +186,25 @@
     /// Returns where a board is read that is not known yet, and that takes many calls of the store or not: from a reader, or any
     /// other instance of the zone, as a random number says. Were all to read the store, or to ask the readers, a fleet that starts
     /// together would take half a minute.
-    pub fn first(
+    pub fn initial_source(
         &self,
         now: u64,
         board: usize,
         many_calls: bool,
         neighbour: Option<SocketAddr>,
         random: u64,
-    ) -> First {
+    ) -> InitialSource {
         let settled = now >= self.opened_at + SETTLED_MS;
-        if self.standing(now) == Standing::Reads && (settled || !many_calls) {
-            return First::Store;
+        if self.role(now) == Role::Reader && (settled || !many_calls) {
+            return InitialSource::Store;
         }
-        let peer = self.peer(now, board, 0, neighbour, random);
-        peer.map_or(First::Nowhere, First::Peer)
+        let peer = self.pick_peer(now, board, 0, neighbour, random);
+        peer.map_or(InitialSource::Unavailable, InitialSource::Peer)
     }
 
     /// Returns an instance that may know more of a board than up to a revision: a reader, or any other one of the zone, as a random
     /// number says.
-    pub fn peer(
+    pub fn pick_peer(
         &self,
         now: u64,
         board: usize,
@@ -212,13 +212,13 @@
         neighbour: Option<SocketAddr>,
         random: u64,
     ) -> Option<SocketAddr> {
-        let reader = self.ahead(now, board, revision);
+        let reader = self.reader_ahead(now, board, revision);
         let first = reader.filter(|_| random % READER_PART == 0);
         first.or(neighbour).or(reader)
     }
 
     /// Forgets a reader that did not answer, until it is heard again.
-    pub fn forget(&mut self, reader: SocketAddr) {
+    pub fn remove_reader(&mut self, reader: SocketAddr) {
         self.heard.remove(&reader);
     }
 
--- a/crates/relay/tests/common/mod.rs
+++ b/crates/relay/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use relay::{Candidate, Head, Readers};
+use relay::{Candidate, Heartbeat, Readers};
 
 /// Returns the names of some instances.
 pub(crate) fn names(count: usize) -> Vec<String> {
@@ -20,16 +20,16 @@
 
 /// Has all others hear up to where one has read.
 pub(crate) fn broadcast(readers: &mut [Readers], now: u64, from: usize, revision: i64) {
-    let head = Head {
+    let head = Heartbeat {
         rank: readers[from].rank(),
         revisions: vec![revision],
-        out: false,
-        failing: false,
-        back_ms: None,
+        store_unreachable: false,
+        last_call_failed: false,
+        ms_since_recovery: None,
     };
     let others = readers.iter_mut().enumerate().filter(|(i, _)| *i != from);
     for (_, other) in others {
-        other.hear(now, addr(from), head.clone());
+        other.record_heartbeat(now, addr(from), head.clone());
     }
 }
 
--- a/crates/relay/tests/start.rs
+++ b/crates/relay/tests/start.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use relay::{FetchLimiter, First, Readers, BEAT_MS};
+use relay::{FetchLimiter, InitialSource, Readers, HEARTBEAT_INTERVAL_MS};
 
 use crate::common::{addr, broadcast, index, names, zone};
 
@@ -51,7 +51,7 @@
     fn start(count: usize) -> Zone {
         Zone {
             rng: StdRng::seed_from_u64(count as u64),
-            readers: (0..count).map(|_| Readers::open(0)).collect(),
+            readers: (0..count).map(|_| Readers::new(0)).collect(),
             serving: vec![FetchLimiter::for_lists(); count],
             does: vec![Does::Waits(0); count],
             lists: 0,
@@ -64,13 +64,13 @@
         let names = names(self.does.len());
         let zone = zone(&names);
         for (readers, me) in self.readers.iter_mut().zip(&zone) {
-            readers.place(me, &zone[..others]);
+            readers.set_zone(me, &zone[..others]);
         }
     }
 
     fn beat(&mut self, now: u64) {
         for i in 0..self.does.len() {
-            if !self.readers[i].speaks(now, false) {
+            if !self.readers[i].sends_heartbeats(now, false) {
                 continue;
             }
             let known = self.does[i] == Does::Knows;
@@ -82,22 +82,23 @@
         let count = self.does.len();
         let neighbour = (i + self.rng.random_range(1..count)) % count;
         let random = self.rng.random();
-        self.does[i] = match self.readers[i].first(now, 0, true, Some(addr(neighbour)), random) {
-            First::Store => {
-                self.lists += 1;
-                Does::Reads(now + STORE_MS)
-            }
-            First::Peer(peer) => {
-                let peer = index(peer);
-                let knows = self.does[peer] == Does::Knows;
-                if knows && self.serving[peer].admit(now, i as u64) {
-                    Does::Fetches(peer, 0)
-                } else {
-                    Does::Waits(now + BEAT_MS)
+        self.does[i] =
+            match self.readers[i].initial_source(now, 0, true, Some(addr(neighbour)), random) {
+                InitialSource::Store => {
+                    self.lists += 1;
+                    Does::Reads(now + STORE_MS)
                 }
-            }
-            First::Nowhere => Does::Waits(now + BEAT_MS),
-        };
+                InitialSource::Peer(peer) => {
+                    let peer = index(peer);
+                    let knows = self.does[peer] == Does::Knows;
+                    if knows && self.serving[peer].admit(now, i as u64) {
+                        Does::Fetches(peer, 0)
+                    } else {
+                        Does::Waits(now + HEARTBEAT_INTERVAL_MS)
+                    }
+                }
+                InitialSource::Unavailable => Does::Waits(now + HEARTBEAT_INTERVAL_MS),
+            };
     }
 
     fn step(&mut self, now: u64) {
@@ -106,7 +107,7 @@
             PLACED_MS => self.place(self.does.len()),
             _ => {}
         }
-        if now % BEAT_MS == 0 {
+        if now % HEARTBEAT_INTERVAL_MS == 0 {
             self.beat(now);
         }
         let mut fetching = vec![0; self.does.len()];
--- a/crates/relay/tests/version.rs
+++ b/crates/relay/tests/version.rs
@@ -4,7 +4,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use relay::{Candidate, CatchUp, CatchUpSource, FetchLimiter, Readers, BEAT_MS};
+use relay::{Candidate, CatchUp, CatchUpSource, FetchLimiter, Readers, HEARTBEAT_INTERVAL_MS};
 
 use crate::common::{addr, broadcast, index, names, zone};
 
@@ -45,8 +45,8 @@
         let names = names(count);
         let zone = zone(&names);
         let open = |me: &Candidate<'_>| {
-            let mut readers = Readers::open(0);
-            readers.place(me, &zone);
+            let mut readers = Readers::new(0);
+            readers.set_zone(me, &zone);
             readers
         };
         let mut behind = CatchUp::default();
@@ -65,7 +65,7 @@
     /// The readers have the version, and say so.
     fn beat(&mut self, now: u64) {
         for i in 0..self.does.len() {
-            if !self.readers[i].speaks(now, false) {
+            if !self.readers[i].sends_heartbeats(now, false) {
                 continue;
             }
             self.does[i] = Does::Has;
@@ -75,10 +75,10 @@
 
     fn look(&mut self, now: u64, i: usize) {
         let readers = &self.readers[i];
-        let wait_ms = CatchUp::store_delay_ms(readers.rank(), readers.zone());
+        let wait_ms = CatchUp::store_delay_ms(readers.rank(), readers.zone_size());
         let count = self.does.len();
         let neighbour = (i + self.rng.random_range(1..count)) % count;
-        let peer = readers.peer(now, 0, 7, Some(addr(neighbour)), self.rng.random());
+        let peer = readers.pick_peer(now, 0, 7, Some(addr(neighbour)), self.rng.random());
         let peer = match self.behind[i].alternative_source(now, wait_ms, peer) {
             CatchUpSource::Peer(peer) => index(peer),
             CatchUpSource::Store => {
@@ -131,7 +131,7 @@
         let mut zone = Zone::open(count);
         let mut took = None;
         for now in (0..4 * HALF_MS).step_by(STEP_MS as usize) {
-            if now % BEAT_MS == 0 {
+            if now % HEARTBEAT_INTERVAL_MS == 0 {
                 zone.beat(now);
             }
             zone.step(now);
