--- a/crates/notice/src/gossip.rs
+++ b/crates/notice/src/gossip.rs
@@ -5,81 +5,84 @@
 
 use crate::notice::{Notice, Subject};
 
-/// Peers that are sent what is new, in each round.
+/// Number of peers that receive new notices in each round.
 pub const FANOUT: usize = 4;
-/// So many of them are in the own availability zone, where there are as many: each zone learns most by itself, and bytes between
-/// zones are dear.
+/// How many of these peers are in the sender's own availability zone, if it has as many: each zone spreads most notices by
+/// itself, since traffic between zones is expensive.
 pub const SAME_ZONE_FANOUT: usize = 3;
-/// Rounds in which it is sent: datagrams are lost, and of twelve in all one arrives even where a link drops half of them.
+/// Number of rounds in which a new notice is sent. Datagrams may be lost: of the twelve in all at least one arrives even where
+/// a link drops half of them.
 pub const ROUNDS: u8 = 3;
-/// Notices that pass with time are kept for as many upstreams as are listed, but at least so many; those that were learnt first go.
-const PASSING_LEAST: usize = 256;
-/// Notices in a datagram: it fits one packet.
-const BATCH_MOST: usize = 16;
-/// Datagrams of news to a peer in each round, bounding the bytes sent: half of what the narrowest link carries.
-const BATCHES_MOST: usize = 8;
+/// Transient notices are kept for as many upstreams as are listed, but at least this many; the oldest are evicted first.
+const MIN_TRANSIENT: usize = 256;
+/// Maximum number of notices in a datagram, which then fits into one packet.
+const MAX_BATCH: usize = 16;
+/// Maximum number of datagrams to a peer in each round. It limits the traffic to half of what the narrowest link carries.
+const MAX_BATCHES_PER_ROUND: usize = 8;
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownNotice {
     notice: Notice,
     rounds_left: u8,
-    learnt: u64,
+    /// The value of [`Gossip::last_seq`] when the notice was inserted.
+    seq: u64,
 }
 
-/// What a batch of notices from a peer brought.
+/// The result of receiving a batch of notices from a peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// Those that were new here.
+    /// The notices that were new to this instance.
     pub accepted: Vec<Notice>,
-    /// The newer notices in place of those that are outdated: the peer has not received them.
+    /// The newer notices on the subjects of outdated ones in the batch, to be sent back to the peer.
     pub sender_lacks: Vec<Notice>,
 }
 
 /// The notices that one instance knows.
 #[derive(Clone, Debug, Default)]
 pub struct Gossip {
-    known: BTreeMap<Subject, Known>,
-    /// Those that pass with time, in the order in which they were learnt.
-    passing: BTreeMap<u64, Subject>,
-    /// Upstreams that are listed.
-    upstreams: usize,
-    /// Notices learnt so far.
-    count: u64,
-    /// The subject that was sent last in turn.
-    turn: Option<Subject>,
+    known: BTreeMap<Subject, KnownNotice>,
+    /// The subjects of transient notices, by [`KnownNotice::seq`].
+    transient: BTreeMap<u64, Subject>,
+    /// Number of listed upstreams.
+    upstream_count: usize,
+    /// The sequence number of the notice that was inserted last.
+    last_seq: u64,
+    /// The last transient subject in the latest anti-entropy batch.
+    cursor: Option<Subject>,
 }
 
 impl Gossip {
-    /// Sets how many upstreams are listed: all of them may leave within seconds.
+    /// Sets the number of listed upstreams. All of them may leave within seconds, so a notice is kept for each.
     pub fn set_upstream_count(&mut self, count: usize) {
-        self.upstreams = count;
+        self.upstream_count = count;
     }
 
-    /// Takes a notice of this instance's own, or of a peer; returns whether it is new.
+    /// Inserts a notice of this instance or of a peer, unless one on the same subject with the same or a higher precedence is
+    /// known. Returns whether it was inserted.
     pub fn insert(&mut self, notice: Notice) -> bool {
         let subject = notice.subject();
         let known = self.known.get(&subject);
         if known.is_some_and(|k| k.notice.precedence() >= notice.precedence()) {
             return false;
         }
-        self.count += 1;
-        let passes = !notice.is_persistent();
-        let known = Known {
+        self.last_seq += 1;
+        let is_transient = !notice.is_persistent();
+        let known = KnownNotice {
             notice,
             rounds_left: ROUNDS,
-            learnt: self.count,
+            seq: self.last_seq,
         };
         if let Some(old) = self.known.insert(subject.clone(), known) {
-            self.passing.remove(&old.learnt);
+            self.transient.remove(&old.seq);
         }
-        if passes {
-            self.passing.insert(self.count, subject);
-            self.forget_first();
+        if is_transient {
+            self.transient.insert(self.last_seq, subject);
+            self.evict_oldest();
         }
         true
     }
 
-    /// Takes a batch from a peer.
+    /// Inserts the notices of a batch from a peer.
     pub fn receive(&mut self, batch: Vec<Notice>) -> Received {
         let mut received = Received::default();
         for notice in batch {
@@ -93,40 +96,41 @@
         received
     }
 
-    /// Returns the datagrams that are sent to some peers now; none when there is nothing new. Those that were sent least often come
-    /// first, so that none waits for all the others' rounds.
+    /// Returns the batches to send in this round, each in a datagram to [`FANOUT`] peers; none when nothing is new. Notices that
+    /// were sent in fewer rounds come first, so that none waits for all the rounds of the others.
     pub fn next_round(&mut self) -> Vec<Vec<Notice>> {
-        let mut due: Vec<&mut Known> = self.known.values_mut().collect();
+        let mut due: Vec<&mut KnownNotice> = self.known.values_mut().collect();
         due.retain(|k| k.rounds_left > 0);
-        due.sort_by_key(|k| (Reverse(k.rounds_left), k.learnt));
-        due.truncate(BATCH_MOST * BATCHES_MOST);
+        due.sort_by_key(|k| (Reverse(k.rounds_left), k.seq));
+        due.truncate(MAX_BATCH * MAX_BATCHES_PER_ROUND);
         let notices = due.into_iter().map(|k| {
             k.rounds_left -= 1;
             k.notice.clone()
         });
         let notices: Vec<Notice> = notices.collect();
-        notices.chunks(BATCH_MOST).map(<[_]>::to_vec).collect()
+        notices.chunks(MAX_BATCH).map(<[_]>::to_vec).collect()
     }
 
-    /// Returns what is sent to one peer in turn: what holds until it is replaced, and some of the rest.
+    /// Returns a batch to send to a single peer: the persistent notices, and as many transient ones as fit, continuing where the
+    /// previous batch ended.
     pub fn anti_entropy_batch(&mut self) -> Vec<Notice> {
-        let lasting = self.known.values().map(|k| &k.notice);
-        let mut page: Vec<Notice> = lasting.filter(|n| n.is_persistent()).cloned().collect();
-        page.truncate(BATCH_MOST);
-        let mut passing: Vec<&Subject> = self.passing.values().collect();
-        passing.sort_unstable();
-        let after = passing.partition_point(|s| self.turn.as_ref().is_some_and(|t| *s <= t));
-        let rotated = passing[after..].iter().chain(&passing[..after]);
+        let notices = self.known.values().map(|k| &k.notice);
+        let mut batch: Vec<Notice> = notices.filter(|n| n.is_persistent()).cloned().collect();
+        batch.truncate(MAX_BATCH);
+        let mut transient: Vec<&Subject> = self.transient.values().collect();
+        transient.sort_unstable();
+        let after = transient.partition_point(|s| self.cursor.as_ref().is_some_and(|c| *s <= c));
+        let rotated = transient[after..].iter().chain(&transient[..after]);
         let chosen: Vec<Subject> = rotated
-            .take(BATCH_MOST - page.len())
+            .take(MAX_BATCH - batch.len())
             .map(|s| (*s).clone())
             .collect();
-        page.extend(chosen.iter().map(|s| self.known[s].notice.clone()));
-        self.turn = chosen.last().cloned().or(self.turn.take());
-        page
+        batch.extend(chosen.iter().map(|s| self.known[s].notice.clone()));
+        self.cursor = chosen.last().cloned().or(self.cursor.take());
+        batch
     }
 
-    /// Returns the revision at which an upstream's entry was removed; none where nothing says so.
+    /// Returns the revision of the notice that an upstream's entry was removed, if there is one.
     pub fn removed_at(&self, upstream: &str) -> Option<i64> {
         let known = self.known.get(&Subject::Entry(upstream.to_string()))?;
         match &known.notice {
@@ -135,14 +139,17 @@
         }
     }
 
-    /// Returns all that is known.
+    /// Returns all known notices.
     pub fn all(&self) -> Vec<Notice> {
         self.known.values().map(|k| k.notice.clone()).collect()
     }
 
-    fn forget_first(&mut self) {
-        while self.passing.len() > self.upstreams.max(PASSING_LEAST) {
-            let (_, subject) = self.passing.pop_first().expect("more than it keeps");
+    fn evict_oldest(&mut self) {
+        while self.transient.len() > self.upstream_count.max(MIN_TRANSIENT) {
+            let (_, subject) = self
+                .transient
+                .pop_first()
+                .expect("more notices than the limit");
             self.known.remove(&subject);
         }
     }
--- a/crates/notice/src/lib.rs
+++ b/crates/notice/src/lib.rs
@@ -1,12 +1,13 @@
-//! Small and urgent news, spread from instance to instance by gossip.
+//! Gossip of small, urgent notices between instances.
 //!
-//! A change of the configuration or of the list of upstreams may be large, and waits behind what else a link carries. What
-//! must not wait is small: that there is a newer version, that a key is revoked, that an upstream leaves or is gone, that a
-//! zone is evacuated. Whoever learns of it sends it to a few peers at once, and so does each of them; later on it is sent to one
-//! peer after the other, for those that were cut off.
+//! A change of the configuration or of the list of upstreams may be large, and queues behind other traffic on a link. What is
+//! urgent about it is small: a newer version exists, a key is revoked, an upstream is leaving or gone, a request rate limit
+//! changed, a zone is evacuated. An instance that learns of one of these sends a notice to a few peers at once, and so does
+//! each of them. Later, notices are sent again to one peer at a time, for instances that were partitioned.
 //!
-//! A notice is ordered by the store's revision, or the version, that it stems from: the highest one wins, whatever the
-//! order in which they arrive. No I/O, clock or randomness: who is a peer, and when, is the caller's.
+//! Notices on the same subject are ordered by the store's revision, the version or the number of changes that they stem from:
+//! the highest one wins, whatever the order of arrival. The crate does no I/O and uses no clock or randomness: the caller
+//! chooses the peers and the times.
 
 mod gossip;
 mod notice;
--- a/crates/notice/src/notice.rs
+++ b/crates/notice/src/notice.rs
@@ -1,8 +1,8 @@
-//! What a notice says, and which of two is the newer one.
+//! The notices, and which of two on the same subject takes precedence.
 
 use serde::{Deserialize, Serialize};
 
-/// One piece of news.
+/// A notice as instances exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
     /// A version of the configuration exists.
@@ -10,14 +10,14 @@
         /// The version.
         version: u64,
     },
-    /// A version of the configuration no longer holds a key that the one before it held.
+    /// A version of the configuration no longer contains a key that the previous one contained.
     Revoked {
         /// The key's hash.
         key: u64,
-        /// That version.
+        /// The version without the key.
         version: u64,
     },
-    /// An upstream's incarnation leaves; never taken back.
+    /// An upstream's incarnation is leaving; this is never revoked.
     Leaving {
         /// The incarnation.
         upstream: String,
@@ -26,48 +26,48 @@
     Limit {
         /// The incarnation.
         upstream: String,
-        /// Number of changes so far.
+        /// Number of changes of the limit so far.
         changes: u32,
-        /// The limit as a fixed-point number; none if it no longer advertises one.
+        /// The limit as a fixed-point number; none if the incarnation no longer advertises one.
         rate: Option<u32>,
     },
     /// An upstream's entry was removed from the list.
     Gone {
-        /// The upstream.
+        /// The upstream's id.
         upstream: String,
         /// The store's revision of the removal, or a later one at which the entry was missing.
         revision: i64,
     },
-    /// A zone is evacuated, or no longer.
+    /// The evacuation of a zone has started or ended.
     Evacuation {
         /// The zone.
         zone: String,
-        /// The store's revision of that.
+        /// The store's revision of that change, or of a list that showed it.
         revision: i64,
-        /// Whether it is evacuated.
+        /// Whether the zone is evacuated now.
         evacuated: bool,
     },
 }
 
-/// What a notice is about: of two about the same thing the newer one holds.
+/// What a notice is about: of several on the same subject only the one with the highest precedence is kept.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Subject {
     /// The configuration.
     Version,
-    /// A key, by its hash.
+    /// A customer's key, by its hash.
     Key(u64),
     /// An incarnation of an upstream.
     Incarnation(String),
     /// The request rate limit of an upstream's incarnation.
     Limit(String),
-    /// An upstream's entry.
+    /// An upstream's entry in the list, by the upstream's id.
     Entry(String),
-    /// A zone.
+    /// A zone, by its name.
     Zone(String),
 }
 
 impl Notice {
-    /// Returns what it is about.
+    /// Returns the subject of this notice.
     pub fn subject(&self) -> Subject {
         match self {
             Notice::Version { .. } => Subject::Version,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Returns its place in the order of notices about the same thing.
+    /// Returns the precedence of this notice among those on the same subject: the highest one wins.
     pub fn precedence(&self) -> u64 {
         let by_revision = |revision: i64| u64::try_from(revision).unwrap_or_default();
         match self {
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Returns whether it holds until it is replaced: it is never forgotten, and each page has it.
+    /// Returns whether this notice applies until it is replaced: it is never evicted, and each anti-entropy batch begins with
+    /// such notices.
     pub(crate) fn is_persistent(&self) -> bool {
         match self {
             Notice::Version { .. } => true,
