--- a/crates/notice/tests/spread.rs
+++ b/crates/notice/tests/spread.rs
@@ -1,4 +1,4 @@
-//! How fast a notice reaches all instances, and what happens to those that were cut off.
+//! Simulated fleets: how fast a notice reaches all instances, and what happens to those that were partitioned.
 
 use std::collections::BTreeSet;
 
@@ -7,28 +7,28 @@
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 
-/// Pause between two rounds of what is new, in milliseconds, as the shell has it.
+/// Interval between two rounds of new notices, in milliseconds, as in `proxy`.
 const ROUND_MS: u64 = 60;
-/// Pause between two pages, in milliseconds, as the shell has it.
-const PAGE_MS: u64 = 1_000;
-/// Availability zones.
+/// Interval between two anti-entropy batches, in milliseconds, as in `proxy`.
+const ANTI_ENTROPY_MS: u64 = 1_000;
+/// Number of availability zones.
 const ZONES: usize = 5;
-/// Longest way of a datagram, in milliseconds.
-const WAY_MS: u64 = 20;
+/// Maximum latency of a datagram, in milliseconds.
+const MAX_LATENCY_MS: u64 = 20;
 
-/// A datagram under way: when it arrives, from whom, at whom, and what it says.
-type Sent = (u64, usize, usize, Vec<Notice>);
+/// A datagram in flight: time of arrival, sender, receiver and notices.
+type InFlight = (u64, usize, usize, Vec<Notice>);
 
 struct Fleet {
     rng: StdRng,
     peers: Vec<Gossip>,
-    sent: Vec<Sent>,
+    in_flight: Vec<InFlight>,
     loss: f64,
-    /// Instances that get and send nothing.
-    cut: BTreeSet<usize>,
+    /// Instances whose datagrams are dropped, in both directions.
+    partitioned: BTreeSet<usize>,
     datagrams: usize,
-    /// Of them, those to another availability zone.
-    away: usize,
+    /// How many of the datagrams went to another availability zone.
+    cross_zone: usize,
     most_in_datagram: usize,
 }
 
@@ -37,33 +37,33 @@
         Fleet {
             rng: StdRng::seed_from_u64(seed),
             peers: vec![gossip(); count],
-            sent: Vec::new(),
+            in_flight: Vec::new(),
             loss,
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             datagrams: 0,
-            away: 0,
+            cross_zone: 0,
             most_in_datagram: 0,
         }
     }
 
     fn send(&mut self, now: u64, from: usize, to: usize, batch: Vec<Notice>) {
         self.datagrams += 1;
-        self.away += usize::from(from % ZONES != to % ZONES);
+        self.cross_zone += usize::from(from % ZONES != to % ZONES);
         self.most_in_datagram = self.most_in_datagram.max(batch.len());
         let lost = self.rng.random_bool(self.loss);
-        if !lost && !self.cut.contains(&from) && !self.cut.contains(&to) {
-            let at = now + self.rng.random_range(1..=WAY_MS);
-            self.sent.push((at, from, to, batch));
+        if !lost && !self.partitioned.contains(&from) && !self.partitioned.contains(&to) {
+            let at = now + self.rng.random_range(1..=MAX_LATENCY_MS);
+            self.in_flight.push((at, from, to, batch));
         }
     }
 
-    /// Returns the peers of one round: most of them of the same availability zone, no one twice.
-    fn round_of(&mut self, from: usize) -> Vec<usize> {
+    /// Returns distinct peers for one round, most of them in the same availability zone.
+    fn choose_peers(&mut self, from: usize) -> Vec<usize> {
         let count = self.peers.len();
-        let near = (from % ZONES..count).step_by(ZONES);
-        let near = near.filter(|to| *to != from);
-        let near: Vec<usize> = near.collect();
-        let mut chosen: Vec<usize> = near
+        let same_zone = (from % ZONES..count).step_by(ZONES);
+        let same_zone = same_zone.filter(|to| *to != from);
+        let same_zone: Vec<usize> = same_zone.collect();
+        let mut chosen: Vec<usize> = same_zone
             .choose_multiple(&mut self.rng, SAME_ZONE_FANOUT)
             .copied()
             .collect();
@@ -77,14 +77,14 @@
     }
 
     fn step(&mut self, now: u64) {
-        let sent = std::mem::take(&mut self.sent);
-        let (arrived, sent) = sent.into_iter().partition(|s| s.0 <= now);
-        self.sent = sent;
-        let arrived: Vec<Sent> = arrived;
+        let in_flight = std::mem::take(&mut self.in_flight);
+        let (arrived, in_flight) = in_flight.into_iter().partition(|d| d.0 <= now);
+        self.in_flight = in_flight;
+        let arrived: Vec<InFlight> = arrived;
         for (_, from, to, batch) in arrived {
-            let outdated = self.peers[to].receive(batch).sender_lacks;
-            if !outdated.is_empty() {
-                self.send(now, to, from, outdated);
+            let sender_lacks = self.peers[to].receive(batch).sender_lacks;
+            if !sender_lacks.is_empty() {
+                self.send(now, to, from, sender_lacks);
             }
         }
         let count = self.peers.len();
@@ -92,35 +92,36 @@
             let offset = i as u64;
             if (now + offset) % ROUND_MS == 0 {
                 for batch in self.peers[i].next_round() {
-                    for to in self.round_of(i) {
+                    for to in self.choose_peers(i) {
                         self.send(now, i, to, batch.clone());
                     }
                 }
             }
-            if (now + 7 * offset) % PAGE_MS == 0 {
-                let page = self.peers[i].anti_entropy_batch();
+            if (now + 7 * offset) % ANTI_ENTROPY_MS == 0 {
+                let batch = self.peers[i].anti_entropy_batch();
                 let to = self.rng.random_range(0..count);
-                if !page.is_empty() {
-                    self.send(now, i, to, page);
+                if !batch.is_empty() {
+                    self.send(now, i, to, batch);
                 }
             }
         }
     }
 
-    /// Returns when all but those that are cut off know a notice, from a time on.
-    fn known_by_all(&mut self, from: u64, notice: &Notice) -> u64 {
+    /// Runs the simulation from a time on, and returns after how many milliseconds all instances that are not partitioned know a
+    /// notice.
+    fn run_until_known(&mut self, from: u64, notice: &Notice) -> u64 {
         for now in from..from + 60_000 {
             self.step(now);
             let knows = |i: usize| self.peers[i].all().contains(notice);
-            if (0..self.peers.len()).all(|i| self.cut.contains(&i) || knows(i)) {
+            if (0..self.peers.len()).all(|i| self.partitioned.contains(&i) || knows(i)) {
                 return now - from;
             }
         }
-        panic!("not known by all within a minute");
+        panic!("some instances do not know the notice after a minute");
     }
 }
 
-/// Returns the gossip of an instance that has the largest list of upstreams.
+/// Returns the state of an instance with the largest list of upstreams.
 fn gossip() -> Gossip {
     let mut gossip = Gossip::default();
     gossip.set_upstream_count(10_000);
@@ -135,14 +136,15 @@
     }
 }
 
-/// The shortest bound on a change is two seconds: half of it, with a tenth of the datagrams lost.
+/// The shortest bound on the time until a change is in force everywhere is two seconds. With 10% of the datagrams lost a notice
+/// takes at most half of it.
 #[test]
-fn all_know_a_notice_within_half_of_the_shortest_bound() {
+fn a_notice_reaches_all_instances_within_half_of_the_shortest_bound() {
     for count in [9, 80, 300, 970] {
         for seed in 0..5 {
             let mut fleet = Fleet::new(seed, count, 0.1);
             fleet.peers[0].insert(evacuation(5, true));
-            let took = fleet.known_by_all(0, &evacuation(5, true));
+            let took = fleet.run_until_known(0, &evacuation(5, true));
             let each = fleet.datagrams as f64 / count as f64;
             println!("{count} instances, seed {seed}: {took} ms, {each:.1} datagrams each");
             assert!(took <= 1_000, "{count} instances, seed {seed}: {took} ms");
@@ -150,37 +152,37 @@
     }
 }
 
-/// Links that drop half of what they carry.
+/// On links that drop half of the datagrams a notice arrives with an anti-entropy batch at the latest.
 #[test]
-fn full_links_delay_a_notice_by_a_page_at_most() {
+fn congested_links_delay_a_notice_by_an_anti_entropy_interval_at_most() {
     for seed in 0..5 {
         let mut fleet = Fleet::new(seed, 80, 0.5);
         fleet.peers[0].insert(evacuation(5, true));
-        let took = fleet.known_by_all(0, &evacuation(5, true));
+        let took = fleet.run_until_known(0, &evacuation(5, true));
         assert!(took <= 2_500, "seed {seed}: {took} ms");
     }
 }
 
-/// An instance that was cut off holds an older notice: it never takes back the newer one elsewhere, and has the newer one
-/// soon after its return.
+/// Guards against an instance that returns from a partition with an outdated notice and reverts the newer one elsewhere. It
+/// learns the newer notice soon after its return.
 #[test]
-fn an_older_notice_takes_nothing_back() {
+fn an_outdated_notice_does_not_revert_a_newer_one() {
     for seed in 0..5 {
         let mut fleet = Fleet::new(seed, 80, 0.1);
         fleet.peers[0].insert(evacuation(5, true));
-        fleet.known_by_all(0, &evacuation(5, true));
-        fleet.cut.insert(7);
+        fleet.run_until_known(0, &evacuation(5, true));
+        fleet.partitioned.insert(7);
         fleet.peers[0].insert(evacuation(9, false));
-        fleet.known_by_all(2_000, &evacuation(9, false));
-        fleet.cut.clear();
-        let took = fleet.known_by_all(60_000, &evacuation(9, false));
+        fleet.run_until_known(2_000, &evacuation(9, false));
+        fleet.partitioned.clear();
+        let took = fleet.run_until_known(60_000, &evacuation(9, false));
         assert!(took <= 6_000, "seed {seed}: {took} ms");
         let old = evacuation(5, true);
         assert!(fleet.peers.iter().all(|p| !p.all().contains(&old)));
     }
 }
 
-/// The order of arrival decides nothing.
+/// The order of arrival does not matter.
 #[test]
 fn the_highest_revision_wins_in_any_order() {
     let notices = [
@@ -223,7 +225,8 @@
     }
 }
 
-/// A season's worth of upstreams that leave: memory and datagrams stay bounded, and an evacuation is never pushed out.
+/// Thousands of upstreams leave one after another: memory and datagrams stay bounded, and the notice of an evacuation is never
+/// evicted.
 #[test]
 fn memory_and_datagrams_stay_bounded() {
     let mut gossip = Gossip::default();
@@ -239,14 +242,14 @@
     for _ in 0..40 {
         let due = gossip.next_round();
         assert!(due.len() <= 8 && due.iter().all(|batch| batch.len() <= 16));
-        let page = gossip.anti_entropy_batch();
-        assert!(page.len() <= 16 && page.contains(&evacuation(1, true)));
+        let batch = gossip.anti_entropy_batch();
+        assert!(batch.len() <= 16 && batch.contains(&evacuation(1, true)));
     }
 }
 
-/// Guards against upstreams that leave together, of which the last are announced seconds after the first.
+/// Guards against notices that queue for seconds behind others when hundreds of upstreams leave together.
 #[test]
-fn hundreds_of_upstreams_that_leave_are_known_within_half_of_the_shortest_bound() {
+fn hundreds_of_leaving_upstreams_are_known_within_half_of_the_shortest_bound() {
     let leaving = |i: usize| Notice::Leaving {
         upstream: format!("u{i}"),
     };
@@ -261,16 +264,20 @@
         let known: Vec<usize> = fleet.peers.iter().map(|p| p.all().len()).collect();
         let each = fleet.datagrams as f64 / count as f64;
         println!("{count} instances, {upstreams} notices: {each:.1} datagrams each");
-        // The list of upstreams, and pages, bring what all datagrams about it were lost.
+        // Notices of which all datagrams were lost arrive later, with an anti-entropy batch or the list of upstreams.
         let missing: usize = known.iter().map(|k| upstreams - k).sum();
         let most = count * upstreams / 10_000;
         assert!(missing <= most, "{count} instances: {missing} of {most}");
         assert!(each <= 12.0 * (upstreams as f64 / 16.0 + 8.0), "{each}");
-        assert!(fleet.away <= fleet.datagrams / 4, "{} away", fleet.away);
+        assert!(
+            fleet.cross_zone <= fleet.datagrams / 4,
+            "{} across zones",
+            fleet.cross_zone
+        );
     }
 }
 
-/// Guards against notices that are forgotten unsent where more upstreams leave together than a small fleet has.
+/// Guards against notices that are evicted before they are sent when more upstreams leave together than a small fleet has.
 #[test]
 fn notices_are_kept_for_as_many_upstreams_as_are_listed() {
     let mut gossip = gossip();
