--- a/crates/relay/src/catch_up.rs
+++ b/crates/relay/src/catch_up.rs
@@ -1,136 +1,137 @@
-//! What an instance has heard of and does not have yet, and who has it.
+//! Configuration versions that an instance knows to exist but does not have yet, and where to get them.
 
 use std::net::SocketAddr;
 
 use smallvec::SmallVec;
 
-/// What the readers of the own zone pass on takes so long, in milliseconds, while nothing is wrong.
-const READERS_MS: u64 = 300;
-/// After that time, in milliseconds, the store is read, by one instance after the other: others may have it by then.
-const PEERS_MS: u64 = 300;
-/// Instances of a zone that turn to the store do so one after the other, so many milliseconds apart, so that the later ones may
-/// have it from the first; the last one begins after `STAGGER_MOST_MS`.
+/// Time within which the readers of the own zone pass a version on while nothing is wrong, in milliseconds.
+const READER_PHASE_MS: u64 = 300;
+/// Time after that in which an instance known to have the version is asked, in milliseconds. Afterwards the store is read.
+const PEER_PHASE_MS: u64 = 300;
+/// The instances of a zone begin to read the store one after another, by rank, this many milliseconds apart: later ones may get
+/// the version from the first ones. The last one begins `MAX_STAGGER_MS` after the first.
 const STAGGER_MS: u64 = 15;
-const STAGGER_MOST_MS: u64 = 300;
-/// Of a zone, so many times as many have it after each stretch of that time.
-const PASSED_ON: usize = 4;
-/// Instances that are known to have it.
-const HOLDERS_MOST: usize = 4;
-/// Versions that are lacking, of which the time is kept.
-const HEARD_MOST: usize = 8;
+const MAX_STAGGER_MS: u64 = 300;
+/// Factor by which the number of instances of a zone that have a version grows in each `PEER_PHASE_MS`.
+const SPREAD_FACTOR: usize = 4;
+/// Maximum number of holders that are remembered.
+const MAX_HOLDERS: usize = 4;
+/// Maximum number of missing versions that are remembered.
+const MAX_MISSING: usize = 8;
 
-/// Where an instance turns that lacks something.
+/// Where an instance fetches a version that it lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CatchUpSource {
-    /// The readers of its zone, as always.
+    /// The readers of its zone, as usual.
     Readers,
-    /// An instance that has it.
+    /// An instance that has a newer version.
     Peer(SocketAddr),
     /// The store.
     Store,
 }
 
-/// What an instance has heard of and does not have yet, by versions.
+/// The versions that an instance lacks, and the instances that have them.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUp {
-    /// The version that is in force here.
-    known: u64,
-    /// Newer versions with the times at which they were heard of first, oldest first.
-    heard: SmallVec<[(u64, u64); HEARD_MOST]>,
-    /// Instances that have a newer version.
-    holders: SmallVec<[(SocketAddr, u64); HOLDERS_MOST]>,
+    /// The version in force at this instance.
+    current: u64,
+    /// Newer versions with the times at which this instance learned of them, oldest first.
+    missing: SmallVec<[(u64, u64); MAX_MISSING]>,
+    /// Instances that have a newer version, with that version; the one to ask first comes first.
+    holders: SmallVec<[(SocketAddr, u64); MAX_HOLDERS]>,
 }
 
 impl CatchUp {
-    /// Takes that a version is in force here.
+    /// Records that a version is in force at this instance.
     pub fn set_current(&mut self, version: u64) {
-        self.known = self.known.max(version);
-        let known = self.known;
-        self.heard.retain(|(v, _)| *v > known);
-        self.holders.retain(|(_, v)| *v > known);
+        self.current = self.current.max(version);
+        let current = self.current;
+        self.missing.retain(|(v, _)| *v > current);
+        self.holders.retain(|(_, v)| *v > current);
     }
 
-    /// Takes a report that a version exists.
+    /// Records that a version exists.
     pub fn record_version(&mut self, now: u64, version: u64) {
-        let newest = self.heard.last().map_or(self.known, |(v, _)| *v);
+        let newest = self.missing.last().map_or(self.current, |(v, _)| *v);
         if version <= newest {
             return;
         }
-        // The oldest one decides how long this instance is behind.
-        if self.heard.len() == HEARD_MOST {
-            self.heard.pop();
+        // A full list loses its newest entry: the oldest one determines how long this instance has been behind.
+        if self.missing.len() == MAX_MISSING {
+            self.missing.pop();
         }
-        self.heard.push((version, now));
+        self.missing.push((version, now));
     }
 
-    /// Takes a report that an instance has a version; one that is near is asked first.
-    pub fn add_holder(&mut self, holder: SocketAddr, version: u64, near: bool) {
-        if version <= self.known {
+    /// Records that an instance has a version. Holders in the own zone are asked first.
+    pub fn add_holder(&mut self, holder: SocketAddr, version: u64, same_zone: bool) {
+        if version <= self.current {
             return;
         }
         self.remove_holder(holder);
-        let at = if near { 0 } else { self.holders.len() };
+        let at = if same_zone { 0 } else { self.holders.len() };
         self.holders.insert(at, (holder, version));
-        self.holders.truncate(HOLDERS_MOST);
+        self.holders.truncate(MAX_HOLDERS);
     }
 
-    /// Forgets that an instance has it: it did not answer.
+    /// Removes a holder, for example one that did not answer.
     pub fn remove_holder(&mut self, holder: SocketAddr) {
         self.holders.retain(|(h, _)| *h != holder);
     }
 
-    /// Returns an instance that has a newer version.
+    /// Returns an instance that has a newer version, if one is known.
     pub fn holder(&self) -> Option<SocketAddr> {
         self.holders.first().map(|(h, _)| *h)
     }
 
-    /// Returns how much later than the first one of a small zone an instance turns to the store, in milliseconds: by its rank, and by
-    /// how often what the readers have is passed on until all of its zone have it.
-    pub fn store_delay_ms(rank: usize, zone: usize) -> u64 {
-        let passes = zone.max(1).ilog(PASSED_ON).saturating_sub(1);
-        let stagger = (rank as u64 * STAGGER_MS).min(STAGGER_MOST_MS);
-        stagger + PEERS_MS * u64::from(passes.saturating_sub(1))
+    /// Returns how much later than the first instance of a small zone an instance reads the store, in milliseconds. This depends
+    /// on its rank, and on how often a version is passed on until all instances of the zone have it.
+    pub fn store_delay_ms(rank: usize, zone_size: usize) -> u64 {
+        let hops = zone_size.max(1).ilog(SPREAD_FACTOR).saturating_sub(1);
+        let stagger = (rank as u64 * STAGGER_MS).min(MAX_STAGGER_MS);
+        stagger + PEER_PHASE_MS * u64::from(hops.saturating_sub(1))
     }
 
-    /// Returns whether something newer exists than what is known here.
+    /// Returns whether a newer version exists than the one in force at this instance.
     pub fn is_behind(&self) -> bool {
-        !self.heard.is_empty()
+        !self.missing.is_empty()
     }
 
-    /// Returns where to turn now. An instance that has it is asked once, until it reports it again: it may have it from a source
-    /// from which it can't pass it on.
-    pub fn next_source(&mut self, now: u64, wait_ms: u64) -> CatchUpSource {
-        let next = self.peek_source(now, wait_ms);
-        if let CatchUpSource::Peer(holder) = next {
+    /// Returns the source to fetch from now. A holder is returned once for each report that it has a newer version: it may have
+    /// got the version in a way that does not let it pass it on.
+    pub fn next_source(&mut self, now: u64, store_delay_ms: u64) -> CatchUpSource {
+        let source = self.peek_source(now, store_delay_ms);
+        if let CatchUpSource::Peer(holder) = source {
             self.remove_holder(holder);
         }
-        next
+        source
     }
 
-    /// Returns where to turn after an instance had nothing newer, or turned this one away: to one that is known to have it, which may be
-    /// in another availability zone, else to any `peer` of the own one.
+    /// Returns the source to fetch from after an instance had nothing newer or rejected the fetch: a known holder, which may be in
+    /// another availability zone, else `peer`, any instance of the own zone.
     pub fn alternative_source(
         &mut self,
         now: u64,
-        wait_ms: u64,
+        store_delay_ms: u64,
         peer: Option<SocketAddr>,
     ) -> CatchUpSource {
-        match self.next_source(now, wait_ms) {
+        match self.next_source(now, store_delay_ms) {
             CatchUpSource::Readers => peer.map_or(CatchUpSource::Readers, CatchUpSource::Peer),
-            next => next,
+            source => source,
         }
     }
 
-    /// Returns where to turn; `wait_ms` parts those that turn to the store.
-    pub fn peek_source(&self, now: u64, wait_ms: u64) -> CatchUpSource {
-        let Some((_, since)) = self.heard.first() else {
+    /// Returns the source to fetch from now, without removing a holder. `store_delay_ms` is the result of
+    /// [`CatchUp::store_delay_ms`] for this instance.
+    pub fn peek_source(&self, now: u64, store_delay_ms: u64) -> CatchUpSource {
+        let Some((_, since)) = self.missing.first() else {
             return CatchUpSource::Readers;
         };
-        let late = now.saturating_sub(*since);
-        if late < READERS_MS {
+        let behind_ms = now.saturating_sub(*since);
+        if behind_ms < READER_PHASE_MS {
             return CatchUpSource::Readers;
         }
-        if late >= READERS_MS + PEERS_MS + wait_ms {
+        if behind_ms >= READER_PHASE_MS + PEER_PHASE_MS + store_delay_ms {
             return CatchUpSource::Store;
         }
         self.holder()
--- a/crates/relay/src/fetch_limiter.rs
+++ b/crates/relay/src/fetch_limiter.rs
@@ -1,69 +1,71 @@
-//! How many instances fetch something large from this one at the same time.
+//! Limits how many instances fetch something large from this one at the same time.
 //!
-//! Were all that ask served at once, each would get a small part of the link, and none could pass anything on for long. Those that are
-//! turned away find another instance that has it by then.
+//! If all were served at once, each would get a small share of the link, and it would take long until any of them could pass the
+//! data on. A rejected instance fetches from another one that has the data by then.
 
 use smallvec::SmallVec;
 
-/// Fetches of all upstreams, by instances that have just started, that are served at once.
-const LISTS_MOST: usize = 2;
-/// One that asked for no page for so long, in milliseconds, has ended.
-const LIST_ENDED_MS: u64 = 1_000;
-/// Configurations that are sent at once.
-const CONFIGS_MOST: usize = 4;
-/// So many take so long together, in milliseconds, over a narrow link.
-const CONFIG_ENDED_MS: u64 = 150;
+/// Maximum number of concurrent fetches of the whole list of upstreams, by instances that have just started.
+const MAX_LIST_FETCHES: usize = 2;
+/// A list fetch that requested no page for this time, in milliseconds, counts as ended.
+const LIST_FETCH_TIMEOUT_MS: u64 = 1_000;
+/// Maximum number of concurrent fetches of the configuration.
+const MAX_CONFIG_FETCHES: usize = 4;
+/// A configuration fetch counts as ended after this time, in milliseconds, in which a narrow link carries as many configurations
+/// as may be fetched at once.
+const CONFIG_FETCH_TIMEOUT_MS: u64 = 150;
 
-/// A fetch that is served.
+/// A fetch that was admitted.
 #[derive(Clone, Copy, Debug)]
 struct Fetch {
     id: u64,
-    ends_at: u64,
+    expires_at: u64,
 }
 
-/// The fetches of one kind that one instance serves.
+/// The fetches of one kind that an instance serves.
 #[derive(Clone, Debug)]
 pub struct FetchLimiter {
-    most: usize,
-    ended_ms: u64,
-    fetches: SmallVec<[Fetch; CONFIGS_MOST]>,
+    max_fetches: usize,
+    timeout_ms: u64,
+    fetches: SmallVec<[Fetch; MAX_CONFIG_FETCHES]>,
 }
 
 impl FetchLimiter {
-    /// Returns none of the fetches of all upstreams.
+    /// Returns a limiter for fetches of the whole list of upstreams.
     pub fn for_lists() -> FetchLimiter {
-        FetchLimiter::new(LISTS_MOST, LIST_ENDED_MS)
+        FetchLimiter::new(MAX_LIST_FETCHES, LIST_FETCH_TIMEOUT_MS)
     }
 
-    /// Returns none of the fetches of a configuration.
+    /// Returns a limiter for fetches of the configuration.
     pub fn for_configs() -> FetchLimiter {
-        FetchLimiter::new(CONFIGS_MOST, CONFIG_ENDED_MS)
+        FetchLimiter::new(MAX_CONFIG_FETCHES, CONFIG_FETCH_TIMEOUT_MS)
     }
 
-    fn new(most: usize, ended_ms: u64) -> FetchLimiter {
+    fn new(max_fetches: usize, timeout_ms: u64) -> FetchLimiter {
         FetchLimiter {
-            most,
-            ended_ms,
+            max_fetches,
+            timeout_ms,
             fetches: SmallVec::new(),
         }
     }
 
-    /// Returns whether a page is to be given to a fetch, named by a number of its own.
+    /// Returns whether the next page of a fetch is served. The id is the same for all pages of a fetch; one that was admitted is
+    /// served until it ends.
     pub fn admit(&mut self, now: u64, id: u64) -> bool {
-        self.fetches.retain(|f| now < f.ends_at);
-        let ends_at = now + self.ended_ms;
+        self.fetches.retain(|f| now < f.expires_at);
+        let expires_at = now + self.timeout_ms;
         if let Some(fetch) = self.fetches.iter_mut().find(|f| f.id == id) {
-            fetch.ends_at = ends_at;
+            fetch.expires_at = expires_at;
             return true;
         }
-        let free = self.fetches.len() < self.most;
-        if free {
-            self.fetches.push(Fetch { id, ends_at });
+        let has_capacity = self.fetches.len() < self.max_fetches;
+        if has_capacity {
+            self.fetches.push(Fetch { id, expires_at });
         }
-        free
+        has_capacity
     }
 
-    /// Takes that a fetch got its last page.
+    /// Ends a fetch whose last page was served.
     pub fn release(&mut self, id: u64) {
         self.fetches.retain(|f| f.id != id);
     }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,12 +1,12 @@
-//! Who reads the store, and what the others get from those that do.
+//! Selects the instances that read the store, and replicates what they read to the others.
 //!
-//! Were each instance to watch the store by itself, each change would cost as many calls as there are instances,
-//! and so would each stretch of time in which nothing changes. In a zone of many instances two of them read
-//! for all: they tell the others how far they have read, and the others fetch what is newer from them. An
-//! instance that hears of no reader for a while reads by itself, so nothing depends on agreement: a third
-//! reader costs calls, and a missing one some hundred milliseconds.
+//! If each instance watched the store by itself, each change would cost as many calls as there are instances, and so would each
+//! interval in which nothing changes. In an availability zone of many instances two of them read for all: they broadcast how far
+//! they have read, and the others fetch what is newer from them. An instance that receives no heartbeat of a reader for a while
+//! reads the store itself, so nothing depends on agreement: a third reader costs calls, and a missing one some hundred
+//! milliseconds.
 //!
-//! No I/O, clock or randomness: the time comes in with each event, in milliseconds.
+//! The crate does no I/O and uses no clock or randomness: the time is passed in with each event, in milliseconds.
 
 mod catch_up;
 mod fetch_limiter;
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -1,4 +1,4 @@
-//! Which instances of a zone read the store, and from whom the others fetch.
+//! Selects the instances of a zone that read the store, and those that the others fetch from.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -7,240 +7,249 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Instances of a zone that read for all: one may crash, freeze or be cut off, and nobody is late.
-const READERS: usize = 2;
-/// Zones of up to so many instances have no readers: each reads by itself. Two of six reading for the others would
-/// save little, and a small fleet pays little for its calls.
+/// Number of instances of a zone that read for all: one may crash, freeze or be partitioned without delaying the others.
+const READERS_PER_ZONE: usize = 2;
+/// In zones of up to this many instances each instance reads the store by itself. Two of six that read for the others would save
+/// little, and a small fleet pays little for its calls.
 const SMALL_ZONE: usize = 6;
-/// How often a reader says how far it has read, in milliseconds.
+/// Interval at which a reader broadcasts how far it has read, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
-/// An instance that heard of no reader in reach of the store for so long, in milliseconds, reads by itself: three
-/// words were lost. With what it takes to read then it is half of the shortest time in which a change is to
-/// be in force everywhere.
-const FED_MS: u64 = 900;
-/// Those that miss their readers at the same time begin one after the other, so many milliseconds apart by rank: the
-/// first ones are heard by the others.
+/// Timeout of heartbeats, in milliseconds: three were missed. A follower that received none from a reader that reaches the store
+/// for this time reads the store itself. Together with the time to read it, this is half of the shortest time within which a
+/// change must be in force everywhere.
+const READER_TIMEOUT_MS: u64 = 900;
+/// Instances that lose their readers at the same time take over one after another, by rank, this many milliseconds apart, so that
+/// the others receive heartbeats of the first ones.
 const STAGGER_MS: u64 = 25;
-/// The last one begins so much later, in milliseconds.
-const STAGGER_MOST_MS: u64 = 400;
-/// One in so many instances that lack everything asks a reader first, the others any instance of the zone.
-const READER_PART: u64 = 4;
-/// Instances that start together know of each other after so long, in milliseconds: before, each may take itself for the only one.
-const SETTLED_MS: u64 = 1_500;
-
-/// What a reader says of itself.
+/// Maximum delay by that stagger, in milliseconds.
+const MAX_STAGGER_MS: u64 = 400;
+/// One in this many fetches goes to a reader first, the others to any instance of the zone.
+const READER_FIRST_ONE_IN: u64 = 4;
+/// Instances that start together have discovered each other after this time, in milliseconds. Before, each may take itself for
+/// the only one.
+const DISCOVERY_MS: u64 = 1_500;
+
+/// What a reader broadcasts to its zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// How many instances of its zone come before it.
+    /// How many instances of the zone rank before the reader.
     #[serde(rename = "n")]
     pub rank: usize,
-    /// The revision up to which it knows each board.
+    /// The revision up to which each replica of the reader is known.
     #[serde(rename = "r")]
     pub revisions: Vec<i64>,
-    /// Whether the store is out of its reach.
+    /// Whether the reader considers the store unreachable.
     #[serde(rename = "o")]
     pub store_unreachable: bool,
-    /// Whether its last call of the store had no answer: what it says may be old.
+    /// Whether the reader's last call of the store got no answer, so that its revisions may be outdated.
     #[serde(rename = "f")]
     pub last_call_failed: bool,
-    /// How long ago the store came back into its reach, in milliseconds; none where it never left.
+    /// How long ago the store became reachable again, in milliseconds; none if it was never unreachable.
     #[serde(rename = "b")]
     pub ms_since_recovery: Option<u64>,
 }
 
-/// What an instance does.
+/// The role of an instance in its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It reads the store.
     Reader,
-    /// It fetches from those that do.
+    /// It fetches from the readers.
     Follower,
 }
 
-/// Where something is read of which nothing is known yet.
+/// Where a replica is read of which nothing is known yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialSource {
     /// The store.
     Store,
-    /// Another instance, which may have it.
+    /// Another instance, which may have the replica.
     Peer(SocketAddr),
-    /// Nowhere, as no other instance is known.
+    /// No source yet, as no other instance is known.
     Unavailable,
 }
 
-/// A reader that was heard.
+/// The latest heartbeat of a reader.
 #[derive(Clone, Debug)]
-struct Heard {
-    head: Heartbeat,
+struct Received {
+    heartbeat: Heartbeat,
     at: u64,
 }
 
-/// Readers as one instance knows them.
+/// The readers of a zone, as one of its instances knows them.
 #[derive(Clone, Debug, Default)]
 pub struct Readers {
-    /// Instances of the own zone, this one among them; 0 while they are not known.
-    zone: usize,
-    /// How many of them come before this one.
+    /// Number of instances in the own zone, including this one; 0 while they are not known.
+    zone_size: usize,
+    /// How many of them rank before this one.
     rank: usize,
-    heard: BTreeMap<SocketAddr, Heard>,
+    heartbeats: BTreeMap<SocketAddr, Received>,
     /// When this instance started.
-    opened_at: u64,
-    /// When an earlier reader in reach of the store was heard last.
-    fed_at: u64,
+    started_at: u64,
+    /// When the last heartbeat arrived of a reader that ranks before this instance and reaches the store.
+    reader_seen_at: u64,
 }
 
 impl Readers {
-    /// Returns an instance that was started at a time, and knows of no other one.
+    /// Returns the state of an instance that starts now and knows no other one.
     pub fn new(now: u64) -> Readers {
         Readers {
-            opened_at: now,
-            fed_at: now,
+            started_at: now,
+            reader_seen_at: now,
             ..Readers::default()
         }
     }
 
-    /// Takes the instances of the own zone, this one among them or not.
+    /// Sets the instances of the own zone, which may include this one.
     pub fn set_zone(&mut self, me: &Candidate<'_>, zone: &[Candidate<'_>]) {
-        let own = me.order();
+        let own = me.rank_key();
         let others = zone.iter().filter(|c| c.name != me.name);
-        self.zone = 1 + others.clone().count();
-        self.rank = others.filter(|c| c.order() < own).count();
+        self.zone_size = 1 + others.clone().count();
+        self.rank = others.filter(|c| c.rank_key() < own).count();
     }
 
-    /// Takes a reader's word.
-    pub fn record_heartbeat(&mut self, now: u64, from: SocketAddr, head: Heartbeat) {
-        // One that reads in the place of others goes on until an earlier one does: were it to yield to a later one,
-        // both would yield to each other, and nobody would read for a while.
-        if !head.store_unreachable && !head.last_call_failed && head.rank < self.rank {
-            self.fed_at = now;
+    /// Records a heartbeat of a reader.
+    pub fn record_heartbeat(&mut self, now: u64, from: SocketAddr, heartbeat: Heartbeat) {
+        // Only a reader that ranks before this instance makes it stop reading. If it also yielded to later ones, two that took
+        // over would yield to each other, and nobody would read for a while.
+        if !heartbeat.store_unreachable && !heartbeat.last_call_failed && heartbeat.rank < self.rank
+        {
+            self.reader_seen_at = now;
         }
-        self.heard.retain(|_, h| now < h.at + FED_MS);
-        self.heard.insert(from, Heard { head, at: now });
+        self.heartbeats
+            .retain(|_, r| now < r.at + READER_TIMEOUT_MS);
+        self.heartbeats
+            .insert(from, Received { heartbeat, at: now });
     }
 
-    /// Returns whether an earlier reader in reach of the store was heard lately.
+    /// Returns whether a reader that ranks before this instance and reaches the store has sent a heartbeat within the timeout.
     pub fn has_live_reader(&self, now: u64) -> bool {
-        now < self.fed_at + FED_MS
+        now < self.reader_seen_at + READER_TIMEOUT_MS
     }
 
-    /// Returns whether this instance is to read for its zone, as long as it lives.
-    fn is_named(&self) -> bool {
-        self.rank < READERS
+    /// Returns whether this instance is one of the designated readers of its zone, by its rank.
+    fn is_designated(&self) -> bool {
+        self.rank < READERS_PER_ZONE
     }
 
-    /// Returns how many instances of the zone come before this one.
+    /// Returns how many instances of the zone rank before this one.
     pub fn rank(&self) -> usize {
         self.rank
     }
 
-    /// Returns how many instances the zone has, as far as known.
+    /// Returns how many instances of the zone are known.
     pub fn zone_size(&self) -> usize {
-        self.zone
+        self.zone_size
     }
 
-    /// Returns whether readers were heard lately, and the store is out of reach for all of them.
+    /// Returns whether there are recent heartbeats, and all of them say that the store is unreachable.
     pub fn all_report_store_unreachable(&self, now: u64) -> bool {
-        let mut fresh = self.fresh(now).peekable();
-        fresh.peek().is_some() && fresh.all(|(_, h)| h.head.store_unreachable)
+        let mut recent = self.recent(now).peekable();
+        recent.peek().is_some() && recent.all(|(_, r)| r.heartbeat.store_unreachable)
     }
 
-    /// Returns what this instance does.
+    /// Returns the role of this instance.
     pub fn role(&self, now: u64) -> Role {
-        // Instances that start together would all read everything before they know of each other.
-        let placed = self.zone > 0;
-        let named = placed && (!self.has_followers() || self.is_named());
-        let patience = FED_MS + (self.rank as u64 * STAGGER_MS).min(STAGGER_MOST_MS);
-        if named || now >= self.fed_at + patience {
+        // Without this condition instances that start together would all read everything before they know of each other.
+        let zone_known = self.zone_size > 0;
+        let reads_always = zone_known && (!self.has_followers() || self.is_designated());
+        let takeover_ms = READER_TIMEOUT_MS + (self.rank as u64 * STAGGER_MS).min(MAX_STAGGER_MS);
+        if reads_always || now >= self.reader_seen_at + takeover_ms {
             Role::Reader
         } else {
             Role::Follower
         }
     }
 
-    /// Returns whether this instance says how far it has read; `out` is whether the store is out of its reach.
-    pub fn sends_heartbeats(&self, now: u64, out: bool) -> bool {
+    /// Returns whether this instance broadcasts heartbeats; `store_unreachable` is whether it considers the store unreachable.
+    pub fn sends_heartbeats(&self, now: u64, store_unreachable: bool) -> bool {
         let reads = self.role(now) == Role::Reader;
-        // Were all to say in an outage that they can't read, a zone would be full of it.
-        reads && self.has_followers() && (self.is_named() || !out)
+        // In an outage of the store all instances take over. If all of them broadcast that they can't read, heartbeats would
+        // flood the zone.
+        reads && self.has_followers() && (self.is_designated() || !store_unreachable)
     }
 
-    /// Returns whether others ask if the store is back, and say so when it is.
+    /// Returns whether other instances probe an unreachable store and broadcast when it answers again.
     pub fn others_probe_store(&self, now: u64) -> bool {
-        !self.is_named() && self.all_report_store_unreachable(now)
+        !self.is_designated() && self.all_report_store_unreachable(now)
     }
 
-    /// Returns whether some instances of the zone follow others.
+    /// Returns whether the zone is large enough to have followers.
     fn has_followers(&self) -> bool {
-        self.zone > SMALL_ZONE
+        self.zone_size > SMALL_ZONE
     }
 
-    /// Returns a reader that knows more of a board than up to a revision; the readers share those that ask.
-    pub fn reader_ahead(&self, now: u64, board: usize, revision: i64) -> Option<SocketAddr> {
-        let knows = |h: &Heard| h.head.revisions.get(board).is_some_and(|r| *r > revision);
-        let ahead = self.fresh(now).filter(|(_, h)| knows(h));
+    /// Returns a reader whose replica, by its index in [`Heartbeat::revisions`], is known up to a later revision. The followers
+    /// are distributed over such readers by rank.
+    pub fn reader_ahead(&self, now: u64, replica: usize, revision: i64) -> Option<SocketAddr> {
+        let is_ahead = |h: &Heartbeat| h.revisions.get(replica).is_some_and(|r| *r > revision);
+        let ahead = self.recent(now).filter(|(_, r)| is_ahead(&r.heartbeat));
         let ahead: Vec<SocketAddr> = ahead.map(|(addr, _)| *addr).collect();
-        let turn = self.rank % ahead.len().max(1);
-        ahead.get(turn).copied()
+        let index = self.rank % ahead.len().max(1);
+        ahead.get(index).copied()
     }
 
-    /// Returns where a board is read that is not known yet, and that takes many calls of the store or not: from a reader, or any
-    /// other instance of the zone, as a random number says. Were all to read the store, or to ask the readers, a fleet that starts
-    /// together would take half a minute.
+    /// Returns where to read a replica of which nothing is known yet; `many_calls` is whether that takes many calls of the store.
+    /// Followers fetch from a reader or from `neighbour`, any other instance of the zone, depending on a random number: if all
+    /// read the store, or asked the readers, a fleet that starts together would take half a minute.
     pub fn initial_source(
         &self,
         now: u64,
-        board: usize,
+        replica: usize,
         many_calls: bool,
         neighbour: Option<SocketAddr>,
         random: u64,
     ) -> InitialSource {
-        let settled = now >= self.opened_at + SETTLED_MS;
-        if self.role(now) == Role::Reader && (settled || !many_calls) {
+        let discovered = now >= self.started_at + DISCOVERY_MS;
+        if self.role(now) == Role::Reader && (discovered || !many_calls) {
             return InitialSource::Store;
         }
-        let peer = self.pick_peer(now, board, 0, neighbour, random);
+        let peer = self.pick_peer(now, replica, 0, neighbour, random);
         peer.map_or(InitialSource::Unavailable, InitialSource::Peer)
     }
 
-    /// Returns an instance that may know more of a board than up to a revision: a reader, or any other one of the zone, as a random
-    /// number says.
+    /// Returns an instance whose replica may be known up to a later revision: a reader or `neighbour`, any other instance of the
+    /// zone, depending on a random number.
     pub fn pick_peer(
         &self,
         now: u64,
-        board: usize,
+        replica: usize,
         revision: i64,
         neighbour: Option<SocketAddr>,
         random: u64,
     ) -> Option<SocketAddr> {
-        let reader = self.reader_ahead(now, board, revision);
-        let first = reader.filter(|_| random % READER_PART == 0);
+        let reader = self.reader_ahead(now, replica, revision);
+        let first = reader.filter(|_| random % READER_FIRST_ONE_IN == 0);
         first.or(neighbour).or(reader)
     }
 
-    /// Forgets a reader that did not answer, until it is heard again.
+    /// Removes a reader that did not answer, until its next heartbeat.
     pub fn remove_reader(&mut self, reader: SocketAddr) {
-        self.heard.remove(&reader);
+        self.heartbeats.remove(&reader);
     }
 
-    fn fresh(&self, now: u64) -> impl Iterator<Item = (&SocketAddr, &Heard)> {
-        self.heard.iter().filter(move |(_, h)| now < h.at + FED_MS)
+    /// Returns the heartbeats that were received within the timeout, with their senders.
+    fn recent(&self, now: u64) -> impl Iterator<Item = (&SocketAddr, &Received)> {
+        self.heartbeats
+            .iter()
+            .filter(move |(_, r)| now < r.at + READER_TIMEOUT_MS)
     }
 }
 
-/// An instance of a zone that may read for the others.
+/// An instance of a zone, which may become a reader.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// The name, unique in the zone.
     pub name: &'a str,
-    /// Bandwidth of its link, in megabits a second; none where it is not bounded.
+    /// The bandwidth of its link, in megabits per second; none if it is unlimited.
     pub link_mbps: Option<u32>,
 }
 
 impl<'a> Candidate<'a> {
-    /// Returns what the instances of a zone are ranked by: the widest links first, since a whole configuration goes to each
-    /// of the others.
-    fn order(&self) -> (Reverse<u32>, u64, &'a str) {
-        let width = self.link_mbps.unwrap_or(u32::MAX);
-        (Reverse(width), xxh3_64(self.name.as_bytes()), self.name)
+    /// Returns the key by which the instances of a zone are ranked: those with the highest bandwidth come first, since a reader
+    /// sends whole configurations to the others.
+    fn rank_key(&self) -> (Reverse<u32>, u64, &'a str) {
+        let bandwidth = self.link_mbps.unwrap_or(u32::MAX);
+        (Reverse(bandwidth), xxh3_64(self.name.as_bytes()), self.name)
     }
 }
--- a/crates/relay/src/replica.rs
+++ b/crates/relay/src/replica.rs
@@ -1,4 +1,4 @@
-//! The keys under one prefix as an instance knows them, and what has changed since any revision.
+//! A replica of the keys under one prefix of the store, and what has changed in it since a revision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -6,19 +6,20 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Deleted keys are remembered, as many as there are keys, but at least so many. An instance that lacks an older deletion gets all
-/// keys.
-const DELETED_LEAST: usize = 256;
-/// Keys and values in one page, in bytes: a dozen pages at once pass a narrow link well within the timeout of a call.
+/// Tombstones are kept for as many deleted keys as there are live keys, but at least for this many. An instance that lacks an
+/// older deletion gets all keys.
+const MIN_TOMBSTONES: usize = 256;
+/// Size of the keys and values at which a page is complete, in bytes: a dozen pages at once pass a narrow link well within the
+/// timeout of a call.
 const PAGE_BYTES: usize = 32 << 10;
 
-/// A key as it was written, or deleted.
+/// A write or deletion of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The key.
     #[serde(rename = "k")]
     pub key: String,
-    /// The value; none when the key was deleted.
+    /// The value; none if the key was deleted.
     #[serde(rename = "v")]
     pub value: Option<String>,
     /// The store's revision of the write or deletion, or a later one.
@@ -26,24 +27,24 @@
     pub revision: i64,
 }
 
-/// What an instance lacks that has read up to some revision.
+/// What an instance lacks that knows all changes up to a revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delta {
-    /// The newest change of each key that has changed since, oldest first.
+    /// The latest change of each key that has changed since, oldest first.
     Changed(Vec<Entry>),
-    /// All keys: not all deletions since are remembered.
+    /// All live keys, because the tombstones of some deletions since are gone.
     All(Vec<Entry>),
 }
 
 impl Delta {
-    /// Returns its entries.
+    /// Returns the entries.
     pub fn entries(&self) -> &[Entry] {
         match self {
             Delta::Changed(entries) | Delta::All(entries) => entries,
         }
     }
 
-    /// Appends the next page of the same answer; returns whether it is of the same kind.
+    /// Appends the delta of the next page; returns whether it is of the same variant.
     #[must_use]
     pub fn append(&mut self, page: Delta) -> bool {
         match (self, page) {
@@ -55,42 +56,42 @@
     }
 }
 
-/// The last entry of a page, after which the next page begins.
+/// Identifies the last entry of a page, after which the next page begins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cursor {
     revision: i64,
     key: String,
 }
 
-/// A part of what an instance lacks. Pages are not a snapshot: what changes while they are fetched is newer than the revision
-/// that came with the first one, and is fetched later.
+/// A part of a delta. The pages of a delta are not a snapshot: what changes while they are fetched is newer than the replica's
+/// revision at the first one, and is fetched later.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Page {
-    /// The entries.
+    /// The entries of this page.
     #[serde(rename = "since")]
     pub delta: Delta,
-    /// Where the next page begins; none for the last one.
+    /// The cursor for the next page; none for the last one.
     pub next: Option<Cursor>,
 }
 
-/// The newest change of a key.
+/// The latest change of a key.
 #[derive(Clone, Debug)]
-struct Slot {
+struct KeyState {
     value: Option<Arc<str>>,
     revision: i64,
 }
 
-/// The keys under one prefix.
+/// A replica of the keys under one prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
-    /// Keys that are there, and deleted ones that are remembered.
-    slots: BTreeMap<Arc<str>, Slot>,
+    /// Live keys and tombstones.
+    keys: BTreeMap<Arc<str>, KeyState>,
     by_revision: BTreeSet<(i64, Arc<str>)>,
-    deleted: BTreeSet<(i64, Arc<str>)>,
-    /// Changes up to this revision are known.
+    tombstones: BTreeSet<(i64, Arc<str>)>,
+    /// All changes up to this revision are known.
     revision: i64,
-    /// All deletions after this revision are remembered.
-    kept_from: i64,
+    /// The tombstones of all deletions after this revision are kept.
+    tombstones_since: i64,
 }
 
 impl Replica {
@@ -99,161 +100,164 @@
         self.revision
     }
 
-    /// Takes changes, oldest first, that follow on what is known.
+    /// Applies the changes that follow the known revision, oldest first.
     pub fn apply_changes(&mut self, changes: impl IntoIterator<Item = Entry>) {
-        // One transaction writes several keys at one revision.
+        // A transaction writes several keys at one revision, so all changes are compared with the revision before the first.
         let known = self.revision;
         for entry in changes.into_iter().filter(|e| e.revision > known) {
             self.revision = self.revision.max(entry.revision);
-            self.take(&entry);
+            self.apply(&entry);
         }
     }
 
-    /// Takes all keys as they were at a revision.
-    ///
-    /// A list that is older than what is known says nothing.
+    /// Replaces the keys by a list of all keys at a revision. A list that is not newer than the known revision is ignored.
     pub fn apply_list(&mut self, entries: &[Entry], revision: i64) {
         if revision <= self.revision {
             return;
         }
-        // No deletion before the first list is known.
-        let first = self.revision == 0;
+        // No deletions before the first list are known.
+        let is_first = self.revision == 0;
         let listed: BTreeSet<&str> = entries.iter().map(|e| e.key.as_str()).collect();
-        let present = self.slots.iter().filter(|(_, slot)| slot.value.is_some());
-        let gone = present.filter(|(key, _)| !listed.contains(&***key));
-        let gone: Vec<Entry> = gone
+        let live = self.keys.iter().filter(|(_, state)| state.value.is_some());
+        let deleted = live.filter(|(key, _)| !listed.contains(&***key));
+        let deleted: Vec<Entry> = deleted
             .map(|(key, _)| Entry {
                 key: key.to_string(),
                 value: None,
                 revision,
             })
             .collect();
-        for entry in gone {
-            self.take(&entry);
+        for entry in deleted {
+            self.apply(&entry);
         }
         for entry in entries {
-            let known = self.slots.get(entry.key.as_str());
-            let known = known.and_then(|slot| slot.value.as_deref());
+            let known = self.keys.get(entry.key.as_str());
+            let known = known.and_then(|state| state.value.as_deref());
             if known != entry.value.as_deref() {
-                // Whoever has read up to this list has it, whenever it was written.
-                self.take(&Entry {
+                // Recorded at the list's revision: only an instance that has read up to this list is known to have the change,
+                // whenever it was written.
+                self.apply(&Entry {
                     revision,
                     ..entry.clone()
                 });
             }
         }
-        self.caught_up(revision);
-        if first {
-            self.kept_from = revision;
+        self.advance_to(revision);
+        if is_first {
+            self.tombstones_since = revision;
         }
     }
 
-    /// Takes what another board that is known up to a revision had since this one's.
-    pub fn apply_delta(&mut self, since: &Delta, revision: i64) {
-        match since {
+    /// Applies the delta since this replica's revision of another replica, which knows all changes up to `revision`.
+    pub fn apply_delta(&mut self, delta: &Delta, revision: i64) {
+        match delta {
             Delta::Changed(changes) => {
-                // Some may be newer than the revision up to which all are known.
+                // Does not advance the revision to that of a change: some changes may be newer than `revision`, up to which all
+                // are known.
                 let known = self.revision;
                 for entry in changes.iter().filter(|e| e.revision > known) {
-                    self.take(entry);
+                    self.apply(entry);
                 }
             }
             Delta::All(entries) => self.apply_list(entries, revision),
         }
-        // Else it would be asked for again and again where nothing differs.
-        self.caught_up(revision);
+        // Also if nothing differs: otherwise the same delta would be fetched again and again.
+        self.advance_to(revision);
     }
 
-    /// Takes that there is no other change up to a revision.
-    fn caught_up(&mut self, revision: i64) {
+    /// Records that all changes up to a revision are known.
+    fn advance_to(&mut self, revision: i64) {
         self.revision = self.revision.max(revision);
     }
 
-    /// Returns what an instance lacks that has read up to a revision.
+    /// Returns what an instance lacks that knows all changes up to a revision.
     pub fn delta_since(&self, revision: i64) -> Delta {
         let mut page = self.delta_page(revision, None);
         while let Some(next) = page.next {
             let more = self.delta_page(revision, Some(&next));
             let same = page.delta.append(more.delta);
-            debug_assert!(same, "nothing changes meanwhile");
+            debug_assert!(same, "the replica does not change between pages");
             page.next = more.next;
         }
         page.delta
     }
 
-    /// Returns a page of what an instance lacks that has read up to a revision.
+    /// Returns a page of what an instance lacks that knows all changes up to a revision, starting after a cursor.
     pub fn delta_page(&self, revision: i64, after: Option<&Cursor>) -> Page {
-        if revision >= self.kept_from {
-            self.page_changed(revision, after)
+        if revision >= self.tombstones_since {
+            self.page_of_changes(revision, after)
         } else {
-            self.page_all(after)
+            self.page_of_all(after)
         }
     }
 
-    fn page_changed(&self, revision: i64, after: Option<&Cursor>) -> Page {
+    fn page_of_changes(&self, revision: i64, after: Option<&Cursor>) -> Page {
         let from = match after {
             Some(cursor) => Bound::Excluded((cursor.revision, Arc::from(cursor.key.as_str()))),
             None => Bound::Included((revision.saturating_add(1), Arc::from(""))),
         };
         let newer = self.by_revision.range((from, Bound::Unbounded));
-        let (entries, next) = fill(newer.map(|(_, key)| self.entry(key)));
+        let (entries, next) = take_page(newer.map(|(_, key)| self.entry(key)));
         let delta = Delta::Changed(entries);
         Page { delta, next }
     }
 
-    fn page_all(&self, after: Option<&Cursor>) -> Page {
+    fn page_of_all(&self, after: Option<&Cursor>) -> Page {
         let from = after.map_or(Bound::Unbounded, |c| Bound::Excluded(c.key.as_str()));
-        let slots = self.slots.range::<str, _>((from, Bound::Unbounded));
-        let present = slots.filter(|(_, slot)| slot.value.is_some());
-        let (entries, next) = fill(present.map(|(key, _)| self.entry(key)));
+        let keys = self.keys.range::<str, _>((from, Bound::Unbounded));
+        let live = keys.filter(|(_, state)| state.value.is_some());
+        let (entries, next) = take_page(live.map(|(key, _)| self.entry(key)));
         let delta = Delta::All(entries);
         Page { delta, next }
     }
 
     fn entry(&self, key: &str) -> Entry {
-        let slot = &self.slots[key];
+        let state = &self.keys[key];
         Entry {
             key: key.to_string(),
-            value: slot.value.as_deref().map(str::to_string),
-            revision: slot.revision,
+            value: state.value.as_deref().map(str::to_string),
+            revision: state.revision,
         }
     }
 
-    fn take(&mut self, entry: &Entry) {
+    fn apply(&mut self, entry: &Entry) {
         let key: Arc<str> = Arc::from(entry.key.as_str());
-        let slot = Slot {
+        let state = KeyState {
             value: entry.value.as_deref().map(Arc::from),
             revision: entry.revision,
         };
-        let deleted = slot.value.is_none();
-        if let Some(old) = self.slots.insert(Arc::clone(&key), slot) {
+        let is_tombstone = state.value.is_none();
+        if let Some(old) = self.keys.insert(Arc::clone(&key), state) {
             let old = (old.revision, Arc::clone(&key));
             self.by_revision.remove(&old);
-            self.deleted.remove(&old);
+            self.tombstones.remove(&old);
         }
         self.by_revision.insert((entry.revision, Arc::clone(&key)));
-        if deleted {
-            self.deleted.insert((entry.revision, key));
-            self.forget_deleted();
+        if is_tombstone {
+            self.tombstones.insert((entry.revision, key));
+            self.evict_tombstones();
         }
     }
 
-    fn forget_deleted(&mut self) {
-        while self.deleted.len() > DELETED_LEAST.max(self.slots.len() / 2) {
-            let oldest = self.deleted.pop_first().expect("more than it keeps");
-            self.kept_from = self.kept_from.max(oldest.0);
-            self.slots.remove(&oldest.1);
+    fn evict_tombstones(&mut self) {
+        while self.tombstones.len() > MIN_TOMBSTONES.max(self.keys.len() / 2) {
+            let oldest = self
+                .tombstones
+                .pop_first()
+                .expect("more tombstones than the limit");
+            self.tombstones_since = self.tombstones_since.max(oldest.0);
+            self.keys.remove(&oldest.1);
             self.by_revision.remove(&oldest);
         }
     }
 }
 
-/// Returns the entries of one page, and where the next one begins.
-fn fill(entries: impl Iterator<Item = Entry>) -> (Vec<Entry>, Option<Cursor>) {
+/// Returns the entries of one page, and the cursor for the next one.
+fn take_page(entries: impl Iterator<Item = Entry>) -> (Vec<Entry>, Option<Cursor>) {
     let (mut page, mut bytes) = (Vec::new(), 0);
     for entry in entries {
         if bytes >= PAGE_BYTES {
-            let last: &Entry = page.last().expect("some bytes");
+            let last: &Entry = page.last().expect("a page with some bytes has an entry");
             let next = Cursor {
                 revision: last.revision,
                 key: last.key.clone(),
