--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -14,9 +14,9 @@
 const SMALL_ZONE: usize = 6;
 /// Interval at which a reader broadcasts how far it has read, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
-/// Timeout of heartbeats, in milliseconds: three were missed. A follower that received none from a reader that reaches the store
-/// for this time reads the store itself. Together with the time to read it, this is half of the shortest time within which a
-/// change must be in force everywhere.
+/// Timeout of heartbeats, in milliseconds, after which three are missing. A follower that received none from a reader that
+/// reaches the store for this time reads the store itself. Together with the time to read it, this is half of the shortest time
+/// within which a change must be in force everywhere.
 const READER_TIMEOUT_MS: u64 = 900;
 /// Instances that lose their readers at the same time take over one after another, by rank, this many milliseconds apart, so that
 /// the others receive heartbeats of the first ones.
@@ -58,7 +58,7 @@
     Follower,
 }
 
-/// Where a replica is read of which nothing is known yet.
+/// Where an instance reads a replica for the first time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InitialSource {
     /// The store.
@@ -189,7 +189,7 @@
         ahead.get(index).copied()
     }
 
-    /// Returns where to read a replica of which nothing is known yet; `many_calls` is whether that takes many calls of the store.
+    /// Returns where to read a replica for the first time; `many_calls` is whether that takes many calls of the store.
     /// Followers fetch from a reader or from `neighbour`, any other instance of the zone, depending on a random number: if all
     /// read the store, or asked the readers, a fleet that starts together would take half a minute.
     pub fn initial_source(
--- a/crates/relay/src/replica.rs
+++ b/crates/relay/src/replica.rs
@@ -27,12 +27,12 @@
     pub revision: i64,
 }
 
-/// What an instance lacks that knows all changes up to a revision.
+/// What an instance that knows all changes up to some revision needs to catch up with a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delta {
-    /// The latest change of each key that has changed since, oldest first.
+    /// The latest change of each key that has changed since that revision, oldest first.
     Changed(Vec<Entry>),
-    /// All live keys, because the tombstones of some deletions since are gone.
+    /// All live keys, because not all deletions since that revision are remembered.
     All(Vec<Entry>),
 }
 
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Applies the delta since this replica's revision of another replica, which knows all changes up to `revision`.
+    /// Applies the delta of another replica since this one's revision. The other replica knows all changes up to `revision`.
     pub fn apply_delta(&mut self, delta: &Delta, revision: i64) {
         match delta {
             Delta::Changed(changes) => {
@@ -170,7 +170,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Returns what an instance lacks that knows all changes up to a revision.
+    /// Returns what an instance that knows all changes up to a revision needs to catch up with this replica.
     pub fn delta_since(&self, revision: i64) -> Delta {
         let mut page = self.delta_page(revision, None);
         while let Some(next) = page.next {
@@ -182,7 +182,7 @@
         page.delta
     }
 
-    /// Returns a page of what an instance lacks that knows all changes up to a revision, starting after a cursor.
+    /// Returns one page of the delta since a revision, starting after a cursor.
     pub fn delta_page(&self, revision: i64, after: Option<&Cursor>) -> Page {
         if revision >= self.tombstones_since {
             self.page_of_changes(revision, after)
