--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -3,10 +3,10 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use budget::home::Params;
-use budget::msg::{Reserve, RunAt, Stored};
-use budget::pacer::Pacer;
-use budget::{Event, Home, Record, Role};
+use budget::msg::{AttemptRef, RecordSnapshot, ReserveRequest};
+use budget::shard::Params;
+use budget::write_limiter::WriteLimiter;
+use budget::{Event, Role, Shard, ShardRecord};
 use conf::bundle::{Change, Head};
 use conf::{Bundle, Config, Customer, Template};
 use peer::{Member, Members, Standing, Told};
@@ -35,8 +35,8 @@
     began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
-fn record(accounts: usize) -> Record {
-    let mut record = Record::default();
+fn record(accounts: usize) -> ShardRecord {
+    let mut record = ShardRecord::default();
     for i in 0..accounts {
         let account = record
             .accounts
@@ -62,7 +62,7 @@
     for count in [10, 100, 1_000] {
         let record = record(count);
         let text = serde_json::to_vec(&record).expect("a record is JSON");
-        let parse = time(|| serde_json::from_slice::<Record>(&text).expect("own text"));
+        let parse = time(|| serde_json::from_slice::<ShardRecord>(&text).expect("own text"));
         let (reserve, commit) = decide(&record);
         println!(
             "| {count} | {} | {} | {parse:.0} | {reserve:.0} | {commit:.0} |",
@@ -73,20 +73,20 @@
 }
 
 /// Returns the times of a reservation and of a commit.
-fn decide(record: &Record) -> (f64, f64) {
-    let mut home = Home::open("instance-1.0123456789abcdef", Params::default());
+fn decide(record: &ShardRecord) -> (f64, f64) {
+    let mut home = Shard::open("instance-1.0123456789abcdef", Params::default());
     home.place(Role::Home, Vec::new(), None);
-    let mut pacer = Pacer::open(0, 1 << 30, 1.0);
+    let mut pacer = WriteLimiter::open(0, 1 << 30, 1.0);
     let mut out = Vec::new();
     let mut ask = 0;
-    let mut reserve = |home: &mut Home, pacer: &mut Pacer| {
+    let mut reserve = |home: &mut Shard, pacer: &mut WriteLimiter| {
         ask += 1;
-        let req = Reserve {
+        let req = ReserveRequest {
             account: "customer-00001".to_string(),
             request: format!("request-{ask}"),
             body: 1,
             entry: "instance-3.0123456789abcdef".to_string(),
-            at: RunAt::default(),
+            at: AttemptRef::default(),
             tokens: 1,
             weight: 25,
         };
@@ -96,7 +96,7 @@
         out
     };
     reserve(&mut home, &mut pacer);
-    let stored = Stored {
+    let stored = RecordSnapshot {
         revision: 1,
         record: record.clone(),
     };
@@ -105,14 +105,14 @@
     let mut hold = 0;
     let commit = time(|| {
         hold += 1;
-        let post = budget::Post {
+        let post = budget::Settlement {
             holder: "instance-1.0123456789abcdef".to_string(),
             hold,
             request: format!("request-{hold}"),
             tokens: 1,
             billed: true,
             body: 1,
-            at: RunAt::default(),
+            at: AttemptRef::default(),
             at_ms: 1,
         };
         let event = Event::Settle {
--- a/crates/budget/src/older.rs
+++ b/crates/budget/src/archived_bills.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::record::{Bill, Segment};
+use crate::record::{Bill, BillSegment};
 
 /// How long a request's id is looked for among older bills, in milliseconds.
 const WINDOW_MS: u64 = 600_000;
@@ -43,7 +43,7 @@
     }
 
     /// Takes a segment that was asked for.
-    pub(crate) fn load(&mut self, segment: Segment) {
+    pub(crate) fn load(&mut self, segment: BillSegment) {
         let newest = self.add(&segment);
         let prev = segment.prev.filter(|p| !self.loaded.contains(p));
         match prev {
@@ -61,7 +61,7 @@
     }
 
     /// Takes a segment that this home has written itself.
-    pub(crate) fn wrote(&mut self, name: &str, segment: &Segment) {
+    pub(crate) fn wrote(&mut self, name: &str, segment: &BillSegment) {
         self.add(segment);
         self.remember(name.to_string());
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    fn add(&mut self, segment: &Segment) -> u64 {
+    fn add(&mut self, segment: &BillSegment) -> u64 {
         let mut newest = 0;
         for (account, bills) in &segment.bills {
             for bill in bills {
--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -6,7 +6,7 @@
 
 /// How grants are sized.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sizing {
+pub enum GrantSizing {
     /// A share of what is free, by the customer's weight: tapers as the budget drains.
     Share,
     /// What the last seconds' demand needs over a horizon, at most the share.
@@ -25,7 +25,7 @@
 
 /// What a size is worked out from.
 #[derive(Clone, Copy, Debug)]
-pub struct Basis {
+pub struct SizingInput {
     /// Tokens that lack for the waiting requests.
     pub need: u64,
     /// Tokens that may be granted.
@@ -40,21 +40,21 @@
     pub rate: f64,
 }
 
-impl Sizing {
+impl GrantSizing {
     /// Returns the tokens to take; 0 when the need can't be met.
-    pub fn size(self, b: Basis) -> u64 {
+    pub fn size(self, b: SizingInput) -> u64 {
         if b.need > b.free {
             return 0;
         }
         let share = (u128::from(b.free) * u128::from(b.weight) / 100) as u64;
         let wanted = match self {
-            Sizing::Share => share,
-            Sizing::Demand { horizon_ms } => {
+            GrantSizing::Share => share,
+            GrantSizing::Demand { horizon_ms } => {
                 let horizon = b.rate * horizon_ms as f64 / 1000.0;
                 (horizon as u64).min(share)
             }
-            Sizing::Exact => b.need,
-            Sizing::Split { parts } => {
+            GrantSizing::Exact => b.need,
+            GrantSizing::Split { parts } => {
                 let part = b.total / parts.max(1);
                 let left = part.saturating_sub(b.granted);
                 return if b.need <= left { left.min(b.free) } else { 0 };
--- a/crates/budget/src/joint.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -9,9 +9,9 @@
 
 use serde::Serialize;
 
-use crate::home::{Home, Role};
 use crate::msg::Action;
-use crate::record::{joint_parts, Account, Record};
+use crate::record::{joint_parts, Account, ShardRecord};
+use crate::shard::{Role, Shard};
 
 /// A step covers this much of the demand, in milliseconds.
 const STEP_MS: f64 = 1_500.0;
@@ -26,7 +26,7 @@
 
 /// The joint grant of one account at its holder.
 #[derive(Clone, Debug, Serialize)]
-pub struct JointLocal {
+pub struct LocalJointGrant {
     /// Its key in the record.
     pub key: String,
     /// Tokens opened, cumulative.
@@ -41,7 +41,7 @@
 
 /// A call for tokens that waits for a step.
 #[derive(Clone, Debug)]
-pub struct WaitingCall {
+pub struct DeferredRecall {
     /// Names the reply.
     pub ask: u64,
     /// The holder that asks.
@@ -95,7 +95,7 @@
     }
 }
 
-impl Home {
+impl Shard {
     /// Returns the tokens that the account's joint grant has left to open, while that works.
     pub(crate) fn joint_left(&self, now: u64, name: &str) -> u64 {
         let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
@@ -240,7 +240,7 @@
     }
 
     /// Returns the joint grants that this witness is to hand back for silent holders.
-    fn to_close(&self, record: &Record) -> Vec<(String, String)> {
+    fn to_close(&self, record: &ShardRecord) -> Vec<(String, String)> {
         let mut keys = Vec::new();
         for (name, account) in &record.accounts {
             for key in account.joints.keys() {
@@ -262,7 +262,7 @@
     }
 
     /// Hands joint grants of silent holders back; their steps end first.
-    pub(crate) fn close_silent(&mut self, record: &mut Record) {
+    pub(crate) fn close_silent(&mut self, record: &mut ShardRecord) {
         for (name, key) in self.to_close(record) {
             let opened = self.witness_of.close(&key);
             let account = record.accounts.get_mut(&name).expect("listed from it");
@@ -319,7 +319,7 @@
             let local = self.locals.entry(name.clone()).or_default();
             if local.joint.as_ref().is_none_or(|j| j.key != *key) {
                 self.hot.insert(name.clone());
-                local.joint = Some(JointLocal {
+                local.joint = Some(LocalJointGrant {
                     key: key.clone(),
                     opened: joint.opened,
                     asked: None,
@@ -329,7 +329,7 @@
             }
         }
         for (name, local) in &mut self.locals {
-            let shown = |j: &JointLocal| {
+            let shown = |j: &LocalJointGrant| {
                 accounts
                     .get(name)
                     .is_some_and(|a| a.joints.contains_key(&j.key))
@@ -340,6 +340,6 @@
     }
 }
 
-fn is_late(now: u64, joint: &JointLocal) -> bool {
+fn is_late(now: u64, joint: &LocalJointGrant) -> bool {
     joint.asked.is_some_and(|(at, _)| now > at + PATIENCE_MS)
 }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -3,24 +3,26 @@
 //! The record in the platform's service is the only truth. An instance spends only tokens that the
 //! record grants to it, so instances that can't hear each other can't overspend together.
 
-pub mod bank;
-mod decide;
+mod archived_bills;
 pub mod grant;
-mod handover;
-pub mod home;
-pub mod joint;
-pub mod local;
+pub mod joint_grant;
+pub mod local_account;
 pub mod msg;
-mod older;
-pub mod pacer;
 pub mod params;
-pub mod place;
-mod propose;
-pub mod ranges;
+pub mod placement;
+pub mod range_set;
 pub mod record;
+mod record_sync;
+mod reservation;
 mod settle;
+pub mod shard;
+pub mod shard_manager;
+mod transfer;
+pub mod write_limiter;
 
-pub use bank::{Bank, Output};
-pub use home::{Home, Role};
-pub use msg::{Act, ActReply, Action, Event, Post, ReserveReply, Settled};
-pub use record::{Account, Bill, Line, Record};
+pub use msg::{
+    Action, Durability, Event, OperatorCommand, OperatorReply, ReserveReply, Settlement,
+};
+pub use record::{Account, Bill, LedgerEntry, ShardRecord};
+pub use shard::{Role, Shard};
+pub use shard_manager::{ShardAction, ShardManager};
--- a/crates/budget/src/local.rs
+++ b/crates/budget/src/local_account.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 use smallvec::SmallVec;
 
-use crate::joint::{JointLocal, WaitingCall};
-use crate::msg::{Act, Post, ReserveReply, RunAt};
+use crate::joint_grant::{DeferredRecall, LocalJointGrant};
+use crate::msg::{AttemptRef, OperatorCommand, ReserveReply, Settlement};
 
 /// Finished requests remembered for callers that retry.
 const DONE_KEPT: usize = 1024;
@@ -19,7 +19,7 @@
 
 /// Tokens held back for one request.
 #[derive(Clone, Debug, Serialize)]
-pub struct Held {
+pub struct Hold {
     /// The request's id.
     pub request: String,
     /// Hash of the request's body.
@@ -27,7 +27,7 @@
     /// The entries that serve it.
     pub entries: SmallVec<[String; 2]>,
     /// Where it runs.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// Tokens.
     pub tokens: u64,
     /// Tokens of the same run that are settled already.
@@ -40,20 +40,20 @@
 
 /// A finished request.
 #[derive(Clone, Debug, Serialize)]
-pub struct Done {
+pub struct FinishedRequest {
     /// The hold's number.
     pub hold: u64,
     /// Hash of the request's body.
     pub body: u64,
     /// Where it ran.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// Tokens billed.
     pub tokens: u64,
     /// When it was forgotten, in milliseconds.
     pub until: u64,
 }
 
-impl Done {
+impl FinishedRequest {
     /// Returns the answer to a retry.
     pub fn reply(&self, me: &str, body: u64) -> ReserveReply {
         if self.body != body {
@@ -70,7 +70,7 @@
 
 /// What a waiting entry wants.
 #[derive(Clone, Debug)]
-pub enum Want {
+pub enum ReservationKind {
     /// A new hold.
     New {
         /// The request's id.
@@ -89,13 +89,13 @@
 
 /// An entry that waits for tokens.
 #[derive(Clone, Debug)]
-pub struct Waiting {
+pub struct WaitingReservation {
     /// Names the reply.
     pub ask: u64,
     /// What it wants.
-    pub want: Want,
+    pub want: ReservationKind,
     /// Where it will send the request.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// Tokens.
     pub tokens: u64,
     /// Percentage of the free budget that one grant may take.
@@ -110,9 +110,9 @@
 
 /// A settlement that is not in the record yet.
 #[derive(Clone, Debug, Serialize)]
-pub struct Pending {
+pub struct PendingSettlement {
     /// The settlement.
-    pub post: Post,
+    pub post: Settlement,
     /// Replies that wait for it.
     pub asks: SmallVec<[u64; 2]>,
     /// When to ask for a copy in another zone, while replies wait.
@@ -123,20 +123,20 @@
 
 /// One account at one home.
 #[derive(Clone, Debug, Default)]
-pub struct Local {
+pub struct LocalAccount {
     /// Open holds by number.
-    pub held: BTreeMap<u64, Held>,
+    pub held: BTreeMap<u64, Hold>,
     /// Open holds by request.
     pub by_request: BTreeMap<String, u64>,
     /// Finished requests.
-    pub done: BTreeMap<String, Done>,
+    pub done: BTreeMap<String, FinishedRequest>,
     done_order: VecDeque<String>,
     /// Requests that their entry gave up, as `entry/request`.
     voided: VecDeque<String>,
     /// Settlements on their way to the record.
-    pub pending: Vec<Pending>,
+    pub pending: Vec<PendingSettlement>,
     /// Entries that wait for tokens, first come first.
-    pub waiting: VecDeque<Waiting>,
+    pub waiting: VecDeque<WaitingReservation>,
     /// Tokens handed to other holders, cumulative.
     pub sent: BTreeMap<String, u64>,
     /// Tokens received from other holders, cumulative.
@@ -144,20 +144,20 @@
     /// Tokens on their way back to the record: no longer spendable here.
     pub giving: u64,
     /// Operators' acts on their way to the record.
-    pub acts: Vec<(u64, Act)>,
+    pub acts: Vec<(u64, OperatorCommand)>,
     /// Recalls without an answer.
     pub recalls: u32,
     /// The joint grant that the record shows.
-    pub joint: Option<JointLocal>,
+    pub joint: Option<LocalJointGrant>,
     /// Other holders' calls for tokens that wait for a step.
-    pub calls: Vec<WaitingCall>,
+    pub calls: Vec<DeferredRecall>,
     /// When the account was last used, in milliseconds.
     pub used_at: u64,
     rate: f64,
     rate_at: u64,
 }
 
-impl Local {
+impl LocalAccount {
     /// Returns tokens held back for open requests.
     pub fn reserved(&self) -> u64 {
         self.held.values().map(|h| h.tokens).sum()
@@ -170,7 +170,7 @@
     }
 
     /// Remembers a finished request.
-    pub fn finish(&mut self, now: u64, request: String, mut done: Done) {
+    pub fn finish(&mut self, now: u64, request: String, mut done: FinishedRequest) {
         done.until = now + DONE_MS;
         if self.done.insert(request.clone(), done).is_none() {
             self.done_order.push_back(request);
--- a/crates/budget/src/msg.rs
+++ b/crates/budget/src/msg.rs
@@ -2,11 +2,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::record::{Record, Segment};
+use crate::record::{BillSegment, ShardRecord};
 
 /// Where a request runs: one attempt at one upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunAt {
+pub struct AttemptRef {
     /// The upstream.
     pub upstream: String,
     /// The name of the attempt there.
@@ -15,7 +15,7 @@
 
 /// A request for tokens to be held back before a dispatch.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Reserve {
+pub struct ReserveRequest {
     /// The customer.
     pub account: String,
     /// The request's id.
@@ -25,7 +25,7 @@
     /// The entry's incarnation.
     pub entry: String,
     /// Where the entry will send it.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// The most that the request can spend.
     pub tokens: u64,
     /// Percentage of the free budget that one grant may take.
@@ -51,7 +51,7 @@
         /// The hold's number at that holder.
         hold: u64,
         /// Where it runs.
-        at: RunAt,
+        at: AttemptRef,
         /// The tokens billed, when it is finished.
         billed: Option<u64>,
     },
@@ -71,7 +71,7 @@
 
 /// How sure it is that a settlement lasts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Settled {
+pub enum Durability {
     /// It is in the platform's record.
     Recorded,
     /// Instances in two availability zones hold it, and will post it.
@@ -80,7 +80,7 @@
 
 /// The settlement of one hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Post {
+pub struct Settlement {
     /// The holder that pays.
     pub holder: String,
     /// The hold's number at that holder.
@@ -94,16 +94,16 @@
     /// Hash of the request's body.
     pub body: u64,
     /// Where it ran.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// When, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
 /// Tokens that an upstream may have spent on a run that broke off.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Doubt {
+pub struct UnconfirmedUsage {
     /// Where it ran.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// The most that it may have spent beyond what is settled.
     pub tokens: u64,
     /// Tokens of this run that are settled.
@@ -112,7 +112,7 @@
 
 /// An operator's act on a budget.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Act {
+pub enum OperatorCommand {
     /// Adds tokens.
     TopUp {
         /// The act's id.
@@ -135,7 +135,7 @@
 
 /// The answer to an operator's act.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ActReply {
+pub enum OperatorReply {
     /// It is in force, with this many tokens.
     Done(u64),
     /// The id was used for another number of tokens.
@@ -152,7 +152,7 @@
         /// Names the reply.
         ask: u64,
         /// The request.
-        req: Reserve,
+        req: ReserveRequest,
         /// When the asker gives up, in milliseconds.
         deadline: u64,
     },
@@ -165,7 +165,7 @@
         /// The hold.
         hold: u64,
         /// Where the entry will send it.
-        at: RunAt,
+        at: AttemptRef,
         /// Tokens more.
         tokens: u64,
         /// When the asker gives up, in milliseconds.
@@ -196,7 +196,7 @@
         /// The customer.
         account: String,
         /// The settlement.
-        post: Post,
+        post: Settlement,
     },
     /// A hold is settled.
     Settle {
@@ -205,9 +205,9 @@
         /// The customer.
         account: String,
         /// The settlement.
-        post: Post,
+        post: Settlement,
         /// What may have been spent besides, for which there is no proof yet.
-        doubts: Vec<Doubt>,
+        doubts: Vec<UnconfirmedUsage>,
     },
     /// Another holder asks for unspent tokens.
     Recall {
@@ -254,10 +254,10 @@
         /// The customer.
         account: String,
         /// The act.
-        act: Act,
+        act: OperatorCommand,
     },
     /// A read has ended; `None` inside when there is no record yet.
-    Read(Option<Stored>),
+    Read(Option<RecordSnapshot>),
     /// A read has failed.
     ReadFailed,
     /// A write took effect.
@@ -266,7 +266,7 @@
         revision: i64,
     },
     /// A write lost to another.
-    WriteLost(Option<Stored>),
+    WriteLost(Option<RecordSnapshot>),
     /// A write was refused before it could take effect.
     WriteRefused,
     /// A write may or may not have taken effect, or may yet.
@@ -297,18 +297,18 @@
     /// Older bills were written to a value of their own.
     SegmentWritten(bool),
     /// A value with older bills was read, or could not be.
-    SegmentRead(Option<Segment>),
+    SegmentRead(Option<BillSegment>),
     /// Time passes.
     Tick,
 }
 
 /// A record as it was read.
 #[derive(Clone, Debug)]
-pub struct Stored {
+pub struct RecordSnapshot {
     /// The revision of its last write.
     pub revision: i64,
     /// The record.
-    pub record: Record,
+    pub record: ShardRecord,
 }
 
 impl Event {
@@ -342,14 +342,14 @@
         /// The revision it replaces.
         base: i64,
         /// The record.
-        record: Record,
+        record: ShardRecord,
     },
     /// Write older bills to a value of their own, which must not exist yet.
     WriteSegment {
         /// Its name.
         name: String,
         /// The bills.
-        segment: Segment,
+        segment: BillSegment,
     },
     /// Read a value with older bills.
     ReadSegment {
@@ -368,14 +368,14 @@
         /// Names the reply.
         ask: u64,
         /// The answer.
-        how: Settled,
+        how: Durability,
     },
     /// Answer an operator's act.
     Acted {
         /// Names the reply.
         ask: u64,
         /// The answer.
-        reply: ActReply,
+        reply: OperatorReply,
     },
     /// Answer another holder's recall.
     Handed {
@@ -416,7 +416,7 @@
         /// The customer.
         account: String,
         /// The settlement.
-        post: Post,
+        post: Settlement,
     },
     /// Cancel an orphaned request at its upstream and read what it spent.
     Probe {
@@ -425,7 +425,7 @@
         /// The hold.
         hold: u64,
         /// Where it runs.
-        at: RunAt,
+        at: AttemptRef,
     },
     /// Tell an entry that dropped out whether others still serve the request.
     DroppedOut {
@@ -435,12 +435,12 @@
         others: bool,
     },
     /// Something an operator may want to know.
-    Note(Note),
+    Note(Warning),
 }
 
 /// What an operator may want to know.
 #[derive(Clone, Debug)]
-pub enum Note {
+pub enum Warning {
     /// An upstream served more than was asked for, and the hold can't cover it.
     Excess {
         /// The customer.
--- a/crates/budget/src/params.rs
+++ b/crates/budget/src/params.rs
@@ -1,6 +1,6 @@
 //! Parameters of a home, and what an instance is to a shard.
 
-use crate::grant::Sizing;
+use crate::grant::GrantSizing;
 
 /// What an instance is to a shard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Params {
     /// How grants are sized.
-    pub sizing: Sizing,
+    pub sizing: GrantSizing,
     /// Whether other holders are asked before a refusal.
     pub recall: bool,
     /// Whether grants are joint, where the zone has another instance.
@@ -36,7 +36,7 @@
 impl Default for Params {
     fn default() -> Self {
         Params {
-            sizing: Sizing::Share,
+            sizing: GrantSizing::Share,
             recall: true,
             joint: true,
             standby_pct: 15,
--- a/crates/budget/src/ranges.rs
+++ b/crates/budget/src/range_set.rs
@@ -5,9 +5,9 @@
 /// A set of whole numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Ranges(Vec<(u64, u64)>);
+pub struct RangeSet(Vec<(u64, u64)>);
 
-impl Ranges {
+impl RangeSet {
     /// Returns whether the number is in the set.
     pub fn contains(&self, n: u64) -> bool {
         let at = self.0.partition_point(|r| r.1 < n);
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -4,15 +4,15 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::msg::{Post, RunAt};
-use crate::ranges::Ranges;
+use crate::msg::{AttemptRef, Settlement};
+use crate::range_set::RangeSet;
 
 /// Folded holders whose names are remembered, so that a late bill of theirs isn't posted again.
 const TOMBSTONES: usize = 256;
 
 /// One shard: some accounts, written as one value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Record {
+pub struct ShardRecord {
     /// Accounts by customer.
     pub accounts: BTreeMap<String, Account>,
     /// The number of the last write of each writer, by which it knows its own writes again.
@@ -28,7 +28,7 @@
 
 /// Older bills, moved out of the record; each names the one before it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Segment {
+pub struct BillSegment {
     /// The segment before this one.
     pub prev: Option<String>,
     /// Bills by customer.
@@ -41,13 +41,13 @@
     /// Top-ups by their ids.
     pub topups: BTreeMap<String, u64>,
     /// What each holder was granted and has settled.
-    pub lines: BTreeMap<String, Line>,
+    pub lines: BTreeMap<String, LedgerEntry>,
     /// Tokens handed from holder to holder, cumulative, by `from>to`.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub transfers: BTreeMap<String, u64>,
     /// Grants that holders open step by step, by `holder+witness+number+account`.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub joints: BTreeMap<String, Joint>,
+    pub joints: BTreeMap<String, JointGrant>,
     /// Tokens settled by holders whose lines were folded up.
     #[serde(default)]
     pub folded: u64,
@@ -61,7 +61,7 @@
 
 /// A grant that a holder opens step by step, with a witness' word for each step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Joint {
+pub struct JointGrant {
     /// Tokens granted.
     pub granted: u64,
     /// Tokens opened, as far as the record knows.
@@ -76,7 +76,7 @@
 
 /// What one holder, an incarnation of an instance, may spend and has spent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line {
+pub struct LedgerEntry {
     /// Tokens granted, less tokens handed back; negative when it handed back received ones.
     pub granted: i64,
     /// Tokens spent, billed or not.
@@ -86,7 +86,7 @@
     pub written_off: u64,
     /// Numbers of the holds that are settled.
     #[serde(default)]
-    pub posted: Ranges,
+    pub posted: RangeSet,
     /// Tokens an operator took back from a vanished holder.
     #[serde(default)]
     pub released: u64,
@@ -104,7 +104,7 @@
     /// Hash of the request's body.
     pub body: u64,
     /// Where it ran.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// When, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
@@ -126,7 +126,7 @@
 
 /// What posting did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Posted {
+pub enum PostOutcome {
     /// A bill, or a write-off where none was due.
     New,
     /// Nothing: this hold was settled before.
@@ -145,14 +145,14 @@
 
     /// Returns the tokens that are granted to holders or spent for good.
     pub fn bound(&self) -> u64 {
-        let net = |l: &Line| i128::from(l.granted) - i128::from(l.released);
+        let net = |l: &LedgerEntry| i128::from(l.granted) - i128::from(l.released);
         let granted: i128 = self.lines.values().map(net).sum();
         let joint: i128 = self.joints.values().map(|j| i128::from(j.granted)).sum();
         (i128::from(self.folded) + granted + joint).max(0) as u64
     }
 
     /// Returns the joint grant of a holder.
-    pub fn joint_of(&self, holder: &str) -> Option<(&String, &Joint)> {
+    pub fn joint_of(&self, holder: &str) -> Option<(&String, &JointGrant)> {
         let of = |k: &str| joint_parts(k).is_some_and(|(h, _)| h == holder);
         self.joints.iter().find(|(k, _)| of(k))
     }
@@ -294,18 +294,18 @@
     }
 }
 
-impl Record {
+impl ShardRecord {
     /// Settles a hold, once; makes its bill unless the request has one, here or among the older
     /// bills that the caller knows.
-    pub fn post(&mut self, account: &str, post: &Post, has_older: bool) -> Posted {
+    pub fn post(&mut self, account: &str, post: &Settlement, has_older: bool) -> PostOutcome {
         if self.tombstones.contains(&post.holder) {
-            return Posted::Known;
+            return PostOutcome::Known;
         }
         let account = self.accounts.entry(account.to_string()).or_default();
         let duplicate = has_older || account.bill(&post.request).is_some();
         let line = account.lines.entry(post.holder.clone()).or_default();
         if !line.posted.insert(post.hold) {
-            return Posted::Known;
+            return PostOutcome::Known;
         }
         line.settled += post.tokens;
         if post.billed && !duplicate {
@@ -317,13 +317,13 @@
                 at: post.at.clone(),
                 at_ms: post.at_ms,
             });
-            return Posted::New;
+            return PostOutcome::New;
         }
         line.written_off += post.tokens;
         if post.billed {
-            Posted::Duplicate
+            PostOutcome::Duplicate
         } else {
-            Posted::New
+            PostOutcome::New
         }
     }
 
@@ -363,17 +363,17 @@
     }
 
     /// Copies the older half of the bills into a segment.
-    pub fn segment(&self) -> Segment {
+    pub fn segment(&self) -> BillSegment {
         let half = |a: &Account| a.bills[..a.bills.len().div_ceil(2)].to_vec();
         let bills = self.accounts.iter().map(|(n, a)| (n.clone(), half(a)));
-        Segment {
+        BillSegment {
             prev: self.last_segment.clone(),
             bills: bills.filter(|(_, b)| !b.is_empty()).collect(),
         }
     }
 
     /// Drops the bills that a stored segment holds; returns false if another one came first.
-    pub fn roll(&mut self, name: &str, segment: &Segment) -> bool {
+    pub fn roll(&mut self, name: &str, segment: &BillSegment) -> bool {
         if self.last_segment != segment.prev {
             return false;
         }
--- a/crates/budget/src/propose.rs
+++ b/crates/budget/src/record_sync.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::grant::Basis;
-use crate::home::{act_reply, Home, Io, Proposal, Role};
-use crate::local::Local;
-use crate::msg::{Act, Action, Settled, Stored};
-use crate::pacer::Pacer;
-use crate::record::{Account, Record, Segment};
+use crate::grant::SizingInput;
+use crate::local_account::LocalAccount;
+use crate::msg::{Action, Durability, OperatorCommand, RecordSnapshot};
+use crate::record::{Account, BillSegment, ShardRecord};
+use crate::shard::{act_reply, Io, Proposal, Role, Shard};
+use crate::write_limiter::WriteLimiter;
 
 /// Bills in a record above which the older half moves to a segment: each commit writes them all.
 const ROLL_BILLS: usize = 128;
@@ -16,9 +16,9 @@
 /// Read again when a write waits for the pacer no longer than this, in milliseconds.
 const IDLE_USE_MS: u64 = 300_000;
 
-impl Home {
+impl Shard {
     /// Serves who waits, then starts the platform call that is due.
-    pub(crate) fn pump(&mut self, now: u64, pacer: &mut Pacer, out: &mut Vec<Action>) {
+    pub(crate) fn pump(&mut self, now: u64, pacer: &mut WriteLimiter, out: &mut Vec<Action>) {
         self.serve_waiting(now, out);
         if self.io != Io::Idle || now < self.retry_at {
             return;
@@ -39,7 +39,7 @@
 
     /// Returns the segment of older bills to load before more is held or settled.
     fn lacks_older(&mut self) -> Option<String> {
-        let needs = |l: &Local| !l.pending.is_empty() || !l.waiting.is_empty();
+        let needs = |l: &LocalAccount| !l.pending.is_empty() || !l.waiting.is_empty();
         if !self.hot_locals().any(|(_, l)| needs(l)) {
             return None;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Takes a segment of older bills.
-    pub(crate) fn segment_read(&mut self, now: u64, segment: Option<Segment>) {
+    pub(crate) fn segment_read(&mut self, now: u64, segment: Option<BillSegment>) {
         match segment {
             Some(segment) => {
                 self.io = Io::Idle;
@@ -62,7 +62,7 @@
     /// Returns whether the record lacks something that only a write can bring.
     fn has_work(&mut self, now: u64) -> bool {
         self.standby_due = self.standby_due && self.standby_lacks(now);
-        let any = |(name, l): (&String, &Local)| {
+        let any = |(name, l): (&String, &LocalAccount)| {
             let local = !l.pending.is_empty() || !l.acts.is_empty() || l.giving > 0;
             let lacks = self.wants(now, name) > 0 || self.has_unwritten_transfers(name);
             local || lacks || self.must_close(name)
@@ -71,7 +71,7 @@
         own || self.standby_due || self.has_silent_joints()
     }
 
-    fn hot_locals(&self) -> impl Iterator<Item = (&String, &Local)> {
+    fn hot_locals(&self) -> impl Iterator<Item = (&String, &LocalAccount)> {
         let hot = self.hot.iter();
         hot.filter_map(|n| self.locals.get_key_value(n))
     }
@@ -105,7 +105,7 @@
         };
         let local = &self.locals[name];
         let weight = local.waiting.iter().map(|w| w.weight).max().unwrap_or(100);
-        let size = self.params.sizing.size(Basis {
+        let size = self.params.sizing.size(SizingInput {
             need,
             free: account.free(),
             total: account.total(),
@@ -149,17 +149,17 @@
         record.accounts.iter().any(lacks)
     }
 
-    fn must_roll(&self, now: u64, pacer: &mut Pacer) -> bool {
+    fn must_roll(&self, now: u64, pacer: &mut WriteLimiter) -> bool {
         let most = if pacer.has_spare(now) {
             ROLL_BILLS
         } else {
             ROLL_BILLS_BUSY
         };
-        let full = |r: &Record| r.bills() > most;
+        let full = |r: &ShardRecord| r.bills() > most;
         self.role == Role::Home && self.rolled.is_none() && self.record().is_some_and(full)
     }
 
-    fn write_segment(&mut self, pacer: &mut Pacer, now: u64, out: &mut Vec<Action>) {
+    fn write_segment(&mut self, pacer: &mut WriteLimiter, now: u64, out: &mut Vec<Action>) {
         if !pacer.take(now) {
             return;
         }
@@ -227,7 +227,7 @@
         self.want_read = true;
     }
 
-    fn write_account(&self, now: u64, number: u64, name: &str, record: &mut Record) {
+    fn write_account(&self, now: u64, number: u64, name: &str, record: &mut ShardRecord) {
         let local = &self.locals[name];
         let wanted = self.wants(now, name);
         for pending in &local.pending {
@@ -261,7 +261,7 @@
         }
     }
 
-    fn write_standby(&self, now: u64, number: u64, record: &mut Record) {
+    fn write_standby(&self, now: u64, number: u64, record: &mut ShardRecord) {
         if self.role != Role::Standby {
             return;
         }
@@ -275,7 +275,7 @@
         }
     }
 
-    fn write_rest(&self, record: &mut Record) {
+    fn write_rest(&self, record: &mut ShardRecord) {
         if let Some((name, segment)) = &self.rolled {
             record.roll(name, segment);
         }
@@ -285,7 +285,7 @@
     }
 
     /// Takes over what a read found.
-    pub(crate) fn read(&mut self, now: u64, stored: Option<Stored>, out: &mut Vec<Action>) {
+    pub(crate) fn read(&mut self, now: u64, stored: Option<RecordSnapshot>, out: &mut Vec<Action>) {
         let since = match self.io {
             Io::Read { since } => since,
             _ => now,
@@ -302,15 +302,15 @@
             return;
         };
         let record = proposal.record.clone();
-        self.end_write(Stored { revision, record }, out);
+        self.end_write(RecordSnapshot { revision, record }, out);
     }
 
     /// Takes over the write that came first.
-    pub(crate) fn write_lost(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    pub(crate) fn write_lost(&mut self, stored: Option<RecordSnapshot>, out: &mut Vec<Action>) {
         self.end_write(or_empty(stored), out);
     }
 
-    fn end_write(&mut self, stored: Stored, out: &mut Vec<Action>) {
+    fn end_write(&mut self, stored: RecordSnapshot, out: &mut Vec<Action>) {
         let since = match self.io {
             Io::Write { since } => since,
             _ => 0,
@@ -322,7 +322,7 @@
     }
 
     /// Makes a record the known one, and finds out which of this home's writes it holds.
-    fn adopt(&mut self, stored: Stored, since: u64, out: &mut Vec<Action>) {
+    fn adopt(&mut self, stored: RecordSnapshot, since: u64, out: &mut Vec<Action>) {
         if let Some((old, _)) = &self.known {
             if stored.revision < old.revision {
                 // A store that went back can't be believed: what it granted may be granted twice.
@@ -343,7 +343,7 @@
     }
 
     /// Drops a segment that the record names now, or can't name any more.
-    fn end_roll(&mut self, record: &Record) {
+    fn end_roll(&mut self, record: &ShardRecord) {
         let Some((name, segment)) = self.rolled.take() else {
             return;
         };
@@ -355,7 +355,7 @@
     }
 
     /// Ends the doubt about writes that have landed or can land no more.
-    fn land(&mut self, stored: &Stored) {
+    fn land(&mut self, stored: &RecordSnapshot) {
         let landed = stored.record.writers.get(&self.me).copied().unwrap_or(0);
         for proposal in std::mem::take(&mut self.doubtful) {
             if proposal.number == landed {
@@ -414,7 +414,7 @@
             local.pending.retain_mut(|p| {
                 let posted = record.has_post(name, &p.post.holder, p.post.hold);
                 if posted {
-                    let how = Settled::Recorded;
+                    let how = Durability::Recorded;
                     out.extend(p.asks.drain(..).map(|ask| Action::Settled { ask, how }));
                 }
                 !posted
@@ -465,10 +465,10 @@
     }
 }
 
-fn or_empty(stored: Option<Stored>) -> Stored {
-    stored.unwrap_or(Stored {
+fn or_empty(stored: Option<RecordSnapshot>) -> RecordSnapshot {
+    stored.unwrap_or(RecordSnapshot {
         revision: 0,
-        record: Record::default(),
+        record: ShardRecord::default(),
     })
 }
 
@@ -480,13 +480,13 @@
     }
 }
 
-fn apply_act(account: &mut Account, act: &Act) {
+fn apply_act(account: &mut Account, act: &OperatorCommand) {
     match act {
-        Act::TopUp { id, tokens } => {
+        OperatorCommand::TopUp { id, tokens } => {
             // A reused id is answered by `act_reply` from the record, which keeps the first act.
             let _ = account.top_up(id, *tokens);
         }
-        Act::Release {
+        OperatorCommand::Release {
             id,
             holder,
             reason,
--- a/crates/budget/src/decide.rs
+++ b/crates/budget/src/reservation.rs
@@ -2,9 +2,9 @@
 
 use smallvec::smallvec;
 
-use crate::home::{Home, Io};
-use crate::local::{Held, Local, Waiting, Want};
+use crate::local_account::{Hold, LocalAccount, ReservationKind, WaitingReservation};
 use crate::msg::{Action, ReserveReply};
+use crate::shard::{Io, Shard};
 
 /// When to come back for tokens that others hold or have reserved, in milliseconds.
 const RETRY_MS: u64 = 1_000;
@@ -23,9 +23,9 @@
     Refuse(ReserveReply),
 }
 
-impl Home {
+impl Shard {
     pub(crate) fn serve_waiting(&mut self, now: u64, out: &mut Vec<Action>) {
-        let waits = |(n, l): (&String, &Local)| (!l.waiting.is_empty()).then(|| n.clone());
+        let waits = |(n, l): (&String, &LocalAccount)| (!l.waiting.is_empty()).then(|| n.clone());
         let hot = self.hot.iter().filter_map(|n| self.locals.get_key_value(n));
         let names: Vec<String> = hot.filter_map(waits).collect();
         for name in names {
@@ -72,8 +72,10 @@
         let local = self.locals.get_mut(name).expect("listed by the caller");
         for waiting in std::mem::take(&mut local.waiting) {
             let reply = match &waiting.want {
-                Want::New { request, body, .. } => self.billed_before(name, request, *body),
-                Want::More { .. } => None,
+                ReservationKind::New { request, body, .. } => {
+                    self.billed_before(name, request, *body)
+                }
+                ReservationKind::More { .. } => None,
             };
             let local = self.locals.get_mut(name).expect("listed by the caller");
             match reply {
@@ -108,7 +110,7 @@
         }
     }
 
-    fn judge(&self, now: u64, name: &str, waiting: &Waiting) -> Verdict {
+    fn judge(&self, now: u64, name: &str, waiting: &WaitingReservation) -> Verdict {
         let retry_ms = if self.failures > 0 {
             OUTAGE_RETRY_MS
         } else {
@@ -161,7 +163,7 @@
         let Some(account) = self.stored(name) else {
             return false;
         };
-        let basis = crate::grant::Basis {
+        let basis = crate::grant::SizingInput {
             need: lack,
             free: account.free(),
             total: account.total(),
@@ -229,15 +231,15 @@
 }
 
 /// Opens or widens a hold; none when the hold to widen is gone.
-fn hold(local: &mut Local, waiting: Waiting, next_hold: u64) -> Option<u64> {
+fn hold(local: &mut LocalAccount, waiting: WaitingReservation, next_hold: u64) -> Option<u64> {
     match waiting.want {
-        Want::New {
+        ReservationKind::New {
             request,
             body,
             entry,
         } => {
             local.by_request.insert(request.clone(), next_hold);
-            let held = Held {
+            let held = Hold {
                 request,
                 body,
                 entries: smallvec![entry],
@@ -250,7 +252,7 @@
             local.held.insert(next_hold, held);
             Some(next_hold)
         }
-        Want::More { hold } => {
+        ReservationKind::More { hold } => {
             let held = local.held.get_mut(&hold)?;
             held.tokens += waiting.tokens;
             held.at = waiting.at;
--- a/crates/budget/src/settle.rs
+++ b/crates/budget/src/settle.rs
@@ -1,10 +1,10 @@
 //! How holds end: settled by entries, given up, proved by upstreams, or posted from copies.
 
-use crate::home::{close_hold, reply_settled, Home, PROBE_MS, RECOPY_MS};
-use crate::local::{Held, Pending, Want};
-use crate::msg::{Action, Doubt, Note, Post, RunAt, Settled};
+use crate::local_account::{Hold, PendingSettlement, ReservationKind};
+use crate::msg::{Action, AttemptRef, Durability, Settlement, UnconfirmedUsage, Warning};
+use crate::shard::{close_hold, reply_settled, Shard, PROBE_MS, RECOPY_MS};
 
-impl Home {
+impl Shard {
     /// Frees a reservation whose answer reached its entry too late, or never.
     ///
     /// Without this the tokens would stay reserved with nobody to settle them.
@@ -13,26 +13,26 @@
         let local = self.locals.entry(account.to_string()).or_default();
         local.void(entry, request);
         local.waiting.retain(|w| match &w.want {
-            Want::New {
+            ReservationKind::New {
                 request: r,
                 entry: e,
                 ..
             } => r != request || e != entry,
-            Want::More { .. } => true,
+            ReservationKind::More { .. } => true,
         });
         let Some(hold) = local.by_request.get(request).copied() else {
             return;
         };
-        let only = |h: &Held| h.entries.len() == 1 && h.entries[0] == entry;
+        let only = |h: &Hold| h.entries.len() == 1 && h.entries[0] == entry;
         if local.held.get(&hold).is_some_and(only) {
-            let post = Post {
+            let post = Settlement {
                 holder: me,
                 hold,
                 request: request.to_string(),
                 tokens: 0,
                 billed: false,
                 body: 0,
-                at: RunAt::default(),
+                at: AttemptRef::default(),
                 at_ms: 0,
             };
             self.settle(now, None, account, post, &[], &mut Vec::new());
@@ -44,12 +44,12 @@
         now: u64,
         ask: Option<u64>,
         account: &str,
-        mut post: Post,
-        doubts: &[Doubt],
+        mut post: Settlement,
+        doubts: &[UnconfirmedUsage],
         out: &mut Vec<Action>,
     ) {
         if self.is_posted(account, &post) {
-            reply_settled(ask, Settled::Recorded, out);
+            reply_settled(ask, Durability::Recorded, out);
             return;
         }
         self.hot.insert(account.to_string());
@@ -60,7 +60,8 @@
                 self.params.copy_ms
             };
         let local = self.locals.entry(account.to_string()).or_default();
-        let same = |p: &&mut Pending| p.post.holder == post.holder && p.post.hold == post.hold;
+        let same =
+            |p: &&mut PendingSettlement| p.post.holder == post.holder && p.post.hold == post.hold;
         if let Some(pending) = local.pending.iter_mut().find(same) {
             pending.asks.extend(ask);
             return;
@@ -68,18 +69,18 @@
         if post.holder == self.me {
             let Some(held) = local.held.remove(&post.hold) else {
                 // An unknown number of this holder: an earlier settlement is already forgotten.
-                reply_settled(ask, Settled::Recorded, out);
+                reply_settled(ask, Durability::Recorded, out);
                 return;
             };
             if post.tokens > held.tokens {
                 let account = account.to_string();
                 let tokens = post.tokens - held.tokens;
-                out.push(Action::Note(Note::Excess { account, tokens }));
+                out.push(Action::Note(Warning::Excess { account, tokens }));
                 post.tokens = held.tokens;
             }
             self.next_hold = close_hold(now, local, held, &post, doubts, self.next_hold);
         }
-        local.pending.push(Pending {
+        local.pending.push(PendingSettlement {
             post,
             asks: ask.into_iter().collect(),
             copy_at,
@@ -87,7 +88,7 @@
         });
     }
 
-    pub(crate) fn is_posted(&self, account: &str, post: &Post) -> bool {
+    pub(crate) fn is_posted(&self, account: &str, post: &Settlement) -> bool {
         let record = self.record();
         record.is_some_and(|r| r.has_post(account, &post.holder, post.hold))
     }
@@ -120,7 +121,7 @@
         };
         for pending in local.pending.iter_mut().filter(|p| p.post.hold == hold) {
             for ask in pending.asks.drain(..) {
-                reply_settled(Some(ask), Settled::Copied, out);
+                reply_settled(Some(ask), Durability::Copied, out);
             }
         }
     }
@@ -158,7 +159,7 @@
         let Some(held) = local.and_then(|l| l.held.get(&hold)) else {
             return;
         };
-        let post = Post {
+        let post = Settlement {
             holder: self.me.clone(),
             hold,
             request: held.request.clone(),
--- a/crates/budget/src/home.rs
+++ b/crates/budget/src/shard.rs
@@ -7,15 +7,18 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::joint::Witness;
-use crate::local::{Done, Held, Local, Waiting, Want};
+use crate::archived_bills::Older;
+use crate::joint_grant::Witness;
+use crate::local_account::{
+    FinishedRequest, Hold, LocalAccount, ReservationKind, WaitingReservation,
+};
 use crate::msg::{
-    Act, ActReply, Action, Doubt, Event, Post, Reserve, ReserveReply, RunAt, Settled, Stored,
+    Action, AttemptRef, Durability, Event, OperatorCommand, OperatorReply, RecordSnapshot,
+    ReserveReply, ReserveRequest, Settlement, UnconfirmedUsage,
 };
-use crate::older::Older;
-use crate::pacer::Pacer;
 pub use crate::params::{Params, Role};
-use crate::record::{Account, Record, Segment};
+use crate::record::{Account, BillSegment, ShardRecord};
+use crate::write_limiter::WriteLimiter;
 
 /// First wait after a failed platform call, in milliseconds.
 const BACKOFF_MS: u64 = 100;
@@ -57,11 +60,11 @@
     pub(crate) number: u64,
     pub(crate) base: i64,
     pub(crate) giving: BTreeMap<String, u64>,
-    pub(crate) record: Record,
+    pub(crate) record: ShardRecord,
 }
 
 /// One shard at one instance.
-pub struct Home {
+pub struct Shard {
     /// This incarnation.
     pub(crate) me: String,
     pub(crate) params: Params,
@@ -73,10 +76,10 @@
     /// What this instance knows as a witness for others.
     pub(crate) witness_of: Witness,
     /// The record as last read or written, with the time at which that call began.
-    pub(crate) known: Option<(Stored, u64)>,
+    pub(crate) known: Option<(RecordSnapshot, u64)>,
     pub(crate) io: Io,
     pub(crate) doubtful: Vec<Proposal>,
-    pub(crate) locals: BTreeMap<String, Local>,
+    pub(crate) locals: BTreeMap<String, LocalAccount>,
     /// Accounts that something may have to be done for.
     pub(crate) hot: BTreeSet<String>,
     /// Whether a standby's own grants are to be looked at.
@@ -86,8 +89,8 @@
     pub(crate) failures: u32,
     pub(crate) retry_at: u64,
     pub(crate) want_read: bool,
-    pub(crate) kept: Vec<(u64, String, Post)>,
-    pub(crate) rolled: Option<(String, Segment)>,
+    pub(crate) kept: Vec<(u64, String, Settlement)>,
+    pub(crate) rolled: Option<(String, BillSegment)>,
     pub(crate) older: Older,
     pub(crate) gone: Vec<String>,
     pub(crate) next_look: u64,
@@ -96,10 +99,10 @@
     pub(crate) suspect: Option<(i64, u64)>,
 }
 
-impl Home {
+impl Shard {
     /// Opens a home that knows nothing yet.
-    pub fn open(me: &str, params: Params) -> Home {
-        Home {
+    pub fn open(me: &str, params: Params) -> Shard {
+        Shard {
             me: me.to_string(),
             params,
             role: Role::None,
@@ -142,12 +145,12 @@
     }
 
     /// Returns the record as last known.
-    pub fn record(&self) -> Option<&Record> {
+    pub fn record(&self) -> Option<&ShardRecord> {
         self.known.as_ref().map(|(s, _)| &s.record)
     }
 
     /// Returns the accounts with something here.
-    pub fn locals(&self) -> &BTreeMap<String, Local> {
+    pub fn locals(&self) -> &BTreeMap<String, LocalAccount> {
         &self.locals
     }
 
@@ -158,13 +161,14 @@
 
     /// Returns whether something waits for time or for the platform.
     pub fn is_busy(&self) -> bool {
-        let busy = |l: &Local| !l.pending.is_empty() || !l.waiting.is_empty() || !l.acts.is_empty();
+        let busy =
+            |l: &LocalAccount| !l.pending.is_empty() || !l.waiting.is_empty() || !l.acts.is_empty();
         self.io != Io::Idle || self.locals.values().any(busy)
     }
 
     /// Returns whether nothing is left to settle or hand back.
     pub fn is_clear(&self) -> bool {
-        let clear = |(name, l): (&String, &Local)| {
+        let clear = |(name, l): (&String, &LocalAccount)| {
             let quiet = l.is_quiet() && l.acts.is_empty() && l.recalls == 0 && l.joint.is_none();
             let empty = l.giving == 0 && self.available(name) == 0;
             quiet && empty && !self.has_unwritten_transfers(name)
@@ -179,7 +183,7 @@
     /// Panics when more was promised than is held, unless an operator took tokens back from this
     /// living holder: that act is allowed to, and is refused new work instead.
     pub fn available(&self, account: &str) -> u64 {
-        let none = Local::default();
+        let none = LocalAccount::default();
         let local = self.locals.get(account).unwrap_or(&none);
         let stored = self.record().and_then(|r| r.accounts.get(account));
         let line = stored.and_then(|a| a.lines.get(&self.me));
@@ -207,7 +211,13 @@
     }
 
     /// Takes one event and appends what follows from it.
-    pub fn step(&mut self, now: u64, event: Event, pacer: &mut Pacer, out: &mut Vec<Action>) {
+    pub fn step(
+        &mut self,
+        now: u64,
+        event: Event,
+        pacer: &mut WriteLimiter,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(account) = event.account() {
             self.hot.insert(account.to_string());
         }
@@ -313,7 +323,7 @@
         &mut self,
         now: u64,
         ask: u64,
-        req: Reserve,
+        req: ReserveRequest,
         deadline: u64,
         out: &mut Vec<Action>,
     ) {
@@ -326,9 +336,9 @@
         }
         let local = self.locals.get_mut(&account).expect("made above");
         local.demand(now, req.tokens);
-        local.waiting.push_back(Waiting {
+        local.waiting.push_back(WaitingReservation {
             ask,
-            want: Want::New {
+            want: ReservationKind::New {
                 request: req.request,
                 body: req.body,
                 entry: req.entry,
@@ -348,7 +358,7 @@
         ask: u64,
         account: &str,
         hold: u64,
-        at: RunAt,
+        at: AttemptRef,
         tokens: u64,
         deadline: u64,
         out: &mut Vec<Action>,
@@ -359,9 +369,9 @@
             out.push(Action::Reserved { ask, reply });
             return;
         }
-        local.waiting.push_back(Waiting {
+        local.waiting.push_back(WaitingReservation {
             ask,
-            want: Want::More { hold },
+            want: ReservationKind::More { hold },
             at,
             tokens,
             weight: 100,
@@ -397,7 +407,7 @@
     pub(crate) fn tick(&mut self, now: u64, out: &mut Vec<Action>) {
         self.post_kept(now);
         self.open_ahead(now, out);
-        let called = |(n, l): (&String, &Local)| (!l.calls.is_empty()).then(|| n.clone());
+        let called = |(n, l): (&String, &LocalAccount)| (!l.calls.is_empty()).then(|| n.clone());
         let hot = self.hot.iter().filter_map(|n| self.locals.get_key_value(n));
         let called: Vec<String> = hot.filter_map(called).collect();
         for name in called {
@@ -450,7 +460,7 @@
 /// Returns the answer for a request that is known, or refused for good.
 fn known_request(
     me: &str,
-    local: &mut Local,
+    local: &mut LocalAccount,
     request: &str,
     body: u64,
     entry: &str,
@@ -479,10 +489,10 @@
 /// Moves a hold to the finished requests; what is in doubt stays held under new numbers.
 pub(crate) fn close_hold(
     now: u64,
-    local: &mut Local,
-    held: Held,
-    post: &Post,
-    doubts: &[Doubt],
+    local: &mut LocalAccount,
+    held: Hold,
+    post: &Settlement,
+    doubts: &[UnconfirmedUsage],
     mut next_hold: u64,
 ) -> u64 {
     let mut rest = held.tokens - post.tokens;
@@ -490,7 +500,7 @@
         local.by_request.remove(&held.request);
     }
     if post.billed {
-        let done = Done {
+        let done = FinishedRequest {
             hold: post.hold,
             body: held.body,
             at: held.at.clone(),
@@ -502,7 +512,7 @@
     for doubt in doubts {
         let tokens = doubt.tokens.min(rest);
         rest -= tokens;
-        let kept = Held {
+        let kept = Hold {
             request: held.request.clone(),
             body: held.body,
             at: doubt.at.clone(),
@@ -518,21 +528,21 @@
     next_hold
 }
 
-pub(crate) fn reply_settled(ask: Option<u64>, how: Settled, out: &mut Vec<Action>) {
+pub(crate) fn reply_settled(ask: Option<u64>, how: Durability, out: &mut Vec<Action>) {
     out.extend(ask.map(|ask| Action::Settled { ask, how }));
 }
 
 /// Returns the answer to an act as the record shows it.
-pub(crate) fn act_reply(account: &Account, act: &Act) -> Option<ActReply> {
+pub(crate) fn act_reply(account: &Account, act: &OperatorCommand) -> Option<OperatorReply> {
     match act {
-        Act::TopUp { id, tokens } => match account.topups.get(id) {
-            Some(old) if old == tokens => Some(ActReply::Done(*tokens)),
-            Some(old) => Some(ActReply::IdReused(*old)),
+        OperatorCommand::TopUp { id, tokens } => match account.topups.get(id) {
+            Some(old) if old == tokens => Some(OperatorReply::Done(*tokens)),
+            Some(old) => Some(OperatorReply::IdReused(*old)),
             None => None,
         },
-        Act::Release { id, .. } => {
+        OperatorCommand::Release { id, .. } => {
             let found = account.releases.iter().find(|r| r.id == *id);
-            found.map(|r| ActReply::Done(r.tokens))
+            found.map(|r| OperatorReply::Done(r.tokens))
         }
     }
 }
--- a/crates/budget/src/bank.rs
+++ b/crates/budget/src/shard_manager.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::grant::Sizing;
-use crate::home::{Home, Params, Role};
+use crate::grant::GrantSizing;
 use crate::msg::{Action, Event};
-use crate::pacer::Pacer;
-use crate::place::{self, Candidate};
-use crate::record::Record;
+use crate::placement::{self, Candidate};
+use crate::record::ShardRecord;
+use crate::shard::{Params, Role, Shard};
+use crate::write_limiter::WriteLimiter;
 
 /// Absence after which a holder without unspent tokens is folded up, in milliseconds: longer than
 /// any request, and than any entry tries to post its bill.
@@ -15,7 +15,7 @@
 
 /// An action with the shard that it belongs to.
 #[derive(Clone, Debug)]
-pub struct Output {
+pub struct ShardAction {
     /// The shard.
     pub shard: u32,
     /// The action.
@@ -23,29 +23,35 @@
 }
 
 /// All shards of one instance.
-pub struct Bank {
+pub struct ShardManager {
     me: String,
     params: Params,
     shards: u32,
     writes_per_sec: u64,
-    homes: BTreeMap<u32, Home>,
-    pacer: Pacer,
+    homes: BTreeMap<u32, Shard>,
+    pacer: WriteLimiter,
     members: Vec<Candidate>,
     leaving: bool,
     /// Holders that nobody shows as present, and since when.
     absent: BTreeMap<String, u64>,
 }
 
-impl Bank {
+impl ShardManager {
     /// Opens a bank that knows of no other instance.
-    pub fn open(now: u64, me: &str, shards: u32, writes_per_sec: u64, params: Params) -> Bank {
-        Bank {
+    pub fn open(
+        now: u64,
+        me: &str,
+        shards: u32,
+        writes_per_sec: u64,
+        params: Params,
+    ) -> ShardManager {
+        ShardManager {
             me: me.to_string(),
             params,
             shards,
             writes_per_sec,
             homes: BTreeMap::new(),
-            pacer: Pacer::open(now, writes_per_sec, 1.0),
+            pacer: WriteLimiter::open(now, writes_per_sec, 1.0),
             members: Vec::new(),
             leaving: false,
             absent: BTreeMap::new(),
@@ -65,7 +71,7 @@
         }
         // Homes write most, so the fleet's share is split by the shards at home.
         let part = match self.params.sizing {
-            Sizing::Split { parts } => 1.0 / parts as f64,
+            GrantSizing::Split { parts } => 1.0 / parts as f64,
             _ => f64::from(homes) / f64::from(self.shards),
         };
         self.pacer.resize(self.writes_per_sec, part);
@@ -83,7 +89,7 @@
         if self.leaving {
             return Role::None;
         }
-        let order = place::home_and_standbys(shard, &self.members);
+        let order = placement::home_and_standbys(shard, &self.members);
         match order.iter().position(|c| c.id == self.me) {
             Some(0) => Role::Home,
             Some(_) => Role::Standby,
@@ -98,7 +104,7 @@
             .iter()
             .find(|c| c.id == self.me)
             .map(|c| &c.zone)?;
-        let ranked = place::rank(shard, &self.members);
+        let ranked = placement::rank(shard, &self.members);
         let other = |c: &&&Candidate| c.zone == *zone && c.id != self.me;
         ranked.iter().find(other).map(|c| c.id.clone())
     }
@@ -113,19 +119,19 @@
         self.home(shard).place(role, peers, witness);
     }
 
-    fn home(&mut self, shard: u32) -> &mut Home {
+    fn home(&mut self, shard: u32) -> &mut Shard {
         let (me, params) = (&self.me, self.params);
-        let open = || Home::open(me, params);
+        let open = || Shard::open(me, params);
         self.homes.entry(shard).or_insert_with(open)
     }
 
     /// Returns the shard of an account.
     pub fn shard(&self, account: &str) -> u32 {
-        place::shard(account, self.shards)
+        placement::shard(account, self.shards)
     }
 
     /// Takes one event of one shard.
-    pub fn step(&mut self, now: u64, shard: u32, event: Event) -> Vec<Output> {
+    pub fn step(&mut self, now: u64, shard: u32, event: Event) -> Vec<ShardAction> {
         if !self.homes.contains_key(&shard) {
             self.home(shard);
             self.place(shard);
@@ -133,12 +139,12 @@
         let mut actions = Vec::new();
         let home = self.homes.get_mut(&shard).expect("opened above");
         home.step(now, event, &mut self.pacer, &mut actions);
-        let output = |action| Output { shard, action };
+        let output = |action| ShardAction { shard, action };
         actions.into_iter().map(output).collect()
     }
 
     /// Tells every shard the same.
-    pub fn step_all(&mut self, now: u64, event: &Event) -> Vec<Output> {
+    pub fn step_all(&mut self, now: u64, event: &Event) -> Vec<ShardAction> {
         let shards: Vec<u32> = self.homes.keys().copied().collect();
         let step = |s| self.step(now, s, event.clone());
         shards.into_iter().flat_map(step).collect()
@@ -151,8 +157,8 @@
     /// bill for them may still be on its way from an entry. Folded too early, its line looks
     /// settled, and the bill is taken for a repetition and lost.
     pub fn set_presence(&mut self, now: u64, present: &[String], left: &[String]) {
-        let records = self.homes.values().filter_map(Home::record);
-        let holders: BTreeSet<String> = records.flat_map(Record::holders).collect();
+        let records = self.homes.values().filter_map(Shard::record);
+        let holders: BTreeSet<String> = records.flat_map(ShardRecord::holders).collect();
         self.absent.retain(|h, _| holders.contains(h));
         for holder in holders {
             if present.contains(&holder) || holder == self.me {
@@ -170,17 +176,17 @@
     }
 
     /// Returns the shards that are open here.
-    pub fn homes(&self) -> &BTreeMap<u32, Home> {
+    pub fn homes(&self) -> &BTreeMap<u32, Shard> {
         &self.homes
     }
 
     /// Returns whether something waits for time or for the platform.
     pub fn is_busy(&self) -> bool {
-        self.homes.values().any(Home::is_busy)
+        self.homes.values().any(Shard::is_busy)
     }
 
     /// Returns whether nothing is left to settle or hand back.
     pub fn is_clear(&self) -> bool {
-        self.homes.values().all(Home::is_clear)
+        self.homes.values().all(Shard::is_clear)
     }
 }
--- a/crates/budget/src/handover.rs
+++ b/crates/budget/src/transfer.rs
@@ -1,10 +1,10 @@
 //! Tokens that move between holders, or back to the record.
 
-use crate::home::{Home, Role, CALL_MS};
-use crate::joint::WaitingCall;
+use crate::joint_grant::DeferredRecall;
 use crate::msg::Action;
+use crate::shard::{Role, Shard, CALL_MS};
 
-impl Home {
+impl Shard {
     /// Takes another holder's call for tokens; opens a step first where that is needed.
     pub(crate) fn call(
         &mut self,
@@ -22,7 +22,7 @@
         }
         let until = now + CALL_MS;
         let local = self.locals.entry(account.to_string()).or_default();
-        local.calls.push(WaitingCall {
+        local.calls.push(DeferredRecall {
             ask,
             to,
             tokens,
--- a/crates/budget/src/pacer.rs
+++ b/crates/budget/src/write_limiter.rs
@@ -6,17 +6,17 @@
 
 /// A token bucket: a write at once while the load is light, spaced writes under load.
 #[derive(Clone, Debug)]
-pub struct Pacer {
+pub struct WriteLimiter {
     per_sec: f64,
     burst: f64,
     level: f64,
     at: u64,
 }
 
-impl Pacer {
+impl WriteLimiter {
     /// Opens a pacer with a part of a rate that a fleet shares.
-    pub fn open(now: u64, fleet_per_sec: u64, part: f64) -> Pacer {
-        let mut pacer = Pacer {
+    pub fn open(now: u64, fleet_per_sec: u64, part: f64) -> WriteLimiter {
+        let mut pacer = WriteLimiter {
             per_sec: 1.0,
             burst: 1.0,
             level: f64::MAX,
--- a/crates/budget/tests/money.rs
+++ b/crates/budget/tests/decisions.rs
@@ -1,37 +1,39 @@
 //! Decisions on budgets, one situation each; `trial` drives them in random ones.
 
-use budget::home::Params;
-use budget::msg::{Reserve, RunAt, Stored};
-use budget::pacer::Pacer;
-use budget::record::Posted;
-use budget::{Account, Act, Action, Event, Home, Post, Record, ReserveReply, Role};
+use budget::msg::{AttemptRef, RecordSnapshot, ReserveRequest};
+use budget::record::PostOutcome;
+use budget::shard::Params;
+use budget::write_limiter::WriteLimiter;
+use budget::{
+    Account, Action, Event, OperatorCommand, ReserveReply, Role, Settlement, Shard, ShardRecord,
+};
 
-fn post(holder: &str, hold: u64, request: &str, tokens: u64) -> Post {
-    Post {
+fn post(holder: &str, hold: u64, request: &str, tokens: u64) -> Settlement {
+    Settlement {
         holder: holder.to_string(),
         hold,
         request: request.to_string(),
         tokens,
         billed: true,
         body: 1,
-        at: RunAt::default(),
+        at: AttemptRef::default(),
         at_ms: 1,
     }
 }
 
 struct Bench {
-    home: Home,
-    pacer: Pacer,
+    home: Shard,
+    pacer: WriteLimiter,
     now: u64,
 }
 
 impl Bench {
     fn open(id: &str) -> Bench {
-        let mut home = Home::open(id, Params::default());
+        let mut home = Shard::open(id, Params::default());
         home.place(Role::Home, vec![id.to_string(), "b.1".to_string()], None);
         Bench {
             home,
-            pacer: Pacer::open(0, 1_000, 1.0),
+            pacer: WriteLimiter::open(0, 1_000, 1.0),
             now: 0,
         }
     }
@@ -44,12 +46,12 @@
     }
 
     fn reserve(&mut self, request: &str, tokens: u64) -> Vec<Action> {
-        let req = Reserve {
+        let req = ReserveRequest {
             account: "c".to_string(),
             request: request.to_string(),
             body: 1,
             entry: "e.1".to_string(),
-            at: RunAt::default(),
+            at: AttemptRef::default(),
             tokens,
             weight: 25,
         };
@@ -62,22 +64,22 @@
     }
 }
 
-fn record(total: u64) -> Record {
-    let mut record = Record::default();
+fn record(total: u64) -> ShardRecord {
+    let mut record = ShardRecord::default();
     let account = record.accounts.entry("c".to_string()).or_default();
     account.top_up("t", total).expect("a new id");
     record
 }
 
-fn stored(revision: i64, record: Record) -> Option<Stored> {
-    Some(Stored { revision, record })
+fn stored(revision: i64, record: ShardRecord) -> Option<RecordSnapshot> {
+    Some(RecordSnapshot { revision, record })
 }
 
-fn written(out: &[Action]) -> (i64, Record) {
+fn written(out: &[Action]) -> (i64, ShardRecord) {
     written_in(out).unwrap_or_else(|| panic!("no write in {out:?}"))
 }
 
-fn written_in(out: &[Action]) -> Option<(i64, Record)> {
+fn written_in(out: &[Action]) -> Option<(i64, ShardRecord)> {
     out.iter().find_map(|a| match a {
         Action::Write { base, record } => Some((*base, record.clone())),
         _ => None,
@@ -210,15 +212,15 @@
     let mut record = record(1_000);
     assert_eq!(
         record.post("c", &post("a.1", 1, "r", 10), false),
-        Posted::New
+        PostOutcome::New
     );
     assert_eq!(
         record.post("c", &post("a.1", 1, "r", 10), false),
-        Posted::Known
+        PostOutcome::Known
     );
     assert_eq!(
         record.post("c", &post("b.1", 7, "r", 12), false),
-        Posted::Duplicate
+        PostOutcome::Duplicate
     );
     let account = &record.accounts["c"];
     assert_eq!((account.bills.len(), account.settled()), (1, 22));
@@ -271,7 +273,7 @@
 #[test]
 fn act_is_answered_from_the_record() {
     let mut bench = Bench::open("a.1");
-    let act = Act::TopUp {
+    let act = OperatorCommand::TopUp {
         id: "t".to_string(),
         tokens: 7,
     };
@@ -287,7 +289,7 @@
         Action::Acted { reply, .. } => Some(reply.clone()),
         _ => None,
     });
-    assert_eq!(reply, Some(budget::ActReply::IdReused(1_000)));
+    assert_eq!(reply, Some(budget::OperatorReply::IdReused(1_000)));
 }
 
 /// Symptom: a crash strands a quarter of a budget though the holder has a partner in its zone.
--- a/crates/budget/tests/encoding.rs
+++ b/crates/budget/tests/encoding.rs
@@ -1,33 +1,36 @@
 //! Instances of other versions and later incarnations read these: their encoding stays.
 
-use budget::grant::Sizing;
-use budget::joint::JointLocal;
-use budget::local::Held;
-use budget::msg::{Doubt, Reserve, RunAt};
-use budget::ranges::Ranges;
-use budget::record::{Joint, Release, Segment};
-use budget::{Account, Act, ActReply, Bill, Line, Post, Record, ReserveReply, Role, Settled};
+use budget::grant::GrantSizing;
+use budget::joint_grant::LocalJointGrant;
+use budget::local_account::Hold;
+use budget::msg::{AttemptRef, ReserveRequest, UnconfirmedUsage};
+use budget::range_set::RangeSet;
+use budget::record::{BillSegment, JointGrant, Release};
+use budget::{
+    Account, Bill, Durability, LedgerEntry, OperatorCommand, OperatorReply, ReserveReply, Role,
+    Settlement, ShardRecord,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
 
 #[test]
 fn stored_budgets_keep_their_encoding() {
-    assert_kept::<Record>(include_str!("data/outer/records.json"));
+    assert_kept::<ShardRecord>(include_str!("data/outer/records.json"));
     assert_kept::<Account>(include_str!("data/outer/accounts.json"));
-    assert_kept::<Segment>(include_str!("data/outer/segments.json"));
-    assert_kept::<Joint>(include_str!("data/outer/joints.json"));
-    assert_kept::<Line>(include_str!("data/outer/lines.json"));
-    assert_kept::<Ranges>(include_str!("data/outer/ranges.json"));
+    assert_kept::<BillSegment>(include_str!("data/outer/segments.json"));
+    assert_kept::<JointGrant>(include_str!("data/outer/joints.json"));
+    assert_kept::<LedgerEntry>(include_str!("data/outer/lines.json"));
+    assert_kept::<RangeSet>(include_str!("data/outer/ranges.json"));
     assert_kept::<Bill>(include_str!("data/outer/bills.json"));
     assert_kept::<Release>(include_str!("data/outer/releases.json"));
-    assert_kept::<RunAt>(include_str!("data/outer/run_at.json"));
+    assert_kept::<AttemptRef>(include_str!("data/outer/run_at.json"));
 }
 
 /// Guards records that an earlier version wrote, which lack these fields.
 #[test]
 fn short_stored_budgets_are_read() {
-    assert_filled::<Record>(
+    assert_filled::<ShardRecord>(
         r#"{"accounts":{}}"#,
         r#"{"accounts":{},"writers":{},"tombstones":[]}"#,
     );
@@ -35,7 +38,7 @@
         r#"{"topups":{},"lines":{}}"#,
         r#"{"topups":{},"lines":{},"folded":0,"bills":[]}"#,
     );
-    assert_filled::<Line>(
+    assert_filled::<LedgerEntry>(
         r#"{"granted":1,"settled":2}"#,
         r#"{"granted":1,"settled":2,"written_off":0,"posted":[],"released":0}"#,
     );
@@ -43,21 +46,21 @@
 
 #[test]
 fn messages_on_budgets_keep_their_encoding() {
-    assert_kept::<Reserve>(include_str!("data/outer/reserves.json"));
+    assert_kept::<ReserveRequest>(include_str!("data/outer/reserves.json"));
     assert_kept::<ReserveReply>(include_str!("data/outer/reserve_replies.json"));
-    assert_kept::<Settled>(include_str!("data/outer/settled.json"));
-    assert_kept::<Post>(include_str!("data/outer/posts.json"));
-    assert_kept::<Doubt>(include_str!("data/outer/doubts.json"));
-    assert_kept::<Act>(include_str!("data/outer/acts.json"));
-    assert_kept::<ActReply>(include_str!("data/outer/act_replies.json"));
-    assert_kept::<Sizing>(include_str!("data/outer/sizings.json"));
+    assert_kept::<Durability>(include_str!("data/outer/settled.json"));
+    assert_kept::<Settlement>(include_str!("data/outer/posts.json"));
+    assert_kept::<UnconfirmedUsage>(include_str!("data/outer/doubts.json"));
+    assert_kept::<OperatorCommand>(include_str!("data/outer/acts.json"));
+    assert_kept::<OperatorReply>(include_str!("data/outer/act_replies.json"));
+    assert_kept::<GrantSizing>(include_str!("data/outer/sizings.json"));
 }
 
 /// These are written only, in the dump.
 #[test]
 fn dumped_holds_keep_their_encoding() {
     let at = || serde_json::from_str(r#"{"upstream":"engine-1","run":"r-7"}"#).expect("a sample");
-    let held = Held {
+    let held = Hold {
         request: "q-1".to_string(),
         body: u64::MAX,
         entries: ["r1.6a".to_string(), "r2.6b".to_string()].into(),
@@ -69,7 +72,7 @@
     };
     let sample = r#"{"request":"q-1","body":18446744073709551615,"entries":["r1.6a","r2.6b"],"at":{"upstream":"engine-1","run":"r-7"},"tokens":500,"paid":10,"uncertain":true,"probe_at":77}"#;
     assert_eq!(serde_json::to_string(&held).expect("JSON"), sample);
-    let joint = JointLocal {
+    let joint = LocalJointGrant {
         key: "r1.6a+r2.6b+1+alpha".to_string(),
         opened: 40,
         asked: Some((5, 60)),
@@ -85,7 +88,7 @@
 fn roles_and_settlements_keep_their_texts() {
     let roles = [Role::Home, Role::Standby, Role::None];
     assert_eq!(format!("{roles:?}"), "[Home, Standby, None]");
-    let settled: [Result<Settled, ()>; 2] = [Ok(Settled::Recorded), Ok(Settled::Copied)];
+    let settled: [Result<Durability, ()>; 2] = [Ok(Durability::Recorded), Ok(Durability::Copied)];
     assert_eq!(format!("{settled:?}"), "[Ok(Recorded), Ok(Copied)]");
 }
 
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use budget::{place, Account, Act, ActReply, Record};
+use budget::{placement, Account, OperatorCommand, OperatorReply, ShardRecord};
 use conf::Config;
 use err::{Error, Kind};
 use serde::Deserialize;
@@ -218,7 +218,7 @@
 }
 
 /// Reads the record of a shard.
-async fn record(shared: &Shared, shard: u32) -> Result<Record, Error> {
+async fn record(shared: &Shared, shard: u32) -> Result<ShardRecord, Error> {
     let down = || {
         let message = "the platform's service can't be reached";
         Error::new(Kind::PlatformDown, message).retry_after(RETRY_SECS)
@@ -229,7 +229,7 @@
         .await
         .map_err(|_| down())?;
     let Some(found) = found else {
-        return Ok(Record::default());
+        return Ok(ShardRecord::default());
     };
     let broken = |e: serde_json::Error| Error::new(Kind::Internal, e.to_string());
     serde_json::from_slice(&found.value).map_err(broken)
@@ -272,7 +272,7 @@
 }
 
 async fn account(shared: &Shared, name: &str) -> Result<Account, Error> {
-    let shard = place::shard(name, shared.settings.shards());
+    let shard = placement::shard(name, shared.settings.shards());
     let mut record = record(shared, shard).await?;
     let none = || Error::new(Kind::NotFound, format!("customer {name:?} has no budget"));
     record.accounts.remove(name).ok_or_else(none)
@@ -286,7 +286,7 @@
 }
 
 async fn bills(shared: &Shared, name: &str) -> Result<Res, Error> {
-    let shard = place::shard(name, shared.settings.shards());
+    let shard = placement::shard(name, shared.settings.shards());
     let record = record(shared, shard).await?;
     let mut bills = Vec::new();
     let mut next = record.last_segment.clone();
@@ -295,7 +295,7 @@
         let found = shared.kv.get(&key).await.ok().flatten();
         let found = found.ok_or_else(|| Error::new(Kind::PlatformDown, "a segment is missing"))?;
         let broken = |e: serde_json::Error| Error::new(Kind::Internal, e.to_string());
-        let mut segment: budget::record::Segment =
+        let mut segment: budget::record::BillSegment =
             serde_json::from_slice(&found.value).map_err(broken)?;
         let older = segment.bills.remove(name).unwrap_or_default();
         bills.splice(0..0, older);
@@ -329,7 +329,7 @@
         let message = format!("there is no customer {name:?}");
         return Err(Error::new(Kind::NotFound, message));
     }
-    let act = Act::TopUp {
+    let act = OperatorCommand::TopUp {
         id: id.clone(),
         tokens,
     };
@@ -338,16 +338,16 @@
     Ok(reply)
 }
 
-async fn carry_out(shared: &Shared, name: &str, act: Act) -> Result<Res, Error> {
+async fn carry_out(shared: &Shared, name: &str, act: OperatorCommand) -> Result<Res, Error> {
     const WAIT: std::time::Duration = std::time::Duration::from_secs(10);
     let acted = tokio::time::timeout(WAIT, shared.bank.act(name, act)).await;
     match acted {
-        Ok(Some(ActReply::Done(tokens))) => Ok(Res::json(200, &json!({"tokens": tokens}))),
-        Ok(Some(ActReply::IdReused(old))) => Err(Error::new(
+        Ok(Some(OperatorReply::Done(tokens))) => Ok(Res::json(200, &json!({"tokens": tokens}))),
+        Ok(Some(OperatorReply::IdReused(old))) => Err(Error::new(
             Kind::IdReused,
             format!("this id was used for {old} tokens"),
         )),
-        Ok(Some(ActReply::Unknown) | None) | Err(_) => {
+        Ok(Some(OperatorReply::Unknown) | None) | Err(_) => {
             let message = "the platform does not answer: the act may come into force; send it again with the same id";
             Err(Error::new(Kind::OutcomeUnknown, message).retry_after(RETRY_SECS))
         }
@@ -397,7 +397,7 @@
         return Err(Error::new(Kind::Conflict, message));
     }
     let what = format!("{name}: held by {holder}, by {who}: {reason}");
-    let act = Act::Release {
+    let act = OperatorCommand::Release {
         id,
         holder,
         reason,
--- a/crates/entry/src/bank.rs
+++ b/crates/entry/src/bank.rs
@@ -1,8 +1,8 @@
 //! A handle on the task that owns the decisions on budgets.
 
-use budget::msg::Reserve;
-use budget::place::Candidate;
-use budget::{Act, ActReply, Event, ReserveReply, Settled};
+use budget::msg::ReserveRequest;
+use budget::placement::Candidate;
+use budget::{Durability, Event, OperatorCommand, OperatorReply, ReserveReply};
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
@@ -10,15 +10,15 @@
 
 /// What the task that owns the decisions is asked for.
 pub(crate) enum Cmd {
-    Reserve(Reserve, u64, oneshot::Sender<ReserveReply>),
+    Reserve(ReserveRequest, u64, oneshot::Sender<ReserveReply>),
     Extend(ExtendMsg, oneshot::Sender<ReserveReply>),
     Void(VoidMsg),
     DropOut(DropOutMsg, oneshot::Sender<bool>),
-    Settle(SettleMsg, oneshot::Sender<Settled>),
+    Settle(SettleMsg, oneshot::Sender<Durability>),
     Keep(KeepMsg),
     Recall(RecallMsg, oneshot::Sender<u64>),
     Open(OpenMsg, oneshot::Sender<u64>),
-    Act(String, Act, oneshot::Sender<ActReply>),
+    Act(String, OperatorCommand, oneshot::Sender<OperatorReply>),
     Event(u32, Event),
     Members(Vec<Candidate>),
     Silent(Vec<String>),
@@ -48,7 +48,7 @@
     }
 
     /// Holds tokens back.
-    pub async fn reserve(&self, req: Reserve, wait_ms: u64) -> Option<ReserveReply> {
+    pub async fn reserve(&self, req: ReserveRequest, wait_ms: u64) -> Option<ReserveReply> {
         let (tx, rx) = oneshot::channel();
         self.send(Cmd::Reserve(req, wait_ms, tx));
         rx.await.ok()
@@ -74,7 +74,7 @@
     }
 
     /// Settles a hold; returns when the bill is durable.
-    pub async fn settle(&self, msg: SettleMsg) -> Option<Settled> {
+    pub async fn settle(&self, msg: SettleMsg) -> Option<Durability> {
         let (tx, rx) = oneshot::channel();
         self.send(Cmd::Settle(msg, tx));
         rx.await.ok()
@@ -100,7 +100,7 @@
     }
 
     /// Carries out an operator's act.
-    pub async fn act(&self, account: &str, act: Act) -> Option<ActReply> {
+    pub async fn act(&self, account: &str, act: OperatorCommand) -> Option<OperatorReply> {
         let (tx, rx) = oneshot::channel();
         self.send(Cmd::Act(account.to_string(), act, tx));
         rx.await.ok()
--- a/crates/entry/src/bank_io.rs
+++ b/crates/entry/src/bank_io.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use budget::msg::{RunAt, Stored};
-use budget::{Event, Post, Record};
+use budget::msg::{AttemptRef, RecordSnapshot};
+use budget::{Event, Settlement, ShardRecord};
 use kv::{Failure, Found, Swap};
 use serde_json::Value;
 
@@ -22,13 +22,13 @@
     format!("/oriolehitch/bill/{shard:04}/{name}")
 }
 
-pub(crate) fn stored(found: Option<Found>) -> Result<Option<Stored>, String> {
+pub(crate) fn stored(found: Option<Found>) -> Result<Option<RecordSnapshot>, String> {
     let Some(found) = found else {
         return Ok(None);
     };
-    let record: Record = serde_json::from_slice(&found.value).map_err(|e| e.to_string())?;
+    let record: ShardRecord = serde_json::from_slice(&found.value).map_err(|e| e.to_string())?;
     let revision = found.revision;
-    Ok(Some(Stored { revision, record }))
+    Ok(Some(RecordSnapshot { revision, record }))
 }
 
 pub(crate) async fn read(cx: &Shared, shard: u32) -> Event {
@@ -39,7 +39,7 @@
     }
 }
 
-pub(crate) async fn write(cx: &Shared, shard: u32, base: i64, record: &Record) -> Event {
+pub(crate) async fn write(cx: &Shared, shard: u32, base: i64, record: &ShardRecord) -> Event {
     let text = serde_json::to_vec(record).expect("a record is JSON");
     match cx.kv.swap(&record_key(shard), base, &text, 0).await {
         Ok(Swap::Done(revision)) => Event::Written { revision },
@@ -84,7 +84,7 @@
 }
 
 /// Gives a copy of a settlement to an instance in another availability zone.
-pub(crate) async fn copy(cx: &Shared, account: &str, post: Post) -> bool {
+pub(crate) async fn copy(cx: &Shared, account: &str, post: Settlement) -> bool {
     let msg = KeepMsg {
         account: account.to_string(),
         post,
@@ -103,7 +103,7 @@
 }
 
 /// Cancels a request at its upstream and returns what it spent.
-pub(crate) async fn probe(cx: &Shared, at: &RunAt) -> Option<u64> {
+pub(crate) async fn probe(cx: &Shared, at: &AttemptRef) -> Option<u64> {
     let url = {
         let pool = cx.pool.lock().expect("no panic inside");
         let key = pool.find(&at.upstream)?;
--- a/crates/entry/src/bankd.rs
+++ b/crates/entry/src/bankd.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Weak};
 use std::time::Duration;
 
-use budget::home::Params;
-use budget::msg::Note;
-use budget::{ActReply, Action, Bank, Event, Output, ReserveReply, Settled};
+use budget::msg::Warning;
+use budget::shard::Params;
+use budget::{Action, Durability, Event, OperatorReply, ReserveReply, ShardAction, ShardManager};
 use kv::Swap;
 use serde_json::{json, Value};
 use tokio::sync::oneshot;
@@ -33,7 +33,7 @@
         ..Params::default()
     };
     let clock = shared.clock;
-    let bank = Bank::open(
+    let bank = ShardManager::open(
         clock.now(),
         &shared.me,
         settings.shards(),
@@ -65,16 +65,16 @@
 }
 
 struct Task {
-    bank: Bank,
+    bank: ShardManager,
     clock: Clock,
     shared: Weak<Shared>,
     handle: Handle,
     next_ask: u64,
     reserves: BTreeMap<u64, oneshot::Sender<ReserveReply>>,
     drop_outs: BTreeMap<u64, oneshot::Sender<bool>>,
-    settles: BTreeMap<u64, oneshot::Sender<Settled>>,
+    settles: BTreeMap<u64, oneshot::Sender<Durability>>,
     recalls: BTreeMap<u64, oneshot::Sender<u64>>,
-    acts: BTreeMap<u64, oneshot::Sender<ActReply>>,
+    acts: BTreeMap<u64, oneshot::Sender<OperatorReply>>,
 }
 
 impl Task {
@@ -106,7 +106,7 @@
         self.next_ask
     }
 
-    fn take(&mut self, now: u64, cmd: Cmd) -> Vec<Output> {
+    fn take(&mut self, now: u64, cmd: Cmd) -> Vec<ShardAction> {
         let ask = self.ask();
         match cmd {
             Cmd::Reserve(req, wait_ms, tx) => {
@@ -215,13 +215,13 @@
         }
     }
 
-    fn step(&mut self, now: u64, account: &str, event: Event) -> Vec<Output> {
+    fn step(&mut self, now: u64, account: &str, event: Event) -> Vec<ShardAction> {
         let shard = self.bank.shard(account);
         self.bank.step(now, shard, event)
     }
 
     /// Carries out one action; what takes time goes on beside and comes back as an event.
-    fn act(&mut self, shared: &Arc<Shared>, output: Output) {
+    fn act(&mut self, shared: &Arc<Shared>, output: ShardAction) {
         let shard = output.shard;
         let cx = Arc::clone(shared);
         let handle = self.handle.clone();
@@ -322,10 +322,10 @@
                     }
                 });
             }
-            Action::Note(Note::Excess { account, tokens }) => {
+            Action::Note(Warning::Excess { account, tokens }) => {
                 shared.log(event::Event::Excess, format!("{account}: {tokens} tokens"));
             }
-            Action::Note(Note::Duplicate { account, request }) => {
+            Action::Note(Warning::Duplicate { account, request }) => {
                 shared.log(event::Event::BillDuplicate, format!("{account}: {request}"));
             }
         }
--- a/crates/entry/src/msg.rs
+++ b/crates/entry/src/msg.rs
@@ -1,7 +1,7 @@
 //! What instances say to each other: typed messages, and the names of the methods that take them.
 
-use budget::msg::{Doubt, Reserve, RunAt};
-use budget::Post;
+use budget::msg::{AttemptRef, ReserveRequest, UnconfirmedUsage};
+use budget::Settlement;
 use conf::{Chunk, Head};
 use peer::Told;
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReserveMsg {
     /// The request.
-    pub req: Reserve,
+    pub req: ReserveRequest,
     /// How long the asker waits, in milliseconds.
     pub wait_ms: u64,
 }
@@ -23,7 +23,7 @@
     /// The hold.
     pub hold: u64,
     /// Where the entry will send the request.
-    pub at: RunAt,
+    pub at: AttemptRef,
     /// Tokens more.
     pub tokens: u64,
     /// How long the asker waits, in milliseconds.
@@ -58,9 +58,9 @@
     /// The customer.
     pub account: String,
     /// The settlement.
-    pub post: Post,
+    pub post: Settlement,
     /// What may have been spent besides.
-    pub doubts: Vec<Doubt>,
+    pub doubts: Vec<UnconfirmedUsage>,
 }
 
 /// A copy of a settlement, to be kept until it is recorded.
@@ -69,7 +69,7 @@
     /// The customer.
     pub account: String,
     /// The settlement.
-    pub post: Post,
+    pub post: Settlement,
 }
 
 /// A call for unspent tokens.
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/orders.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use budget::place::Candidate;
+use budget::placement::Candidate;
 use route::{Key, Kind};
 use serde_json::json;
 use xxhash_rust::xxh3::xxh3_64;
--- a/crates/entry/src/pipe/chat.rs
+++ b/crates/entry/src/pipe/chat.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use budget::msg::Doubt;
+use budget::msg::UnconfirmedUsage;
 use err::{Error, Kind, Ran};
 use route::upstream;
 use tokio::sync::oneshot;
@@ -210,7 +210,7 @@
         None => {
             let paid = out.at;
             spent.tokens += paid;
-            spent.doubts.push(Doubt {
+            spent.doubts.push(UnconfirmedUsage {
                 at,
                 tokens: cost(chat) - paid,
                 paid,
--- a/crates/entry/src/pipe/choose.rs
+++ b/crates/entry/src/pipe/choose.rs
@@ -1,6 +1,6 @@
 //! Waits for room, then chooses an upstream.
 
-use budget::msg::RunAt;
+use budget::msg::AttemptRef;
 use err::{Error, Kind};
 use rand::random;
 use route::pool::{Ask, Choice, Why};
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// Returns `OutcomeUnknown` when this instance does not know the upstream.
-pub fn join(cx: &mut Cx, at: &RunAt) -> Result<(), Error> {
+pub fn join(cx: &mut Cx, at: &AttemptRef) -> Result<(), Error> {
     let mut pool = cx.shared.pool.lock().expect("no panic inside");
     let key = pool.find(&at.upstream).ok_or_else(|| {
         let message = format!("it runs at {}, which is not listed", at.upstream);
--- a/crates/entry/src/pipe/cx.rs
+++ b/crates/entry/src/pipe/cx.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use budget::msg::RunAt;
+use budget::msg::AttemptRef;
 use bytes::Bytes;
 use conf::Policy;
 use route::{Choice, Key};
@@ -20,7 +20,7 @@
     /// Tokens.
     pub tokens: u64,
     /// Where the request runs, when another entry has begun it.
-    pub joined: Option<RunAt>,
+    pub joined: Option<AttemptRef>,
     /// Tokens that were billed before, when the request is finished.
     pub billed: Option<u64>,
 }
@@ -72,9 +72,9 @@
     }
 
     /// Returns where the current attempt runs.
-    pub fn run_at(&self) -> RunAt {
+    pub fn run_at(&self) -> AttemptRef {
         let upstream = self.upstream.as_ref().map(|u| u.id.clone());
-        RunAt {
+        AttemptRef {
             upstream: upstream.unwrap_or_default(),
             run: self.run.clone(),
         }
--- a/crates/entry/src/pipe/reserve.rs
+++ b/crates/entry/src/pipe/reserve.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use budget::msg::Reserve;
-use budget::place;
+use budget::msg::ReserveRequest;
+use budget::placement;
 use budget::ReserveReply;
 use err::{Error, Kind};
 use serde_json::Value;
@@ -77,7 +77,7 @@
 /// Asks the home, then the standbys, until one answers.
 async fn ask_homes(cx: &mut Cx, chat: &Chat, tokens: u64) -> Result<ReserveReply, Error> {
     let mut msg = ReserveMsg {
-        req: Reserve {
+        req: ReserveRequest {
             account: cx.customer.clone(),
             request: cx.id.clone(),
             body: chat.hash,
@@ -140,8 +140,8 @@
 /// Returns the instances to ask for a budget: the home, the own zone's standby, the others.
 pub fn homes(shared: &Shared, account: &str) -> Vec<String> {
     let candidates = shared.candidates();
-    let shard = place::shard(account, shared.settings.shards());
-    let mut order = place::home_and_standbys(shard, &candidates);
+    let shard = placement::shard(account, shared.settings.shards());
+    let mut order = placement::home_and_standbys(shard, &candidates);
     if order.len() > 1 {
         order[1..].sort_by_key(|c| c.zone != shared.settings.zone);
     }
--- a/crates/entry/src/pipe/settle.rs
+++ b/crates/entry/src/pipe/settle.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use budget::msg::Doubt;
-use budget::{Post, Settled};
+use budget::msg::UnconfirmedUsage;
+use budget::{Durability, Settlement};
 use tokio::time::{timeout_at, Instant};
 
 use super::cx::{Cx, Hold};
@@ -30,7 +30,7 @@
     /// Hash of the request's body.
     pub body: u64,
     /// What upstreams that can't be asked may have served besides.
-    pub doubts: Vec<Doubt>,
+    pub doubts: Vec<UnconfirmedUsage>,
 }
 
 /// Settles the request's hold and waits until its bill is durable.
@@ -72,7 +72,7 @@
     }
     SettleMsg {
         account: cx.customer.clone(),
-        post: Post {
+        post: Settlement {
             holder: hold.holder.clone(),
             hold: hold.number,
             request: cx.id.clone(),
@@ -87,7 +87,7 @@
 }
 
 /// Carries a bill until an instance says that it is durable.
-async fn carry(shared: &Shared, hold: &Hold, msg: SettleMsg) -> Settled {
+async fn carry(shared: &Shared, hold: &Hold, msg: SettleMsg) -> Durability {
     let mut round = 0;
     loop {
         if let Some(how) = send(shared, &hold.holder, &msg).await {
@@ -109,12 +109,12 @@
     }
 }
 
-async fn send(shared: &Shared, to: &str, msg: &SettleMsg) -> Option<Settled> {
+async fn send(shared: &Shared, to: &str, msg: &SettleMsg) -> Option<Durability> {
     if to == shared.me {
         return shared.bank.settle(msg.clone()).await;
     }
     let addr = shared.peer_addr(to)?;
-    let reply: Result<Option<Settled>, String> = shared
+    let reply: Result<Option<Durability>, String> = shared
         .peers
         .call(&shared.metrics, &addr, method::SETTLE, msg)
         .await;
--- a/crates/entry/src/rpc.rs
+++ b/crates/entry/src/rpc.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use budget::{ReserveReply, Settled};
+use budget::{Durability, ReserveReply};
 use claim::AttemptStatus;
 use jsonrpsee_core::RpcResult;
 use jsonrpsee_server::{RpcModule, ServerBuilder, ServerConfig, ServerHandle};
@@ -69,7 +69,7 @@
         },
     );
     add(&mut module, method::SETTLE, |cx, m: SettleMsg| async move {
-        let how: Option<Settled> = cx.bank.settle(m).await;
+        let how: Option<Durability> = cx.bank.settle(m).await;
         how
     });
     add(&mut module, method::KEEP, |cx, m: KeepMsg| async move {
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, RwLock};
 
-use budget::place::Candidate;
+use budget::placement::Candidate;
 use claim::AttemptStatus;
 use conf::{Bundle, Config, Settings};
 use peer::{Member, Members, Standing};
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -1,8 +1,8 @@
 //! Callers and entries: requests, reservations, runs at engines and settlements.
 
-use budget::msg::{Reserve, RunAt};
-use budget::place::{self, Candidate};
-use budget::{Event, Post, ReserveReply};
+use budget::msg::{AttemptRef, ReserveRequest};
+use budget::placement::{self, Candidate};
+use budget::{Event, ReserveReply, Settlement};
 use rand::Rng;
 
 use crate::item::{Ask, Item};
@@ -50,7 +50,7 @@
             run: None,
             since: self.now,
             rounds: 0,
-            at: RunAt::default(),
+            at: AttemptRef::default(),
         });
         self.ask_home(job);
     }
@@ -69,9 +69,9 @@
                 zone: self.nodes[*n].zone.to_string(),
             })
             .collect();
-        let shard = place::shard(&self.account(account), SHARDS);
+        let shard = placement::shard(&self.account(account), SHARDS);
         let own = self.nodes[entry].zone.to_string();
-        let mut order = place::home_and_standbys(shard, &candidates);
+        let mut order = placement::home_and_standbys(shard, &candidates);
         match self.policy.asks() {
             Asks::OwnZone => order.sort_by_key(|c| c.zone != own),
             _ if order.len() > 1 => order[1..].sort_by_key(|c| c.zone != own),
@@ -102,7 +102,7 @@
     pub(crate) fn reserve(&mut self, node: usize, job: usize, tries: usize) {
         let request = &self.requests[self.jobs[job].request];
         let account = self.account(request.account);
-        let req = Reserve {
+        let req = ReserveRequest {
             account: account.clone(),
             request: request.id.clone(),
             body: 1,
@@ -276,7 +276,7 @@
         let tokens = self.jobs[job]
             .run
             .map_or(0, |r| self.runs[r].served(self.now));
-        let post = Post {
+        let post = Settlement {
             holder: holder.clone(),
             hold,
             request: request.id.clone(),
@@ -306,7 +306,7 @@
         self.put(self.now + RPC_TIMEOUT, Item::SettleRound { job, round });
     }
 
-    pub(crate) fn settle(&mut self, node: usize, job: usize, post: Post) {
+    pub(crate) fn settle(&mut self, node: usize, job: usize, post: Settlement) {
         let account = self.account(self.requests[self.jobs[job].request].account);
         let ask = Some(self.ask(node, Ask::Settle { job }));
         let shard = self.nodes[node].bank.shard(&account);
--- a/crates/trial/src/item.rs
+++ b/crates/trial/src/item.rs
@@ -1,6 +1,6 @@
 //! What happens at a time in the fake world.
 
-use budget::{Event, Post, Record, ReserveReply};
+use budget::{Event, ReserveReply, Settlement, ShardRecord};
 
 #[derive(Clone, Debug)]
 pub(crate) enum Ask {
@@ -28,11 +28,11 @@
     Read,
     Write {
         base: i64,
-        record: Record,
+        record: ShardRecord,
     },
     Segment {
         name: String,
-        segment: budget::record::Segment,
+        segment: budget::record::BillSegment,
     },
     ReadSegment {
         name: String,
@@ -85,7 +85,7 @@
     Settle {
         node: usize,
         job: usize,
-        post: Post,
+        post: Settlement,
     },
     Settled {
         job: usize,
@@ -107,7 +107,7 @@
         node: usize,
         from: usize,
         account: usize,
-        post: Post,
+        post: Settlement,
     },
     Open {
         node: usize,
--- a/crates/trial/src/job.rs
+++ b/crates/trial/src/job.rs
@@ -1,6 +1,6 @@
 //! Requests of callers, the entries' work on them, and the engines' runs.
 
-use budget::msg::RunAt;
+use budget::msg::AttemptRef;
 
 /// Tokens an engine produces take this long each, in milliseconds.
 pub const TOKEN_MS: u64 = 5;
@@ -70,7 +70,7 @@
     /// Rounds of settling so far.
     pub rounds: usize,
     /// Where it will run.
-    pub at: RunAt,
+    pub at: AttemptRef,
 }
 
 /// One run at an engine.
--- a/crates/trial/src/link.rs
+++ b/crates/trial/src/link.rs
@@ -1,6 +1,6 @@
 //! What the decisions ask for: calls of the platform and messages between instances.
 
-use budget::{Action, Event, Output, Post};
+use budget::{Action, Event, Settlement, ShardAction};
 use rand::Rng;
 
 use crate::item::{Ask, Call, Item};
@@ -50,7 +50,7 @@
         self.step(node, shard, event);
     }
 
-    pub(crate) fn keep(&mut self, node: usize, from: usize, account: usize, post: Post) {
+    pub(crate) fn keep(&mut self, node: usize, from: usize, account: usize, post: Settlement) {
         let name = self.account(account);
         let shard = self.nodes[node].bank.shard(&name);
         let hold = post.hold;
@@ -70,7 +70,7 @@
         name[1..].parse().expect("accounts are numbered")
     }
 
-    pub(crate) fn act(&mut self, node: usize, output: Output) {
+    pub(crate) fn act(&mut self, node: usize, output: ShardAction) {
         let shard = output.shard;
         match output.action {
             Action::Read => self.call(node, shard, Call::Read),
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use budget::Bank;
+use budget::ShardManager;
 
 use crate::item::Ask;
 
@@ -35,7 +35,7 @@
     pub frozen_until: u64,
     pub(crate) frozen_since: u64,
     /// Its decisions on budgets.
-    pub bank: Bank,
+    pub bank: ShardManager,
     pub(crate) asks: BTreeMap<u64, Ask>,
     pub(crate) next_ask: u64,
     pub(crate) silent: BTreeSet<usize>,
--- a/crates/trial/src/platform.rs
+++ b/crates/trial/src/platform.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use budget::msg::Stored;
-use budget::Record;
+use budget::msg::RecordSnapshot;
+use budget::ShardRecord;
 
 /// The switches for faults.
 #[derive(Clone, Copy, Debug, Default)]
@@ -20,8 +20,8 @@
 #[derive(Debug, Default)]
 pub struct Platform {
     revision: i64,
-    records: BTreeMap<u32, Stored>,
-    segments: BTreeMap<String, budget::record::Segment>,
+    records: BTreeMap<u32, RecordSnapshot>,
+    segments: BTreeMap<String, budget::record::BillSegment>,
     /// The switches.
     pub faults: Faults,
     /// Calls that arrived.
@@ -32,7 +32,7 @@
 
 impl Platform {
     /// Reads a record.
-    pub fn read(&mut self, shard: u32) -> Option<Stored> {
+    pub fn read(&mut self, shard: u32) -> Option<RecordSnapshot> {
         self.reads += 1;
         self.records.get(&shard).cloned()
     }
@@ -42,7 +42,12 @@
     /// # Errors
     ///
     /// Returns what is stored when the write lost.
-    pub fn write(&mut self, shard: u32, base: i64, record: Record) -> Result<i64, Option<Stored>> {
+    pub fn write(
+        &mut self,
+        shard: u32,
+        base: i64,
+        record: ShardRecord,
+    ) -> Result<i64, Option<RecordSnapshot>> {
         self.writes += 1;
         let current = self.records.get(&shard);
         if current.map_or(0, |s| s.revision) != base {
@@ -50,24 +55,25 @@
         }
         self.revision += 1;
         let revision = self.revision;
-        self.records.insert(shard, Stored { revision, record });
+        self.records
+            .insert(shard, RecordSnapshot { revision, record });
         Ok(revision)
     }
 
     /// Writes a segment of older bills.
-    pub fn write_segment(&mut self, name: String, segment: budget::record::Segment) {
+    pub fn write_segment(&mut self, name: String, segment: budget::record::BillSegment) {
         self.writes += 1;
         self.segments.insert(name, segment);
     }
 
     /// Reads a segment of older bills.
-    pub fn read_segment(&mut self, name: &str) -> Option<budget::record::Segment> {
+    pub fn read_segment(&mut self, name: &str) -> Option<budget::record::BillSegment> {
         self.reads += 1;
         self.segments.get(name).cloned()
     }
 
     /// Returns the stored records.
-    pub fn records(&self) -> impl Iterator<Item = &Record> {
+    pub fn records(&self) -> impl Iterator<Item = &ShardRecord> {
         self.records.values().map(|s| &s.record)
     }
 
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -1,7 +1,7 @@
 //! The policies that a trial compares.
 
-use budget::grant::Sizing;
-use budget::home::Params;
+use budget::grant::GrantSizing;
+use budget::shard::Params;
 
 /// A policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,7 +51,7 @@
         let base = Params::default();
         match self {
             Policy::Split => Params {
-                sizing: Sizing::Split {
+                sizing: GrantSizing::Split {
                     parts: instances as u64,
                 },
                 recall: false,
@@ -60,7 +60,7 @@
                 ..base
             },
             Policy::Swap => Params {
-                sizing: Sizing::Exact,
+                sizing: GrantSizing::Exact,
                 recall: false,
                 joint: false,
                 standby_pct: 0,
@@ -79,7 +79,7 @@
                 ..base
             },
             Policy::Demand => Params {
-                sizing: Sizing::Demand { horizon_ms: 10_000 },
+                sizing: GrantSizing::Demand { horizon_ms: 10_000 },
                 ..base
             },
             Policy::NoRecall => Params {
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -3,9 +3,9 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-use budget::msg::RunAt;
-use budget::place::Candidate;
-use budget::{Act, Bank, Event};
+use budget::msg::AttemptRef;
+use budget::placement::Candidate;
+use budget::{Event, OperatorCommand, ShardManager};
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
@@ -65,8 +65,8 @@
 }
 
 /// Names a run: a home that is given up may probe the one that it was told of.
-pub(crate) fn run_at(request: &str, job: usize, tries: usize) -> RunAt {
-    RunAt {
+pub(crate) fn run_at(request: &str, job: usize, tries: usize) -> AttemptRef {
+    AttemptRef {
         upstream: "e".to_string(),
         run: format!("{request}~{job}.{tries}"),
     }
@@ -205,7 +205,7 @@
         let node = self.nodes.len();
         let id = format!("n{slot}.{node}");
         let params = self.policy.params(INSTANCES);
-        let bank = Bank::open(self.now, &id, SHARDS, WRITES_PER_SEC, params);
+        let bank = ShardManager::open(self.now, &id, SHARDS, WRITES_PER_SEC, params);
         self.nodes.push(Node {
             id,
             slot,
@@ -460,7 +460,7 @@
         let name = self.account(account);
         let shard = self.nodes[node].bank.shard(&name);
         let ask = self.ask(node, Ask::Act);
-        let act = Act::TopUp { id, tokens };
+        let act = OperatorCommand::TopUp { id, tokens };
         let account = name;
         self.step(node, shard, Event::Act { ask, account, act });
     }
