--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -46,10 +46,10 @@
             .top_up("invoice-2026-12", 1 << 40)
             .expect("a new id");
         for holder in ["instance-1.0123456789abcdef", "instance-2.0123456789abcdef"] {
-            let line = account.lines.entry(holder.to_string()).or_default();
+            let line = account.ledger.entry(holder.to_string()).or_default();
             line.granted = 1 << 30;
             line.settled = 1 << 20;
-            line.posted.insert(1);
+            line.settled_holds.insert(1);
         }
     }
     record
@@ -83,16 +83,25 @@
         ask += 1;
         let req = ReserveRequest {
             account: "customer-00001".to_string(),
-            request: format!("request-{ask}"),
-            body: 1,
+            request_id: format!("request-{ask}"),
+            body_hash: 1,
             entry: "instance-3.0123456789abcdef".to_string(),
-            at: AttemptRef::default(),
+            attempt: AttemptRef::default(),
             tokens: 1,
             weight: 25,
         };
         let mut out = Vec::new();
         let deadline = 1_000_000;
-        home.step(1, Event::Reserve { ask, req, deadline }, pacer, &mut out);
+        home.step(
+            1,
+            Event::Reserve {
+                reply_to: ask,
+                request: req,
+                deadline,
+            },
+            pacer,
+            &mut out,
+        );
         out
     };
     reserve(&mut home, &mut pacer);
@@ -100,7 +109,7 @@
         revision: 1,
         record: record.clone(),
     };
-    home.step(1, Event::Read(Some(stored)), &mut pacer, &mut out);
+    home.step(1, Event::RecordRead(Some(stored)), &mut pacer, &mut out);
     let reserved = time(|| reserve(&mut home, &mut pacer));
     let mut hold = 0;
     let commit = time(|| {
@@ -108,28 +117,28 @@
         let post = budget::Settlement {
             holder: "instance-1.0123456789abcdef".to_string(),
             hold,
-            request: format!("request-{hold}"),
+            request_id: format!("request-{hold}"),
             tokens: 1,
             billed: true,
-            body: 1,
-            at: AttemptRef::default(),
+            body_hash: 1,
+            attempt: AttemptRef::default(),
             at_ms: 1,
         };
         let event = Event::Settle {
-            ask: None,
+            reply_to: None,
             account: "customer-00001".to_string(),
-            post,
-            doubts: Vec::new(),
+            settlement: post,
+            unconfirmed: Vec::new(),
         };
         let mut out = Vec::new();
         home.step(2, event, &mut pacer, &mut out);
         for action in &out {
-            if let budget::Action::Write { record, .. } = action {
+            if let budget::Action::WriteRecord { record, .. } = action {
                 black_box(serde_json::to_vec(record).expect("a record is JSON"));
             }
         }
         let revision = i64::from(hold as u32) + 10;
-        home.step(2, Event::Written { revision }, &mut pacer, &mut out);
+        home.step(2, Event::WriteCommitted { revision }, &mut pacer, &mut out);
     });
     (reserved, commit)
 }
--- a/crates/budget/src/archived_bills.rs
+++ b/crates/budget/src/archived_bills.rs
@@ -78,7 +78,7 @@
         for (account, bills) in &segment.bills {
             for bill in bills {
                 newest = newest.max(bill.at_ms);
-                let key = (account.clone(), bill.request.clone());
+                let key = (account.clone(), bill.request_id.clone());
                 self.bills.insert(key, bill.clone());
             }
         }
--- a/crates/budget/src/joint_grant.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -32,7 +32,8 @@
     /// Tokens opened, cumulative.
     pub opened: u64,
     /// When the witness was asked for a step, in milliseconds, and up to where.
-    pub asked: Option<(u64, u64)>,
+    #[serde(rename = "asked")]
+    pub pending_step: Option<(u64, u64)>,
     /// Whether the witness knows of it, and so hands it back when this holder falls silent.
     pub is_watched: bool,
     /// Set when no step is opened any more.
@@ -43,13 +44,13 @@
 #[derive(Clone, Debug)]
 pub struct DeferredRecall {
     /// Names the reply.
-    pub ask: u64,
+    pub reply_to: u64,
     /// The holder that asks.
     pub to: String,
     /// Tokens.
     pub tokens: u64,
     /// When it is answered with what there is, in milliseconds.
-    pub until: u64,
+    pub deadline: u64,
 }
 
 /// What an instance knows as a witness.
@@ -102,7 +103,9 @@
         let Some(joint) = joint.filter(|j| !j.closing && !is_late(now, j)) else {
             return 0;
         };
-        let stored = self.stored(name).and_then(|a| a.joints.get(&joint.key));
+        let stored = self
+            .stored(name)
+            .and_then(|a| a.joint_grants.get(&joint.key));
         stored.map_or(0, |s| s.granted.saturating_sub(joint.opened))
     }
 
@@ -111,7 +114,7 @@
         let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
         let shown = joint.filter(|j| {
             self.stored(name)
-                .is_some_and(|a| a.joints.contains_key(&j.key))
+                .is_some_and(|a| a.joint_grants.contains_key(&j.key))
         });
         shown.map_or(0, |j| j.opened)
     }
@@ -120,7 +123,7 @@
     pub(crate) fn grants_jointly(&self, now: u64, name: &str) -> bool {
         let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
         let usable = joint.is_none_or(|j| !j.closing && !is_late(now, j));
-        self.params.joint && self.witness.is_some() && usable
+        self.params.joint_grants && self.witness.is_some() && usable
     }
 
     /// Asks the witness for a step that covers a lack.
@@ -130,19 +133,19 @@
             return;
         };
         let step = (local.rate(now) * STEP_MS / 1000.0) as u64;
-        let Some(joint) = local.joint.as_mut().filter(|j| j.asked.is_none()) else {
+        let Some(joint) = local.joint.as_mut().filter(|j| j.pending_step.is_none()) else {
             return;
         };
         let Some((_, witness)) = joint_parts(&joint.key).filter(|_| left > 0) else {
             return;
         };
         let upto = joint.opened + lack.max(step).min(left);
-        joint.asked = Some((now, upto));
-        out.push(Action::Open {
+        joint.pending_step = Some((now, upto));
+        out.push(Action::OpenStep {
             account: name.to_string(),
             witness: witness.to_string(),
             key: joint.key.clone(),
-            upto,
+            up_to: upto,
         });
     }
 
@@ -154,7 +157,7 @@
             // It is being handed back: a step that comes now must not be spent.
             return;
         };
-        let Some((_, upto)) = joint.asked.take() else {
+        let Some((_, upto)) = joint.pending_step.take() else {
             return;
         };
         match opened {
@@ -206,8 +209,8 @@
             let Some(local) = self.locals.get_mut(&name) else {
                 continue;
             };
-            if lone > 0 && local.waiting.is_empty() && local.giving == 0 {
-                local.giving = lone;
+            if lone > 0 && local.waiting.is_empty() && local.returning == 0 {
+                local.returning = lone;
             }
         }
     }
@@ -243,7 +246,7 @@
     fn to_close(&self, record: &ShardRecord) -> Vec<(String, String)> {
         let mut keys = Vec::new();
         for (name, account) in &record.accounts {
-            for key in account.joints.keys() {
+            for key in account.joint_grants.keys() {
                 let Some((holder, witness)) = joint_parts(key) else {
                     continue;
                 };
@@ -279,7 +282,7 @@
                 account.close_joint(key, local.opened);
                 return;
             }
-            let joint = account.joints.get_mut(key).expect("found above");
+            let joint = account.joint_grants.get_mut(key).expect("found above");
             joint.opened = joint.opened.max(local.opened);
         }
         if adds == 0 {
@@ -291,7 +294,7 @@
             Some(format!("{}+{witness}+{number}+{name}", self.me))
         });
         let key = key.expect("checked by grants_jointly");
-        account.joints.entry(key).or_default().granted += adds;
+        account.joint_grants.entry(key).or_default().granted += adds;
     }
 
     /// Forgets silent holders whose joint grants are all handed back.
@@ -299,7 +302,7 @@
         let Some(record) = self.known.as_ref().map(|(s, _)| &s.record) else {
             return;
         };
-        let keys = record.accounts.values().flat_map(|a| a.joints.keys());
+        let keys = record.accounts.values().flat_map(|a| a.joint_grants.keys());
         let pairs: Vec<_> = keys.filter_map(|k| joint_parts(k)).collect();
         let me = self.me.as_str();
         let silent = &mut self.witness_of.silent;
@@ -322,7 +325,7 @@
                 local.joint = Some(LocalJointGrant {
                     key: key.clone(),
                     opened: joint.opened,
-                    asked: None,
+                    pending_step: None,
                     is_watched: false,
                     closing: false,
                 });
@@ -332,7 +335,7 @@
             let shown = |j: &LocalJointGrant| {
                 accounts
                     .get(name)
-                    .is_some_and(|a| a.joints.contains_key(&j.key))
+                    .is_some_and(|a| a.joint_grants.contains_key(&j.key))
             };
             // Closed by the witness: what was opened is part of the line's grant now.
             local.joint = local.joint.take().filter(shown);
@@ -341,5 +344,7 @@
 }
 
 fn is_late(now: u64, joint: &LocalJointGrant) -> bool {
-    joint.asked.is_some_and(|(at, _)| now > at + PATIENCE_MS)
+    joint
+        .pending_step
+        .is_some_and(|(at, _)| now > at + PATIENCE_MS)
 }
--- a/crates/budget/src/local_account.rs
+++ b/crates/budget/src/local_account.rs
@@ -21,21 +21,27 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Hold {
     /// The request's id.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
     /// Hash of the request's body.
-    pub body: u64,
+    #[serde(rename = "body")]
+    pub body_hash: u64,
     /// The entries that serve it.
     pub entries: SmallVec<[String; 2]>,
     /// Where it runs.
-    pub at: AttemptRef,
+    #[serde(rename = "at")]
+    pub attempt: AttemptRef,
     /// Tokens.
     pub tokens: u64,
     /// Tokens of the same run that are settled already.
-    pub paid: u64,
+    #[serde(rename = "paid")]
+    pub settled: u64,
     /// Set when the bill is made and only an upstream's word on the rest is missing.
-    pub uncertain: bool,
+    #[serde(rename = "uncertain")]
+    pub unconfirmed: bool,
     /// When to ask the upstream, once no entry is left.
-    pub probe_at: Option<u64>,
+    #[serde(rename = "probe_at")]
+    pub cancel_at: Option<u64>,
 }
 
 /// A finished request.
@@ -44,25 +50,25 @@
     /// The hold's number.
     pub hold: u64,
     /// Hash of the request's body.
-    pub body: u64,
+    pub body_hash: u64,
     /// Where it ran.
-    pub at: AttemptRef,
+    pub attempt: AttemptRef,
     /// Tokens billed.
     pub tokens: u64,
     /// When it was forgotten, in milliseconds.
-    pub until: u64,
+    pub expires_at: u64,
 }
 
 impl FinishedRequest {
     /// Returns the answer to a retry.
     pub fn reply(&self, me: &str, body: u64) -> ReserveReply {
-        if self.body != body {
-            return ReserveReply::Reused;
+        if self.body_hash != body {
+            return ReserveReply::IdReused;
         }
         ReserveReply::Exists {
             holder: me.to_string(),
             hold: self.hold,
-            at: self.at.clone(),
+            attempt: self.attempt.clone(),
             billed: Some(self.tokens),
         }
     }
@@ -72,16 +78,16 @@
 #[derive(Clone, Debug)]
 pub enum ReservationKind {
     /// A new hold.
-    New {
+    NewHold {
         /// The request's id.
-        request: String,
+        request_id: String,
         /// Hash of its body.
-        body: u64,
+        body_hash: u64,
         /// The entry.
         entry: String,
     },
     /// More tokens in a hold.
-    More {
+    ExtendHold {
         /// The hold.
         hold: u64,
     },
@@ -91,46 +97,46 @@
 #[derive(Clone, Debug)]
 pub struct WaitingReservation {
     /// Names the reply.
-    pub ask: u64,
+    pub reply_to: u64,
     /// What it wants.
-    pub want: ReservationKind,
+    pub kind: ReservationKind,
     /// Where it will send the request.
-    pub at: AttemptRef,
+    pub attempt: AttemptRef,
     /// Tokens.
     pub tokens: u64,
     /// Percentage of the free budget that one grant may take.
     pub weight: u8,
     /// When it came, in milliseconds.
-    pub asked_at: u64,
+    pub requested_at: u64,
     /// When it gives up, in milliseconds.
     pub deadline: u64,
     /// Whether the other holders were asked on its behalf.
-    pub recalled: bool,
+    pub recall_sent: bool,
 }
 
 /// A settlement that is not in the record yet.
 #[derive(Clone, Debug, Serialize)]
 pub struct PendingSettlement {
     /// The settlement.
-    pub post: Settlement,
+    pub settlement: Settlement,
     /// Replies that wait for it.
-    pub asks: SmallVec<[u64; 2]>,
+    pub reply_to: SmallVec<[u64; 2]>,
     /// When to ask for a copy in another zone, while replies wait.
     pub copy_at: u64,
     /// How often a copy was asked for.
-    pub copies: u32,
+    pub copy_attempts: u32,
 }
 
 /// One account at one home.
 #[derive(Clone, Debug, Default)]
 pub struct LocalAccount {
     /// Open holds by number.
-    pub held: BTreeMap<u64, Hold>,
+    pub holds: BTreeMap<u64, Hold>,
     /// Open holds by request.
-    pub by_request: BTreeMap<String, u64>,
+    pub hold_by_request: BTreeMap<String, u64>,
     /// Finished requests.
-    pub done: BTreeMap<String, FinishedRequest>,
-    done_order: VecDeque<String>,
+    pub finished: BTreeMap<String, FinishedRequest>,
+    finished_order: VecDeque<String>,
     /// Requests that their entry gave up, as `entry/request`.
     voided: VecDeque<String>,
     /// Settlements on their way to the record.
@@ -140,51 +146,54 @@
     /// Tokens handed to other holders, cumulative.
     pub sent: BTreeMap<String, u64>,
     /// Tokens received from other holders, cumulative.
-    pub got: BTreeMap<String, u64>,
+    pub received: BTreeMap<String, u64>,
     /// Tokens on their way back to the record: no longer spendable here.
-    pub giving: u64,
+    pub returning: u64,
     /// Operators' acts on their way to the record.
-    pub acts: Vec<(u64, OperatorCommand)>,
+    pub commands: Vec<(u64, OperatorCommand)>,
     /// Recalls without an answer.
-    pub recalls: u32,
+    pub open_recalls: u32,
     /// The joint grant that the record shows.
     pub joint: Option<LocalJointGrant>,
     /// Other holders' calls for tokens that wait for a step.
-    pub calls: Vec<DeferredRecall>,
+    pub deferred_recalls: Vec<DeferredRecall>,
     /// When the account was last used, in milliseconds.
-    pub used_at: u64,
-    rate: f64,
-    rate_at: u64,
+    pub last_used_at: u64,
+    demand_rate: f64,
+    demand_at: u64,
 }
 
 impl LocalAccount {
     /// Returns tokens held back for open requests.
     pub fn reserved(&self) -> u64 {
-        self.held.values().map(|h| h.tokens).sum()
+        self.holds.values().map(|h| h.tokens).sum()
     }
 
     /// Returns tokens spent by this holder that the record does not show yet.
     pub fn unposted(&self, me: &str) -> u64 {
-        let mine = self.pending.iter().filter(|p| p.post.holder == me);
-        mine.map(|p| p.post.tokens).sum()
+        let mine = self.pending.iter().filter(|p| p.settlement.holder == me);
+        mine.map(|p| p.settlement.tokens).sum()
     }
 
     /// Remembers a finished request.
     pub fn finish(&mut self, now: u64, request: String, mut done: FinishedRequest) {
-        done.until = now + DONE_MS;
-        if self.done.insert(request.clone(), done).is_none() {
-            self.done_order.push_back(request);
+        done.expires_at = now + DONE_MS;
+        if self.finished.insert(request.clone(), done).is_none() {
+            self.finished_order.push_back(request);
         }
-        while self.done_order.len() > DONE_KEPT || self.oldest_is_stale(now) {
-            if let Some(old) = self.done_order.pop_front() {
-                self.done.remove(&old);
+        while self.finished_order.len() > DONE_KEPT || self.oldest_is_stale(now) {
+            if let Some(old) = self.finished_order.pop_front() {
+                self.finished.remove(&old);
             }
         }
     }
 
     fn oldest_is_stale(&self, now: u64) -> bool {
-        let oldest = self.done_order.front().and_then(|r| self.done.get(r));
-        oldest.is_some_and(|d| d.until <= now)
+        let oldest = self
+            .finished_order
+            .front()
+            .and_then(|r| self.finished.get(r));
+        oldest.is_some_and(|d| d.expires_at <= now)
     }
 
     /// Remembers that an entry will not use a reservation that may still arrive.
@@ -203,21 +212,21 @@
 
     /// Counts demand.
     pub fn demand(&mut self, now: u64, tokens: u64) {
-        let passed = now.saturating_sub(self.rate_at) as f64;
-        self.rate *= (-passed / RATE_MS).exp();
-        self.rate += tokens as f64 * 1000.0 / RATE_MS;
-        self.rate_at = now;
-        self.used_at = now;
+        let passed = now.saturating_sub(self.demand_at) as f64;
+        self.demand_rate *= (-passed / RATE_MS).exp();
+        self.demand_rate += tokens as f64 * 1000.0 / RATE_MS;
+        self.demand_at = now;
+        self.last_used_at = now;
     }
 
     /// Returns the demand, in tokens a second.
     pub fn rate(&self, now: u64) -> f64 {
-        let passed = now.saturating_sub(self.rate_at) as f64;
-        self.rate * (-passed / RATE_MS).exp()
+        let passed = now.saturating_sub(self.demand_at) as f64;
+        self.demand_rate * (-passed / RATE_MS).exp()
     }
 
     /// Returns whether nothing is under way.
     pub fn is_quiet(&self) -> bool {
-        self.held.is_empty() && self.pending.is_empty() && self.waiting.is_empty()
+        self.holds.is_empty() && self.pending.is_empty() && self.waiting.is_empty()
     }
 }
--- a/crates/budget/src/msg.rs
+++ b/crates/budget/src/msg.rs
@@ -10,7 +10,8 @@
     /// The upstream.
     pub upstream: String,
     /// The name of the attempt there.
-    pub run: String,
+    #[serde(rename = "run")]
+    pub id: String,
 }
 
 /// A request for tokens to be held back before a dispatch.
@@ -19,13 +20,16 @@
     /// The customer.
     pub account: String,
     /// The request's id.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
     /// Hash of the request's body, to tell a reused id.
-    pub body: u64,
+    #[serde(rename = "body")]
+    pub body_hash: u64,
     /// The entry's incarnation.
     pub entry: String,
     /// Where the entry will send it.
-    pub at: AttemptRef,
+    #[serde(rename = "at")]
+    pub attempt: AttemptRef,
     /// The most that the request can spend.
     pub tokens: u64,
     /// Percentage of the free budget that one grant may take.
@@ -51,12 +55,14 @@
         /// The hold's number at that holder.
         hold: u64,
         /// Where it runs.
-        at: AttemptRef,
+        #[serde(rename = "at")]
+        attempt: AttemptRef,
         /// The tokens billed, when it is finished.
         billed: Option<u64>,
     },
     /// The id was used with another body.
-    Reused,
+    #[serde(rename = "Reused")]
+    IdReused,
     /// The budget can't cover it, and nothing can come back.
     Exhausted {
         /// Tokens left.
@@ -86,15 +92,18 @@
     /// The hold's number at that holder.
     pub hold: u64,
     /// The request's id.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
     /// Tokens spent.
     pub tokens: u64,
     /// Whether the request is billed for them; else they are written off.
     pub billed: bool,
     /// Hash of the request's body.
-    pub body: u64,
+    #[serde(rename = "body")]
+    pub body_hash: u64,
     /// Where it ran.
-    pub at: AttemptRef,
+    #[serde(rename = "at")]
+    pub attempt: AttemptRef,
     /// When, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
@@ -103,11 +112,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnconfirmedUsage {
     /// Where it ran.
-    pub at: AttemptRef,
+    #[serde(rename = "at")]
+    pub attempt: AttemptRef,
     /// The most that it may have spent beyond what is settled.
     pub tokens: u64,
     /// Tokens of this run that are settled.
-    pub paid: u64,
+    #[serde(rename = "paid")]
+    pub settled: u64,
 }
 
 /// An operator's act on a budget.
@@ -129,7 +140,8 @@
         /// Why.
         reason: String,
         /// Who.
-        who: String,
+        #[serde(rename = "who")]
+        operator: String,
     },
 }
 
@@ -150,22 +162,22 @@
     /// An entry asks for tokens.
     Reserve {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The request.
-        req: ReserveRequest,
+        request: ReserveRequest,
         /// When the asker gives up, in milliseconds.
         deadline: u64,
     },
     /// An entry that repeats a request at another upstream asks for more.
     Extend {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The customer.
         account: String,
         /// The hold.
         hold: u64,
         /// Where the entry will send it.
-        at: AttemptRef,
+        attempt: AttemptRef,
         /// Tokens more.
         tokens: u64,
         /// When the asker gives up, in milliseconds.
@@ -176,14 +188,14 @@
         /// The customer.
         account: String,
         /// The request's id.
-        request: String,
+        request_id: String,
         /// The entry's incarnation.
         entry: String,
     },
     /// An entry whose caller left serves a request no more.
-    DropOut {
+    Detach {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The customer.
         account: String,
         /// The hold.
@@ -192,27 +204,27 @@
         entry: String,
     },
     /// Another instance asks to keep a copy of a settlement until it is recorded.
-    Keep {
+    StoreCopy {
         /// The customer.
         account: String,
         /// The settlement.
-        post: Settlement,
+        settlement: Settlement,
     },
     /// A hold is settled.
     Settle {
         /// Names the reply, if one is wanted.
-        ask: Option<u64>,
+        reply_to: Option<u64>,
         /// The customer.
         account: String,
         /// The settlement.
-        post: Settlement,
+        settlement: Settlement,
         /// What may have been spent besides, for which there is no proof yet.
-        doubts: Vec<UnconfirmedUsage>,
+        unconfirmed: Vec<UnconfirmedUsage>,
     },
     /// Another holder asks for unspent tokens.
     Recall {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The customer.
         account: String,
         /// The holder that asks.
@@ -221,70 +233,70 @@
         tokens: u64,
     },
     /// Another holder has answered: all it ever handed over.
-    Recalled {
+    RecallReply {
         /// The customer.
         account: String,
         /// The holder that answered.
         from: String,
         /// Tokens, cumulative; none when it did not answer.
-        sent: Option<u64>,
+        total_sent: Option<u64>,
     },
     /// A holder asks its witness for a step of a joint grant.
-    Open {
+    OpenStep {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The joint grant's key.
         key: String,
         /// Tokens opened after the step, cumulative.
-        upto: u64,
+        up_to: u64,
     },
     /// The witness has answered.
-    Opened {
+    StepReply {
         /// The customer.
         account: String,
         /// The joint grant's key.
         key: String,
         /// All tokens opened; none when it did not answer.
-        opened: Option<u64>,
+        total_opened: Option<u64>,
     },
     /// An operator acts.
-    Act {
+    Operator {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The customer.
         account: String,
         /// The act.
-        act: OperatorCommand,
+        command: OperatorCommand,
     },
     /// A read has ended; `None` inside when there is no record yet.
-    Read(Option<RecordSnapshot>),
+    RecordRead(Option<RecordSnapshot>),
     /// A read has failed.
     ReadFailed,
     /// A write took effect.
-    Written {
+    WriteCommitted {
         /// The new revision.
         revision: i64,
     },
     /// A write lost to another.
-    WriteLost(Option<RecordSnapshot>),
+    WriteConflict(Option<RecordSnapshot>),
     /// A write was refused before it could take effect.
     WriteRefused,
     /// A write may or may not have taken effect, or may yet.
-    WriteUnknown,
+    WriteOutcomeUnknown,
     /// An instance in another availability zone holds a copy of the settlement.
-    Copied {
+    CopyStored {
         /// The customer.
         account: String,
         /// The hold.
         hold: u64,
     },
     /// An entry is gone.
-    Gone {
+    InstanceUnresponsive {
         /// Its incarnation.
-        entry: String,
+        instance: String,
     },
     /// An upstream has told what a hold spent.
-    Proof {
+    UsageReported {
         /// The customer.
         account: String,
         /// The hold.
@@ -315,18 +327,18 @@
     /// Returns the customer that it is about, if it is about one.
     pub fn account(&self) -> Option<&str> {
         match self {
-            Event::Reserve { req, .. } => Some(&req.account),
+            Event::Reserve { request: req, .. } => Some(&req.account),
             Event::Extend { account, .. }
             | Event::Void { account, .. }
-            | Event::DropOut { account, .. }
-            | Event::Keep { account, .. }
+            | Event::Detach { account, .. }
+            | Event::StoreCopy { account, .. }
             | Event::Settle { account, .. }
             | Event::Recall { account, .. }
-            | Event::Recalled { account, .. }
-            | Event::Opened { account, .. }
-            | Event::Act { account, .. }
-            | Event::Copied { account, .. }
-            | Event::Proof { account, .. } => Some(account),
+            | Event::RecallReply { account, .. }
+            | Event::StepReply { account, .. }
+            | Event::Operator { account, .. }
+            | Event::CopyStored { account, .. }
+            | Event::UsageReported { account, .. } => Some(account),
             _ => None,
         }
     }
@@ -336,11 +348,11 @@
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Read the record.
-    Read,
+    ReadRecord,
     /// Write the record if its revision is still `base`; 0 means absent.
-    Write {
+    WriteRecord {
         /// The revision it replaces.
-        base: i64,
+        base_revision: i64,
         /// The record.
         record: ShardRecord,
     },
@@ -357,32 +369,32 @@
         name: String,
     },
     /// Answer a reservation or an extension.
-    Reserved {
+    ReserveReply {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The answer.
         reply: ReserveReply,
     },
     /// Answer a settlement.
-    Settled {
+    SettleReply {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The answer.
-        how: Durability,
+        durability: Durability,
     },
     /// Answer an operator's act.
-    Acted {
+    OperatorReply {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// The answer.
         reply: OperatorReply,
     },
     /// Answer another holder's recall.
-    Handed {
+    RecallReply {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// All tokens ever handed to that holder.
-        sent: u64,
+        total_sent: u64,
     },
     /// Ask another holder for unspent tokens.
     Recall {
@@ -394,7 +406,7 @@
         tokens: u64,
     },
     /// Ask the witness for a step of a joint grant.
-    Open {
+    OpenStep {
         /// The customer.
         account: String,
         /// The witness.
@@ -402,57 +414,57 @@
         /// The joint grant's key.
         key: String,
         /// Tokens opened after the step, cumulative.
-        upto: u64,
+        up_to: u64,
     },
     /// Answer a holder's step.
-    Witnessed {
+    StepReply {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// All tokens opened.
-        opened: u64,
+        total_opened: u64,
     },
     /// Give a copy of a settlement to an instance in another availability zone.
-    Copy {
+    SendCopy {
         /// The customer.
         account: String,
         /// The settlement.
-        post: Settlement,
+        settlement: Settlement,
     },
     /// Cancel an orphaned request at its upstream and read what it spent.
-    Probe {
+    CancelAttempt {
         /// The customer.
         account: String,
         /// The hold.
         hold: u64,
         /// Where it runs.
-        at: AttemptRef,
+        attempt: AttemptRef,
     },
     /// Tell an entry that dropped out whether others still serve the request.
-    DroppedOut {
+    DetachReply {
         /// Names the reply.
-        ask: u64,
+        reply_to: u64,
         /// Whether others do.
-        others: bool,
+        others_remain: bool,
     },
     /// Something an operator may want to know.
-    Note(Warning),
+    Warn(Warning),
 }
 
 /// What an operator may want to know.
 #[derive(Clone, Debug)]
 pub enum Warning {
     /// An upstream served more than was asked for, and the hold can't cover it.
-    Excess {
+    ExcessUsage {
         /// The customer.
         account: String,
         /// Tokens beyond the hold.
         tokens: u64,
     },
     /// A request was billed before under the same id.
-    Duplicate {
+    DuplicateBill {
         /// The customer.
         account: String,
         /// The request's id.
-        request: String,
+        request_id: String,
     },
 }
--- a/crates/budget/src/params.rs
+++ b/crates/budget/src/params.rs
@@ -22,15 +22,15 @@
     /// Whether other holders are asked before a refusal.
     pub recall: bool,
     /// Whether grants are joint, where the zone has another instance.
-    pub joint: bool,
+    pub joint_grants: bool,
     /// Percentage of the free budget that a standby holds; 0 for none.
     pub standby_pct: u8,
     /// How often a standby looks at the record, in milliseconds.
-    pub standby_ms: u64,
+    pub standby_check_ms: u64,
     /// How long a settlement may wait for the record before a copy is made, in milliseconds.
-    pub copy_ms: u64,
+    pub copy_delay_ms: u64,
     /// How long an orphaned request waits for its caller, in milliseconds.
-    pub orphan_ms: u64,
+    pub orphan_grace_ms: u64,
 }
 
 impl Default for Params {
@@ -38,11 +38,11 @@
         Params {
             sizing: GrantSizing::Share,
             recall: true,
-            joint: true,
+            joint_grants: true,
             standby_pct: 15,
-            standby_ms: 10_000,
-            copy_ms: 5,
-            orphan_ms: 15_000,
+            standby_check_ms: 10_000,
+            copy_delay_ms: 5,
+            orphan_grace_ms: 15_000,
         }
     }
 }
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -41,16 +41,17 @@
     /// Top-ups by their ids.
     pub topups: BTreeMap<String, u64>,
     /// What each holder was granted and has settled.
-    pub lines: BTreeMap<String, LedgerEntry>,
+    #[serde(rename = "lines")]
+    pub ledger: BTreeMap<String, LedgerEntry>,
     /// Tokens handed from holder to holder, cumulative, by `from>to`.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub transfers: BTreeMap<String, u64>,
     /// Grants that holders open step by step, by `holder+witness+number+account`.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
-    pub joints: BTreeMap<String, JointGrant>,
+    #[serde(rename = "joints", default, skip_serializing_if = "BTreeMap::is_empty")]
+    pub joint_grants: BTreeMap<String, JointGrant>,
     /// Tokens settled by holders whose lines were folded up.
-    #[serde(default)]
-    pub folded: u64,
+    #[serde(rename = "folded", default)]
+    pub retired_settled: u64,
     /// The latest bills; older ones are in segments.
     #[serde(default)]
     pub bills: Vec<Bill>,
@@ -85,8 +86,8 @@
     #[serde(default)]
     pub written_off: u64,
     /// Numbers of the holds that are settled.
-    #[serde(default)]
-    pub posted: RangeSet,
+    #[serde(rename = "posted", default)]
+    pub settled_holds: RangeSet,
     /// Tokens an operator took back from a vanished holder.
     #[serde(default)]
     pub released: u64,
@@ -96,15 +97,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bill {
     /// The request's id.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
     /// Tokens.
     pub tokens: u64,
     /// The holder that paid.
     pub holder: String,
     /// Hash of the request's body.
-    pub body: u64,
+    #[serde(rename = "body")]
+    pub body_hash: u64,
     /// Where it ran.
-    pub at: AttemptRef,
+    #[serde(rename = "at")]
+    pub attempt: AttemptRef,
     /// When, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
@@ -121,18 +125,19 @@
     /// Why.
     pub reason: String,
     /// Who.
-    pub who: String,
+    #[serde(rename = "who")]
+    pub operator: String,
 }
 
 /// What posting did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PostOutcome {
     /// A bill, or a write-off where none was due.
-    New,
+    Posted,
     /// Nothing: this hold was settled before.
-    Known,
+    AlreadySettled,
     /// A write-off: another hold's bill names the same request.
-    Duplicate,
+    DuplicateRequest,
 }
 
 impl Account {
@@ -146,25 +151,29 @@
     /// Returns the tokens that are granted to holders or spent for good.
     pub fn bound(&self) -> u64 {
         let net = |l: &LedgerEntry| i128::from(l.granted) - i128::from(l.released);
-        let granted: i128 = self.lines.values().map(net).sum();
-        let joint: i128 = self.joints.values().map(|j| i128::from(j.granted)).sum();
-        (i128::from(self.folded) + granted + joint).max(0) as u64
+        let granted: i128 = self.ledger.values().map(net).sum();
+        let joint: i128 = self
+            .joint_grants
+            .values()
+            .map(|j| i128::from(j.granted))
+            .sum();
+        (i128::from(self.retired_settled) + granted + joint).max(0) as u64
     }
 
     /// Returns the joint grant of a holder.
     pub fn joint_of(&self, holder: &str) -> Option<(&String, &JointGrant)> {
         let of = |k: &str| joint_parts(k).is_some_and(|(h, _)| h == holder);
-        self.joints.iter().find(|(k, _)| of(k))
+        self.joint_grants.iter().find(|(k, _)| of(k))
     }
 
     /// Ends a joint grant: what was opened becomes the holder's own, the rest is free.
     pub fn close_joint(&mut self, key: &str, opened: u64) {
-        let Some(joint) = self.joints.remove(key) else {
+        let Some(joint) = self.joint_grants.remove(key) else {
             return;
         };
         let opened = opened.max(joint.opened).min(joint.granted);
         if let Some((holder, _)) = joint_parts(key) {
-            self.lines.entry(holder.to_string()).or_default().granted += opened as i64;
+            self.ledger.entry(holder.to_string()).or_default().granted += opened as i64;
         }
     }
 
@@ -181,7 +190,7 @@
 
     /// Returns the tokens spent.
     pub fn settled(&self) -> u64 {
-        self.folded + self.lines.values().map(|l| l.settled).sum::<u64>()
+        self.retired_settled + self.ledger.values().map(|l| l.settled).sum::<u64>()
     }
 
     /// Returns tokens received from and handed to other holders.
@@ -205,7 +214,7 @@
 
     fn balance(&self, holder: &str) -> i128 {
         let (got, sent) = self.moved(holder);
-        let (granted, spent) = self.lines.get(holder).map_or((0, 0), |l| {
+        let (granted, spent) = self.ledger.get(holder).map_or((0, 0), |l| {
             (l.granted, i128::from(l.settled) + i128::from(l.released))
         });
         let opened = self.joint_of(holder).map_or(0, |(_, j)| j.opened);
@@ -228,22 +237,22 @@
             let tokens = tokens as i64;
             match pair.split_once('>') {
                 Some((from, to)) if from == holder => {
-                    self.lines.entry(to.to_string()).or_default().granted += tokens;
+                    self.ledger.entry(to.to_string()).or_default().granted += tokens;
                 }
                 Some((from, _)) => {
-                    self.lines.entry(from.to_string()).or_default().granted -= tokens;
+                    self.ledger.entry(from.to_string()).or_default().granted -= tokens;
                 }
                 None => {}
             }
         }
-        if let Some(line) = self.lines.remove(holder) {
-            self.folded += line.settled;
+        if let Some(line) = self.ledger.remove(holder) {
+            self.retired_settled += line.settled;
         }
     }
 
     /// Returns the bill of a request, unless it is among the older ones.
     pub fn bill(&self, request: &str) -> Option<&Bill> {
-        self.bills.iter().rev().find(|b| b.request == request)
+        self.bills.iter().rev().find(|b| b.request_id == request)
     }
 
     /// Adds a top-up; returns whether its id was new.
@@ -271,7 +280,7 @@
             self.close_joint(&key, 0);
         }
         let tokens = self.unspent(holder);
-        if let Some(line) = self.lines.get_mut(holder) {
+        if let Some(line) = self.ledger.get_mut(holder) {
             line.released += tokens;
         }
         self.releases.push(Release {
@@ -279,7 +288,7 @@
             holder: holder.to_string(),
             tokens,
             reason: reason.to_string(),
-            who: who.to_string(),
+            operator: who.to_string(),
         });
         tokens
     }
@@ -299,39 +308,42 @@
     /// bills that the caller knows.
     pub fn post(&mut self, account: &str, post: &Settlement, has_older: bool) -> PostOutcome {
         if self.tombstones.contains(&post.holder) {
-            return PostOutcome::Known;
+            return PostOutcome::AlreadySettled;
         }
         let account = self.accounts.entry(account.to_string()).or_default();
-        let duplicate = has_older || account.bill(&post.request).is_some();
-        let line = account.lines.entry(post.holder.clone()).or_default();
-        if !line.posted.insert(post.hold) {
-            return PostOutcome::Known;
+        let duplicate = has_older || account.bill(&post.request_id).is_some();
+        let line = account.ledger.entry(post.holder.clone()).or_default();
+        if !line.settled_holds.insert(post.hold) {
+            return PostOutcome::AlreadySettled;
         }
         line.settled += post.tokens;
         if post.billed && !duplicate {
             account.bills.push(Bill {
-                request: post.request.clone(),
+                request_id: post.request_id.clone(),
                 tokens: post.tokens,
                 holder: post.holder.clone(),
-                body: post.body,
-                at: post.at.clone(),
+                body_hash: post.body_hash,
+                attempt: post.attempt.clone(),
                 at_ms: post.at_ms,
             });
-            return PostOutcome::New;
+            return PostOutcome::Posted;
         }
         line.written_off += post.tokens;
         if post.billed {
-            PostOutcome::Duplicate
+            PostOutcome::DuplicateRequest
         } else {
-            PostOutcome::New
+            PostOutcome::Posted
         }
     }
 
     /// Returns whether a hold is settled.
     pub fn has_post(&self, account: &str, holder: &str, hold: u64) -> bool {
-        let line = self.accounts.get(account).and_then(|a| a.lines.get(holder));
+        let line = self
+            .accounts
+            .get(account)
+            .and_then(|a| a.ledger.get(holder));
         match line {
-            Some(line) => line.posted.contains(hold),
+            Some(line) => line.settled_holds.contains(hold),
             None => self.tombstones.iter().any(|t| t == holder),
         }
     }
@@ -340,7 +352,7 @@
     ///
     /// A line is kept while it strands tokens or was released: these must stay visible.
     pub fn fold(&mut self, holder: &str) -> bool {
-        let released = |a: &Account| a.lines.get(holder).is_some_and(|l| l.released > 0);
+        let released = |a: &Account| a.ledger.get(holder).is_some_and(|l| l.released > 0);
         let joint = |a: &Account| a.joint_of(holder).is_some();
         let done = |a: &Account| a.balance(holder) == 0 && !released(a) && !joint(a);
         if !self.accounts.values().all(done) {
@@ -388,7 +400,7 @@
 
     /// Returns every holder with a line.
     pub fn holders(&self) -> Vec<String> {
-        let lines = self.accounts.values().flat_map(|a| a.lines.keys());
+        let lines = self.accounts.values().flat_map(|a| a.ledger.keys());
         let mut holders: Vec<String> = lines.chain(self.writers.keys()).cloned().collect();
         holders.sort();
         holders.dedup();
--- a/crates/budget/src/record_sync.rs
+++ b/crates/budget/src/record_sync.rs
@@ -26,7 +26,7 @@
         if self.want_read || (self.known.is_none() && self.has_work(now)) {
             self.want_read = false;
             self.io = Io::Read { since: now };
-            out.push(Action::Read);
+            out.push(Action::ReadRecord);
         } else if let Some(name) = self.lacks_older() {
             self.io = Io::Segment;
             out.push(Action::ReadSegment { name });
@@ -63,7 +63,7 @@
     fn has_work(&mut self, now: u64) -> bool {
         self.standby_due = self.standby_due && self.standby_lacks(now);
         let any = |(name, l): (&String, &LocalAccount)| {
-            let local = !l.pending.is_empty() || !l.acts.is_empty() || l.giving > 0;
+            let local = !l.pending.is_empty() || !l.commands.is_empty() || l.returning > 0;
             let lacks = self.wants(now, name) > 0 || self.has_unwritten_transfers(name);
             local || lacks || self.must_close(name)
         };
@@ -86,7 +86,7 @@
         let me = &self.me;
         let sent = local.sent.iter().map(|(to, t)| (format!("{me}>{to}"), *t));
         let got = local
-            .got
+            .received
             .iter()
             .map(|(from, t)| (format!("{from}>{me}"), *t));
         sent.chain(got)
@@ -113,7 +113,7 @@
             weight,
             rate: local.rate(now),
         });
-        if self.params.joint && self.witness.is_some() && !self.grants_jointly(now, name) {
+        if self.params.joint_grants && self.witness.is_some() && !self.grants_jointly(now, name) {
             // The witness does not answer: as little as possible without it.
             return size.min(need.saturating_mul(2)).min(account.free());
         }
@@ -125,7 +125,7 @@
         if self.role != Role::Standby || self.params.standby_pct == 0 {
             return 0;
         }
-        let can_be_joint = self.params.joint && self.witness.is_some();
+        let can_be_joint = self.params.joint_grants && self.witness.is_some();
         if can_be_joint && !self.grants_jointly(now, name) {
             // Its joint grant is being handed back: a standby can wait for the next one, and a
             // grant of its own would strand whole.
@@ -181,8 +181,8 @@
         self.end_steps();
         for (name, local) in self.hot_locals() {
             self.write_account(now, number, name, &mut record);
-            if local.giving > 0 {
-                giving.insert(name.clone(), local.giving);
+            if local.returning > 0 {
+                giving.insert(name.clone(), local.returning);
             }
         }
         self.write_standby(now, number, &mut record);
@@ -200,7 +200,10 @@
             record: record.clone(),
         });
         self.io = Io::Write { since: now };
-        out.push(Action::Write { base, record });
+        out.push(Action::WriteRecord {
+            base_revision: base,
+            record,
+        });
     }
 
     /// Reads again before a write that would put an overspend in force.
@@ -231,14 +234,17 @@
         let local = &self.locals[name];
         let wanted = self.wants(now, name);
         for pending in &local.pending {
-            let has_older = self.older.bill(name, &pending.post.request).is_some();
-            record.post(name, &pending.post, has_older);
+            let has_older = self
+                .older
+                .bill(name, &pending.settlement.request_id)
+                .is_some();
+            record.post(name, &pending.settlement, has_older);
         }
         if local.sent.is_empty()
-            && local.got.is_empty()
-            && local.acts.is_empty()
+            && local.received.is_empty()
+            && local.commands.is_empty()
             && local.joint.is_none()
-            && wanted + local.giving == 0
+            && wanted + local.returning == 0
         {
             return;
         }
@@ -246,18 +252,18 @@
         for (to, tokens) in &local.sent {
             merge(account, format!("{}>{to}", self.me), *tokens);
         }
-        for (from, tokens) in &local.got {
+        for (from, tokens) in &local.received {
             merge(account, format!("{from}>{}", self.me), *tokens);
         }
-        for (_, act) in &local.acts {
+        for (_, act) in &local.commands {
             apply_act(account, act);
         }
         let jointly = self.grants_jointly(now, name);
         let (joint, own) = if jointly { (wanted, 0) } else { (0, wanted) };
         self.write_joint(name, number, joint, account);
-        if own + local.giving > 0 {
-            let line = account.lines.entry(self.me.clone()).or_default();
-            line.granted += own as i64 - local.giving as i64;
+        if own + local.returning > 0 {
+            let line = account.ledger.entry(self.me.clone()).or_default();
+            line.granted += own as i64 - local.returning as i64;
         }
     }
 
@@ -270,7 +276,7 @@
             if adds > 0 && self.grants_jointly(now, name) {
                 self.write_joint(name, number, adds, account);
             } else if adds > 0 {
-                account.lines.entry(self.me.clone()).or_default().granted += adds as i64;
+                account.ledger.entry(self.me.clone()).or_default().granted += adds as i64;
             }
         }
     }
@@ -361,7 +367,7 @@
             if proposal.number == landed {
                 for (name, tokens) in &proposal.giving {
                     let local = self.locals.get_mut(name).expect("kept while giving");
-                    local.giving -= tokens;
+                    local.returning -= tokens;
                 }
             } else if proposal.base == stored.revision {
                 // Still on its way, perhaps: it can land until the revision moves.
@@ -377,7 +383,7 @@
         };
         let tombstones = &stored.record.tombstones;
         for local in self.locals.values_mut() {
-            local.got.retain(|h, _| !tombstones.contains(h));
+            local.received.retain(|h, _| !tombstones.contains(h));
             local.sent.retain(|h, _| !tombstones.contains(h));
         }
     }
@@ -387,7 +393,7 @@
             return;
         };
         for (name, account) in &stored.record.accounts {
-            if account.lines.contains_key(&self.me) {
+            if account.ledger.contains_key(&self.me) {
                 // A standby's grant came without a request; a stop must find and return it too.
                 self.locals.entry(name.clone()).or_default();
             }
@@ -397,7 +403,7 @@
                 };
                 if to == self.me {
                     let local = self.locals.entry(name.clone()).or_default();
-                    let got = local.got.entry(from.to_string()).or_default();
+                    let got = local.received.entry(from.to_string()).or_default();
                     *got = (*got).max(*tokens);
                 }
             }
@@ -412,17 +418,20 @@
         let record = &stored.record;
         for (name, local) in &mut self.locals {
             local.pending.retain_mut(|p| {
-                let posted = record.has_post(name, &p.post.holder, p.post.hold);
+                let posted = record.has_post(name, &p.settlement.holder, p.settlement.hold);
                 if posted {
                     let how = Durability::Recorded;
-                    out.extend(p.asks.drain(..).map(|ask| Action::Settled { ask, how }));
+                    out.extend(p.reply_to.drain(..).map(|ask| Action::SettleReply {
+                        reply_to: ask,
+                        durability: how,
+                    }));
                 }
                 !posted
             });
             let me = &self.me;
-            local.held.retain(|n, _| !record.has_post(name, me, *n));
-            let held = &local.held;
-            local.by_request.retain(|_, n| held.contains_key(n));
+            local.holds.retain(|n, _| !record.has_post(name, me, *n));
+            let held = &local.holds;
+            local.hold_by_request.retain(|_, n| held.contains_key(n));
         }
         self.kept
             .retain(|(_, a, p)| !record.has_post(a, &p.holder, p.hold));
@@ -436,10 +445,13 @@
             let Some(account) = stored.record.accounts.get(name) else {
                 continue;
             };
-            local.acts.retain(|(ask, act)| {
+            local.commands.retain(|(ask, act)| {
                 let reply = act_reply(account, act);
                 let answered = reply.is_some();
-                out.extend(reply.map(|reply| Action::Acted { ask: *ask, reply }));
+                out.extend(reply.map(|reply| Action::OperatorReply {
+                    reply_to: *ask,
+                    reply,
+                }));
                 !answered
             });
         }
@@ -452,15 +464,15 @@
         };
         let holds = |n: &String| {
             let account = stored.record.accounts.get(n);
-            account.is_some_and(|a| a.lines.contains_key(&self.me))
+            account.is_some_and(|a| a.ledger.contains_key(&self.me))
         };
         self.locals.retain(|n, l| {
             let empty = l.is_quiet()
                 && l.joint.is_none()
-                && l.acts.is_empty()
+                && l.commands.is_empty()
                 && l.sent.is_empty()
-                && l.got.is_empty();
-            !(empty && l.giving == 0 && l.used_at + IDLE_USE_MS < *since && !holds(n))
+                && l.received.is_empty();
+            !(empty && l.returning == 0 && l.last_used_at + IDLE_USE_MS < *since && !holds(n))
         });
     }
 }
@@ -490,7 +502,7 @@
             id,
             holder,
             reason,
-            who,
+            operator: who,
         } => {
             account.release(id, holder, reason, who);
         }
--- a/crates/budget/src/reservation.rs
+++ b/crates/budget/src/reservation.rs
@@ -51,7 +51,7 @@
                 local.waiting.push_back(waiting);
                 continue;
             }
-            let ask = waiting.ask;
+            let ask = waiting.reply_to;
             let tokens = waiting.tokens;
             let reply = match hold(local, waiting, next_hold) {
                 Some(hold) => {
@@ -62,7 +62,10 @@
                 }
                 None => ReserveReply::Voided,
             };
-            out.push(Action::Reserved { ask, reply });
+            out.push(Action::ReserveReply {
+                reply_to: ask,
+                reply,
+            });
         }
         self.next_hold = next_hold;
     }
@@ -71,16 +74,18 @@
     fn answer_billed(&mut self, name: &str, out: &mut Vec<Action>) {
         let local = self.locals.get_mut(name).expect("listed by the caller");
         for waiting in std::mem::take(&mut local.waiting) {
-            let reply = match &waiting.want {
-                ReservationKind::New { request, body, .. } => {
-                    self.billed_before(name, request, *body)
-                }
-                ReservationKind::More { .. } => None,
+            let reply = match &waiting.kind {
+                ReservationKind::NewHold {
+                    request_id: request,
+                    body_hash: body,
+                    ..
+                } => self.billed_before(name, request, *body),
+                ReservationKind::ExtendHold { .. } => None,
             };
             let local = self.locals.get_mut(name).expect("listed by the caller");
             match reply {
-                Some(reply) => out.push(Action::Reserved {
-                    ask: waiting.ask,
+                Some(reply) => out.push(Action::ReserveReply {
+                    reply_to: waiting.reply_to,
                     reply,
                 }),
                 None => local.waiting.push_back(waiting),
@@ -95,13 +100,16 @@
                 Verdict::Wait => {}
                 Verdict::Read => self.want_read = true,
                 Verdict::Recall(lack) => {
-                    waiting.recalled = true;
+                    waiting.recall_sent = true;
                     self.recall(name, lack, out);
                 }
                 Verdict::Step(lack) => self.ask_step(now, name, lack, out),
                 Verdict::Refuse(reply) => {
-                    let ask = waiting.ask;
-                    out.push(Action::Reserved { ask, reply });
+                    let ask = waiting.reply_to;
+                    out.push(Action::ReserveReply {
+                        reply_to: ask,
+                        reply,
+                    });
                     continue;
                 }
             }
@@ -138,7 +146,7 @@
             if free >= lack && self.may_grant(name, lack) {
                 return Verdict::Wait;
             }
-            if !self.is_fresh(waiting.asked_at) {
+            if !self.is_fresh(waiting.requested_at) {
                 return Verdict::Read;
             }
             let left = self.left(name);
@@ -146,9 +154,9 @@
                 return Verdict::Refuse(ReserveReply::Exhausted { left });
             }
         }
-        let open = self.locals.get(name).map_or(0, |l| l.recalls);
+        let open = self.locals.get(name).map_or(0, |l| l.open_recalls);
         let write_open = matches!(self.io, Io::Write { .. });
-        match (waiting.recalled, open) {
+        match (waiting.recall_sent, open) {
             (false, _) if self.params.recall && !self.donors(name).is_empty() => {
                 let granted = if self.failures == 0 { free } else { 0 };
                 Verdict::Recall(lack.saturating_sub(granted))
@@ -209,7 +217,7 @@
     fn recall(&mut self, name: &str, lack: u64, out: &mut Vec<Action>) {
         let donors = self.donors(name);
         let local = self.locals.get_mut(name).expect("listed by the caller");
-        local.recalls += donors.len() as u32;
+        local.open_recalls += donors.len() as u32;
         for from in donors {
             out.push(Action::Recall {
                 account: name.to_string(),
@@ -232,30 +240,30 @@
 
 /// Opens or widens a hold; none when the hold to widen is gone.
 fn hold(local: &mut LocalAccount, waiting: WaitingReservation, next_hold: u64) -> Option<u64> {
-    match waiting.want {
-        ReservationKind::New {
-            request,
-            body,
+    match waiting.kind {
+        ReservationKind::NewHold {
+            request_id: request,
+            body_hash: body,
             entry,
         } => {
-            local.by_request.insert(request.clone(), next_hold);
+            local.hold_by_request.insert(request.clone(), next_hold);
             let held = Hold {
-                request,
-                body,
+                request_id: request,
+                body_hash: body,
                 entries: smallvec![entry],
-                at: waiting.at,
+                attempt: waiting.attempt,
                 tokens: waiting.tokens,
-                paid: 0,
-                uncertain: false,
-                probe_at: None,
+                settled: 0,
+                unconfirmed: false,
+                cancel_at: None,
             };
-            local.held.insert(next_hold, held);
+            local.holds.insert(next_hold, held);
             Some(next_hold)
         }
-        ReservationKind::More { hold } => {
-            let held = local.held.get_mut(&hold)?;
+        ReservationKind::ExtendHold { hold } => {
+            let held = local.holds.get_mut(&hold)?;
             held.tokens += waiting.tokens;
-            held.at = waiting.at;
+            held.attempt = waiting.attempt;
             Some(hold)
         }
     }
--- a/crates/budget/src/settle.rs
+++ b/crates/budget/src/settle.rs
@@ -12,27 +12,27 @@
         let me = self.me.clone();
         let local = self.locals.entry(account.to_string()).or_default();
         local.void(entry, request);
-        local.waiting.retain(|w| match &w.want {
-            ReservationKind::New {
-                request: r,
+        local.waiting.retain(|w| match &w.kind {
+            ReservationKind::NewHold {
+                request_id: r,
                 entry: e,
                 ..
             } => r != request || e != entry,
-            ReservationKind::More { .. } => true,
+            ReservationKind::ExtendHold { .. } => true,
         });
-        let Some(hold) = local.by_request.get(request).copied() else {
+        let Some(hold) = local.hold_by_request.get(request).copied() else {
             return;
         };
         let only = |h: &Hold| h.entries.len() == 1 && h.entries[0] == entry;
-        if local.held.get(&hold).is_some_and(only) {
+        if local.holds.get(&hold).is_some_and(only) {
             let post = Settlement {
                 holder: me,
                 hold,
-                request: request.to_string(),
+                request_id: request.to_string(),
                 tokens: 0,
                 billed: false,
-                body: 0,
-                at: AttemptRef::default(),
+                body_hash: 0,
+                attempt: AttemptRef::default(),
                 at_ms: 0,
             };
             self.settle(now, None, account, post, &[], &mut Vec::new());
@@ -57,17 +57,18 @@
             + if self.failures > 0 {
                 0
             } else {
-                self.params.copy_ms
+                self.params.copy_delay_ms
             };
         let local = self.locals.entry(account.to_string()).or_default();
-        let same =
-            |p: &&mut PendingSettlement| p.post.holder == post.holder && p.post.hold == post.hold;
+        let same = |p: &&mut PendingSettlement| {
+            p.settlement.holder == post.holder && p.settlement.hold == post.hold
+        };
         if let Some(pending) = local.pending.iter_mut().find(same) {
-            pending.asks.extend(ask);
+            pending.reply_to.extend(ask);
             return;
         }
         if post.holder == self.me {
-            let Some(held) = local.held.remove(&post.hold) else {
+            let Some(held) = local.holds.remove(&post.hold) else {
                 // An unknown number of this holder: an earlier settlement is already forgotten.
                 reply_settled(ask, Durability::Recorded, out);
                 return;
@@ -75,16 +76,16 @@
             if post.tokens > held.tokens {
                 let account = account.to_string();
                 let tokens = post.tokens - held.tokens;
-                out.push(Action::Note(Warning::Excess { account, tokens }));
+                out.push(Action::Warn(Warning::ExcessUsage { account, tokens }));
                 post.tokens = held.tokens;
             }
             self.next_hold = close_hold(now, local, held, &post, doubts, self.next_hold);
         }
         local.pending.push(PendingSettlement {
-            post,
-            asks: ask.into_iter().collect(),
+            settlement: post,
+            reply_to: ask.into_iter().collect(),
             copy_at,
-            copies: 0,
+            copy_attempts: 0,
         });
     }
 
@@ -103,7 +104,7 @@
         out: &mut Vec<Action>,
     ) {
         let local = self.locals.get_mut(account);
-        let held = local.and_then(|l| l.held.get_mut(&hold));
+        let held = local.and_then(|l| l.holds.get_mut(&hold));
         let others = held.is_some_and(|h| {
             let at = h.entries.iter().position(|e| e == entry);
             let others = h.entries.len() > 1;
@@ -112,15 +113,22 @@
             }
             others
         });
-        out.push(Action::DroppedOut { ask, others });
+        out.push(Action::DetachReply {
+            reply_to: ask,
+            others_remain: others,
+        });
     }
 
     pub(crate) fn copied(&mut self, account: &str, hold: u64, out: &mut Vec<Action>) {
         let Some(local) = self.locals.get_mut(account) else {
             return;
         };
-        for pending in local.pending.iter_mut().filter(|p| p.post.hold == hold) {
-            for ask in pending.asks.drain(..) {
+        for pending in local
+            .pending
+            .iter_mut()
+            .filter(|p| p.settlement.hold == hold)
+        {
+            for ask in pending.reply_to.drain(..) {
                 reply_settled(Some(ask), Durability::Copied, out);
             }
         }
@@ -134,13 +142,13 @@
             self.witness_of.silent.insert(entry.to_string());
             self.want_read = true;
         }
-        let probe_at = now + self.params.orphan_ms;
+        let probe_at = now + self.params.orphan_grace_ms;
         for local in self.locals.values_mut() {
-            for held in local.held.values_mut() {
+            for held in local.holds.values_mut() {
                 let before = held.entries.len();
                 held.entries.retain(|e| e != entry);
                 if before > 0 && held.entries.is_empty() {
-                    held.probe_at = Some(probe_at);
+                    held.cancel_at = Some(probe_at);
                 }
             }
         }
@@ -156,17 +164,17 @@
         out: &mut Vec<Action>,
     ) {
         let local = self.locals.get(account);
-        let Some(held) = local.and_then(|l| l.held.get(&hold)) else {
+        let Some(held) = local.and_then(|l| l.holds.get(&hold)) else {
             return;
         };
         let post = Settlement {
             holder: self.me.clone(),
             hold,
-            request: held.request.clone(),
-            tokens: tokens.saturating_sub(held.paid),
-            billed: !held.uncertain && tokens > 0,
-            body: held.body,
-            at: held.at.clone(),
+            request_id: held.request_id.clone(),
+            tokens: tokens.saturating_sub(held.settled),
+            billed: !held.unconfirmed && tokens > 0,
+            body_hash: held.body_hash,
+            attempt: held.attempt.clone(),
             at_ms,
         };
         self.settle(now, None, account, post, &[], out);
@@ -190,15 +198,15 @@
     pub(crate) fn copy_again(&mut self, now: u64, out: &mut Vec<Action>) {
         for (account, local) in &mut self.locals {
             for pending in &mut local.pending {
-                let waits = !pending.asks.is_empty() && pending.post.holder == self.me;
+                let waits = !pending.reply_to.is_empty() && pending.settlement.holder == self.me;
                 if waits && pending.copy_at <= now {
                     // In a zone that is cut off for long, thousands of bills wait: asking for all of
                     // them again and again would drown the instances of the zone.
-                    pending.copy_at = now + (RECOPY_MS << pending.copies.min(7));
-                    pending.copies += 1;
-                    out.push(Action::Copy {
+                    pending.copy_at = now + (RECOPY_MS << pending.copy_attempts.min(7));
+                    pending.copy_attempts += 1;
+                    out.push(Action::SendCopy {
                         account: account.clone(),
-                        post: pending.post.clone(),
+                        settlement: pending.settlement.clone(),
                     });
                 }
             }
@@ -207,13 +215,13 @@
 
     pub(crate) fn probe(&mut self, now: u64, out: &mut Vec<Action>) {
         for (account, local) in &mut self.locals {
-            for (hold, held) in &mut local.held {
-                if held.probe_at.is_some_and(|at| at <= now) {
-                    held.probe_at = Some(now + PROBE_MS);
-                    out.push(Action::Probe {
+            for (hold, held) in &mut local.holds {
+                if held.cancel_at.is_some_and(|at| at <= now) {
+                    held.cancel_at = Some(now + PROBE_MS);
+                    out.push(Action::CancelAttempt {
                         account: account.clone(),
                         hold: *hold,
-                        at: held.at.clone(),
+                        attempt: held.attempt.clone(),
                     });
                 }
             }
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -161,16 +161,18 @@
 
     /// Returns whether something waits for time or for the platform.
     pub fn is_busy(&self) -> bool {
-        let busy =
-            |l: &LocalAccount| !l.pending.is_empty() || !l.waiting.is_empty() || !l.acts.is_empty();
+        let busy = |l: &LocalAccount| {
+            !l.pending.is_empty() || !l.waiting.is_empty() || !l.commands.is_empty()
+        };
         self.io != Io::Idle || self.locals.values().any(busy)
     }
 
     /// Returns whether nothing is left to settle or hand back.
     pub fn is_clear(&self) -> bool {
         let clear = |(name, l): (&String, &LocalAccount)| {
-            let quiet = l.is_quiet() && l.acts.is_empty() && l.recalls == 0 && l.joint.is_none();
-            let empty = l.giving == 0 && self.available(name) == 0;
+            let quiet =
+                l.is_quiet() && l.commands.is_empty() && l.open_recalls == 0 && l.joint.is_none();
+            let empty = l.returning == 0 && self.available(name) == 0;
             quiet && empty && !self.has_unwritten_transfers(name)
         };
         self.io == Io::Idle && self.kept.is_empty() && self.locals.iter().all(clear)
@@ -186,10 +188,10 @@
         let none = LocalAccount::default();
         let local = self.locals.get(account).unwrap_or(&none);
         let stored = self.record().and_then(|r| r.accounts.get(account));
-        let line = stored.and_then(|a| a.lines.get(&self.me));
+        let line = stored.and_then(|a| a.ledger.get(&self.me));
         let (granted, settled, released) =
             line.map_or((0, 0, 0), |l| (l.granted, l.settled, l.released));
-        let got: u64 = local.got.values().sum();
+        let got: u64 = local.received.values().sum();
         let sent: u64 = local.sent.values().sum();
         let opened = self.joint_opened(account);
         let has: i128 = i128::from(granted) + i128::from(got) + i128::from(opened);
@@ -197,7 +199,7 @@
             settled,
             released,
             sent,
-            local.giving,
+            local.returning,
             local.reserved(),
             local.unposted(&self.me),
         ];
@@ -222,72 +224,90 @@
             self.hot.insert(account.to_string());
         }
         match event {
-            Event::Reserve { ask, req, deadline } => self.reserve(now, ask, req, deadline, out),
+            Event::Reserve {
+                reply_to: ask,
+                request: req,
+                deadline,
+            } => self.reserve(now, ask, req, deadline, out),
             Event::Extend {
-                ask,
+                reply_to: ask,
                 account,
                 hold,
-                at,
+                attempt: at,
                 tokens,
                 deadline,
             } => self.extend(now, ask, &account, hold, at, tokens, deadline, out),
             Event::Void {
                 account,
-                request,
+                request_id: request,
                 entry,
             } => self.void(now, &account, &request, &entry),
             Event::Settle {
-                ask,
+                reply_to: ask,
                 account,
-                post,
-                doubts,
+                settlement: post,
+                unconfirmed: doubts,
             } => self.settle(now, ask, &account, post, &doubts, out),
-            Event::DropOut {
-                ask,
+            Event::Detach {
+                reply_to: ask,
                 account,
                 hold,
                 entry,
             } => self.drop_out(ask, &account, hold, &entry, out),
-            Event::Keep { account, post } => self.kept.push((now + KEEP_MS, account, post)),
+            Event::StoreCopy {
+                account,
+                settlement: post,
+            } => self.kept.push((now + KEEP_MS, account, post)),
             Event::Recall {
-                ask,
+                reply_to: ask,
                 account,
                 to,
                 tokens,
             } => self.call(now, ask, &account, to, tokens, out),
-            Event::Open { ask, key, upto } => {
+            Event::OpenStep {
+                reply_to: ask,
+                key,
+                up_to: upto,
+            } => {
                 let opened = self.witness_of.open(&key, upto);
-                out.push(Action::Witnessed { ask, opened });
+                out.push(Action::StepReply {
+                    reply_to: ask,
+                    total_opened: opened,
+                });
             }
-            Event::Opened {
+            Event::StepReply {
                 account,
                 key,
-                opened,
+                total_opened: opened,
             } => {
                 self.opened(&account, &key, opened);
                 self.answer_calls(now, &account, true, out);
             }
-            Event::Recalled {
+            Event::RecallReply {
                 account,
                 from,
-                sent,
+                total_sent: sent,
             } => self.recalled(&account, from, sent),
-            Event::Act { ask, account, act } => {
+            Event::Operator {
+                reply_to: ask,
+                account,
+                command: act,
+            } => {
                 let local = self.locals.entry(account).or_default();
-                local.acts.push((ask, act));
+                local.commands.push((ask, act));
             }
-            Event::Read(stored) => self.read(now, stored, out),
+            Event::RecordRead(stored) => self.read(now, stored, out),
             Event::ReadFailed | Event::WriteRefused => self.failed(now),
-            Event::Written { revision } => self.written(revision, out),
-            Event::WriteLost(stored) => self.write_lost(stored, out),
-            Event::WriteUnknown => {
+            Event::WriteCommitted { revision } => self.written(revision, out),
+            Event::WriteConflict(stored) => self.write_lost(stored, out),
+            Event::WriteOutcomeUnknown => {
                 self.failed(now);
                 self.want_read = true;
             }
             Event::SegmentWritten(done) => self.segment_written(now, done),
-            Event::Copied { account, hold } => self.copied(&account, hold, out),
-            Event::Gone { entry } => self.entry_gone(now, &entry),
-            Event::Proof {
+            Event::CopyStored { account, hold } => self.copied(&account, hold, out),
+            Event::InstanceUnresponsive { instance: entry } => self.entry_gone(now, &entry),
+            Event::UsageReported {
                 account,
                 hold,
                 tokens,
@@ -310,8 +330,11 @@
                 return false;
             };
             let unwatched = l.joint.as_ref().is_some_and(|j| !j.is_watched);
-            let waits = !l.is_quiet() || !l.acts.is_empty() || !l.calls.is_empty() || l.giving > 0;
-            let recent = now < l.used_at + HOT_MS;
+            let waits = !l.is_quiet()
+                || !l.commands.is_empty()
+                || !l.deferred_recalls.is_empty()
+                || l.returning > 0;
+            let recent = now < l.last_used_at + HOT_MS;
             let lone = self.lone(now, n) > 0;
             let unwritten = self.must_close(n) || self.has_unwritten_transfers(n);
             unwatched || waits || recent || lone || unwritten
@@ -330,25 +353,28 @@
         let me = self.me.clone();
         let account = req.account;
         let local = self.locals.entry(account.clone()).or_default();
-        if let Some(reply) = known_request(&me, local, &req.request, req.body, &req.entry) {
-            out.push(Action::Reserved { ask, reply });
+        if let Some(reply) = known_request(&me, local, &req.request_id, req.body_hash, &req.entry) {
+            out.push(Action::ReserveReply {
+                reply_to: ask,
+                reply,
+            });
             return;
         }
         let local = self.locals.get_mut(&account).expect("made above");
         local.demand(now, req.tokens);
         local.waiting.push_back(WaitingReservation {
-            ask,
-            want: ReservationKind::New {
-                request: req.request,
-                body: req.body,
+            reply_to: ask,
+            kind: ReservationKind::NewHold {
+                request_id: req.request_id,
+                body_hash: req.body_hash,
                 entry: req.entry,
             },
-            at: req.at,
+            attempt: req.attempt,
             tokens: req.tokens,
             weight: req.weight,
-            asked_at: now,
+            requested_at: now,
             deadline,
-            recalled: false,
+            recall_sent: false,
         });
     }
 
@@ -364,20 +390,23 @@
         out: &mut Vec<Action>,
     ) {
         let local = self.locals.entry(account.to_string()).or_default();
-        if !local.held.contains_key(&hold) {
+        if !local.holds.contains_key(&hold) {
             let reply = ReserveReply::Voided;
-            out.push(Action::Reserved { ask, reply });
+            out.push(Action::ReserveReply {
+                reply_to: ask,
+                reply,
+            });
             return;
         }
         local.waiting.push_back(WaitingReservation {
-            ask,
-            want: ReservationKind::More { hold },
-            at,
+            reply_to: ask,
+            kind: ReservationKind::ExtendHold { hold },
+            attempt: at,
             tokens,
             weight: 100,
-            asked_at: now,
+            requested_at: now,
             deadline,
-            recalled: false,
+            recall_sent: false,
         });
     }
 
@@ -407,7 +436,8 @@
     pub(crate) fn tick(&mut self, now: u64, out: &mut Vec<Action>) {
         self.post_kept(now);
         self.open_ahead(now, out);
-        let called = |(n, l): (&String, &LocalAccount)| (!l.calls.is_empty()).then(|| n.clone());
+        let called =
+            |(n, l): (&String, &LocalAccount)| (!l.deferred_recalls.is_empty()).then(|| n.clone());
         let hot = self.hot.iter().filter_map(|n| self.locals.get_key_value(n));
         let called: Vec<String> = hot.filter_map(called).collect();
         for name in called {
@@ -419,7 +449,7 @@
         self.give_lone(now);
         let look = self.role == Role::Standby && self.params.standby_pct > 0;
         if look && now >= self.next_look {
-            self.next_look = now + self.params.standby_ms;
+            self.next_look = now + self.params.standby_check_ms;
             self.want_read = true;
         }
     }
@@ -433,13 +463,13 @@
     ) -> Option<ReserveReply> {
         let bill = self.stored(account).and_then(|a| a.bill(request));
         let bill = bill.or_else(|| self.older.bill(account, request))?;
-        if bill.body != body {
-            return Some(ReserveReply::Reused);
+        if bill.body_hash != body {
+            return Some(ReserveReply::IdReused);
         }
         Some(ReserveReply::Exists {
             holder: bill.holder.clone(),
             hold: 0,
-            at: bill.at.clone(),
+            attempt: bill.attempt.clone(),
             billed: Some(bill.tokens),
         })
     }
@@ -447,7 +477,7 @@
     /// Returns what the record grants to this holder.
     pub(crate) fn granted(&self, account: &str) -> u64 {
         let stored = self.record().and_then(|r| r.accounts.get(account));
-        let line = stored.and_then(|a| a.lines.get(&self.me));
+        let line = stored.and_then(|a| a.ledger.get(&self.me));
         line.map_or(0, |l| l.granted.max(0) as u64)
     }
 
@@ -468,21 +498,21 @@
     if local.is_void(entry, request) {
         return Some(ReserveReply::Voided);
     }
-    if let Some(hold) = local.by_request.get(request).copied() {
-        let held = local.held.get_mut(&hold).expect("indexed by request");
-        if held.body != body {
-            return Some(ReserveReply::Reused);
+    if let Some(hold) = local.hold_by_request.get(request).copied() {
+        let held = local.holds.get_mut(&hold).expect("indexed by request");
+        if held.body_hash != body {
+            return Some(ReserveReply::IdReused);
         }
-        held.probe_at = None;
+        held.cancel_at = None;
         held.entries.push(entry.to_string());
         return Some(ReserveReply::Exists {
             holder: me.to_string(),
             hold,
-            at: held.at.clone(),
+            attempt: held.attempt.clone(),
             billed: None,
         });
     }
-    let done = local.done.get(request)?;
+    let done = local.finished.get(request)?;
     Some(done.reply(me, body))
 }
 
@@ -496,40 +526,43 @@
     mut next_hold: u64,
 ) -> u64 {
     let mut rest = held.tokens - post.tokens;
-    if local.by_request.get(&held.request) == Some(&post.hold) {
-        local.by_request.remove(&held.request);
+    if local.hold_by_request.get(&held.request_id) == Some(&post.hold) {
+        local.hold_by_request.remove(&held.request_id);
     }
     if post.billed {
         let done = FinishedRequest {
             hold: post.hold,
-            body: held.body,
-            at: held.at.clone(),
+            body_hash: held.body_hash,
+            attempt: held.attempt.clone(),
             tokens: post.tokens,
-            until: 0,
+            expires_at: 0,
         };
-        local.finish(now, held.request.clone(), done);
+        local.finish(now, held.request_id.clone(), done);
     }
     for doubt in doubts {
         let tokens = doubt.tokens.min(rest);
         rest -= tokens;
         let kept = Hold {
-            request: held.request.clone(),
-            body: held.body,
-            at: doubt.at.clone(),
+            request_id: held.request_id.clone(),
+            body_hash: held.body_hash,
+            attempt: doubt.attempt.clone(),
             tokens,
-            paid: doubt.paid,
-            uncertain: true,
-            probe_at: Some(now),
+            settled: doubt.settled,
+            unconfirmed: true,
+            cancel_at: Some(now),
             entries: Default::default(),
         };
-        local.held.insert(next_hold, kept);
+        local.holds.insert(next_hold, kept);
         next_hold += 1;
     }
     next_hold
 }
 
 pub(crate) fn reply_settled(ask: Option<u64>, how: Durability, out: &mut Vec<Action>) {
-    out.extend(ask.map(|ask| Action::Settled { ask, how }));
+    out.extend(ask.map(|ask| Action::SettleReply {
+        reply_to: ask,
+        durability: how,
+    }));
 }
 
 /// Returns the answer to an act as the record shows it.
--- a/crates/budget/src/transfer.rs
+++ b/crates/budget/src/transfer.rs
@@ -22,11 +22,11 @@
         }
         let until = now + CALL_MS;
         let local = self.locals.entry(account.to_string()).or_default();
-        local.calls.push(DeferredRecall {
-            ask,
+        local.deferred_recalls.push(DeferredRecall {
+            reply_to: ask,
             to,
             tokens,
-            until,
+            deadline: until,
         });
         self.ask_step(now, account, lack, out);
     }
@@ -42,12 +42,12 @@
         let Some(local) = self.locals.get_mut(account) else {
             return;
         };
-        let (due, later) = std::mem::take(&mut local.calls)
+        let (due, later) = std::mem::take(&mut local.deferred_recalls)
             .into_iter()
-            .partition(|c| all || c.until <= now);
-        local.calls = later;
+            .partition(|c| all || c.deadline <= now);
+        local.deferred_recalls = later;
         for call in due {
-            self.hand_over(call.ask, account, &call.to, call.tokens, out);
+            self.hand_over(call.reply_to, account, &call.to, call.tokens, out);
         }
     }
 
@@ -73,19 +73,22 @@
         let local = self.locals.entry(account.to_string()).or_default();
         let sent = local.sent.entry(to.to_string()).or_default();
         *sent += give;
-        out.push(Action::Handed { ask, sent: *sent });
+        out.push(Action::RecallReply {
+            reply_to: ask,
+            total_sent: *sent,
+        });
     }
 
     pub(crate) fn recalled(&mut self, account: &str, from: String, sent: Option<u64>) {
         let folded = self.record().is_some_and(|r| r.tombstones.contains(&from));
         let local = self.locals.entry(account.to_string()).or_default();
-        local.recalls = local.recalls.saturating_sub(1);
+        local.open_recalls = local.open_recalls.saturating_sub(1);
         if folded {
             // What it handed over is a grant by now: counting it again would double it.
             return;
         }
         if let Some(sent) = sent.filter(|s| *s > 0) {
-            let got = local.got.entry(from).or_default();
+            let got = local.received.entry(from).or_default();
             *got = sent.max(*got);
         }
     }
@@ -101,7 +104,7 @@
             let available = self.available(&name);
             let local = self.locals.get_mut(&name).expect("listed above");
             if local.waiting.is_empty() {
-                local.giving += available;
+                local.returning += available;
             }
         }
     }
--- a/crates/budget/tests/decisions.rs
+++ b/crates/budget/tests/decisions.rs
@@ -12,11 +12,11 @@
     Settlement {
         holder: holder.to_string(),
         hold,
-        request: request.to_string(),
+        request_id: request.to_string(),
         tokens,
         billed: true,
-        body: 1,
-        at: AttemptRef::default(),
+        body_hash: 1,
+        attempt: AttemptRef::default(),
         at_ms: 1,
     }
 }
@@ -48,17 +48,17 @@
     fn reserve(&mut self, request: &str, tokens: u64) -> Vec<Action> {
         let req = ReserveRequest {
             account: "c".to_string(),
-            request: request.to_string(),
-            body: 1,
+            request_id: request.to_string(),
+            body_hash: 1,
             entry: "e.1".to_string(),
-            at: AttemptRef::default(),
+            attempt: AttemptRef::default(),
             tokens,
             weight: 25,
         };
         let deadline = self.now + 1_000;
         self.step(Event::Reserve {
-            ask: 1,
-            req,
+            reply_to: 1,
+            request: req,
             deadline,
         })
     }
@@ -81,14 +81,17 @@
 
 fn written_in(out: &[Action]) -> Option<(i64, ShardRecord)> {
     out.iter().find_map(|a| match a {
-        Action::Write { base, record } => Some((*base, record.clone())),
+        Action::WriteRecord {
+            base_revision: base,
+            record,
+        } => Some((*base, record.clone())),
         _ => None,
     })
 }
 
 fn reply(out: &[Action]) -> Option<ReserveReply> {
     out.iter().find_map(|a| match a {
-        Action::Reserved { reply, .. } => Some(reply.clone()),
+        Action::ReserveReply { reply, .. } => Some(reply.clone()),
         _ => None,
     })
 }
@@ -96,11 +99,11 @@
 #[test]
 fn home_grants_itself_then_holds() {
     let mut bench = Bench::open("a.1");
-    assert!(matches!(bench.reserve("r", 100)[..], [Action::Read]));
-    let out = bench.step(Event::Read(stored(1, record(1_000))));
+    assert!(matches!(bench.reserve("r", 100)[..], [Action::ReadRecord]));
+    let out = bench.step(Event::RecordRead(stored(1, record(1_000))));
     let (base, next) = written(&out);
     assert_eq!((base, next.accounts["c"].bound()), (1, 250));
-    let out = bench.step(Event::Written { revision: 2 });
+    let out = bench.step(Event::WriteCommitted { revision: 2 });
     assert!(matches!(
         reply(&out),
         Some(ReserveReply::Held { hold: 1, .. })
@@ -115,14 +118,14 @@
 fn lost_answer_is_read_not_repeated() {
     let mut bench = Bench::open("a.1");
     bench.reserve("r", 100);
-    let out = bench.step(Event::Read(stored(1, record(1_000))));
+    let out = bench.step(Event::RecordRead(stored(1, record(1_000))));
     let (_, landed) = written(&out);
-    assert!(bench.step(Event::WriteUnknown).is_empty());
+    assert!(bench.step(Event::WriteOutcomeUnknown).is_empty());
     bench.now += 500;
-    assert!(matches!(bench.step(Event::Tick)[..], [Action::Read]));
-    let out = bench.step(Event::Read(stored(2, landed)));
+    assert!(matches!(bench.step(Event::Tick)[..], [Action::ReadRecord]));
+    let out = bench.step(Event::RecordRead(stored(2, landed)));
     assert!(matches!(reply(&out), Some(ReserveReply::Held { .. })));
-    assert!(out.iter().all(|a| !matches!(a, Action::Write { .. })));
+    assert!(out.iter().all(|a| !matches!(a, Action::WriteRecord { .. })));
 }
 
 /// Symptom: tokens that were handed back are spent as well.
@@ -133,29 +136,29 @@
 fn tokens_on_their_way_back_are_not_spent() {
     let mut bench = Bench::open("a.1");
     bench.reserve("r", 100);
-    let out = bench.step(Event::Read(stored(1, record(1_000))));
+    let out = bench.step(Event::RecordRead(stored(1, record(1_000))));
     let (_, granted) = written(&out);
-    bench.step(Event::Written { revision: 2 });
+    bench.step(Event::WriteCommitted { revision: 2 });
     let settle = Event::Settle {
-        ask: Some(2),
+        reply_to: Some(2),
         account: "c".to_string(),
-        post: post("a.1", 1, "r", 60),
-        doubts: Vec::new(),
+        settlement: post("a.1", 1, "r", 60),
+        unconfirmed: Vec::new(),
     };
     bench.step(settle);
     let mut next = granted;
     next.post("c", &post("a.1", 1, "r", 60), false);
-    bench.step(Event::Written { revision: 3 });
+    bench.step(Event::WriteCommitted { revision: 3 });
     bench.home.place(Role::None, Vec::new(), None);
     let out = bench.step(Event::Tick);
     written(&out);
-    bench.step(Event::WriteUnknown);
+    bench.step(Event::WriteOutcomeUnknown);
     assert_eq!(bench.home.available("c"), 0);
     bench.now += 1_000;
     bench.step(Event::Tick);
     // The read is from before the write: it may still land.
     let before = bench.home.record().cloned().expect("known");
-    bench.step(Event::Read(stored(3, before)));
+    bench.step(Event::RecordRead(stored(3, before)));
     assert_eq!(bench.home.available("c"), 0);
 }
 
@@ -163,19 +166,19 @@
 fn refusal_tells_exhausted_from_out_of_reach() {
     let mut bench = Bench::open("a.1");
     bench.reserve("r", 2_000);
-    let out = bench.step(Event::Read(stored(1, record(1_000))));
+    let out = bench.step(Event::RecordRead(stored(1, record(1_000))));
     assert_eq!(reply(&out), Some(ReserveReply::Exhausted { left: 1_000 }));
 
     let mut held_elsewhere = record(1_000);
     let account = held_elsewhere.accounts.get_mut("c").expect("made above");
     account
-        .lines
+        .ledger
         .entry("gone.1".to_string())
         .or_default()
         .granted = 950;
     let mut bench = Bench::open("a.1");
     bench.reserve("r", 100);
-    let out = bench.step(Event::Read(stored(1, held_elsewhere)));
+    let out = bench.step(Event::RecordRead(stored(1, held_elsewhere)));
     assert!(matches!(reply(&out), Some(ReserveReply::OutOfReach { .. })));
 }
 
@@ -186,18 +189,20 @@
 fn transfers_are_cumulative() {
     let mut bench = Bench::open("a.1");
     bench.reserve("r", 100);
-    let out = bench.step(Event::Read(stored(1, record(1_000))));
+    let out = bench.step(Event::RecordRead(stored(1, record(1_000))));
     written(&out);
-    bench.step(Event::Written { revision: 2 });
+    bench.step(Event::WriteCommitted { revision: 2 });
     let recall = |ask| Event::Recall {
-        ask,
+        reply_to: ask,
         account: "c".to_string(),
         to: "b.1".to_string(),
         tokens: 30,
     };
     let sent = |out: Vec<Action>| {
         out.into_iter().find_map(|a| match a {
-            Action::Handed { sent, .. } => Some(sent),
+            Action::RecallReply {
+                total_sent: sent, ..
+            } => Some(sent),
             _ => None,
         })
     };
@@ -212,19 +217,19 @@
     let mut record = record(1_000);
     assert_eq!(
         record.post("c", &post("a.1", 1, "r", 10), false),
-        PostOutcome::New
+        PostOutcome::Posted
     );
     assert_eq!(
         record.post("c", &post("a.1", 1, "r", 10), false),
-        PostOutcome::Known
+        PostOutcome::AlreadySettled
     );
     assert_eq!(
         record.post("c", &post("b.1", 7, "r", 12), false),
-        PostOutcome::Duplicate
+        PostOutcome::DuplicateRequest
     );
     let account = &record.accounts["c"];
     assert_eq!((account.bills.len(), account.settled()), (1, 22));
-    assert_eq!(account.lines["b.1"].written_off, 12);
+    assert_eq!(account.ledger["b.1"].written_off, 12);
 }
 
 #[test]
@@ -243,10 +248,10 @@
 fn fold_keeps_every_sum() {
     let mut record = record(1_000);
     let account = record.accounts.get_mut("c").expect("made above");
-    account.lines.entry("a.1".to_string()).or_default().granted = 100;
-    account.lines.entry("b.1".to_string()).or_default().granted = 50;
+    account.ledger.entry("a.1".to_string()).or_default().granted = 100;
+    account.ledger.entry("b.1".to_string()).or_default().granted = 50;
     account.transfers.insert("a.1>b.1".to_string(), 30);
-    account.lines.get_mut("a.1").expect("made above").settled = 70;
+    account.ledger.get_mut("a.1").expect("made above").settled = 70;
     let before = (account.bound(), account.settled(), account.unspent("b.1"));
     assert!(record.fold("a.1"));
     let account = &record.accounts["c"];
@@ -261,7 +266,7 @@
 fn release_takes_back_only_what_is_unspent_and_only_once() {
     let mut record = record(1_000);
     let account = record.accounts.get_mut("c").expect("made above");
-    account.lines.entry("a.1".to_string()).or_default().granted = 300;
+    account.ledger.entry("a.1".to_string()).or_default().granted = 300;
     record.post("c", &post("a.1", 1, "r", 100), false);
     let account = record.accounts.get_mut("c").expect("made above");
     assert_eq!(account.release("x", "a.1", "burnt", "me"), 200);
@@ -278,15 +283,15 @@
         tokens: 7,
     };
     let account = "c".to_string();
-    let out = bench.step(Event::Act {
-        ask: 3,
+    let out = bench.step(Event::Operator {
+        reply_to: 3,
         account,
-        act,
+        command: act,
     });
-    assert!(matches!(out[..], [Action::Read]));
-    let out = bench.step(Event::Read(stored(1, record(1_000))));
+    assert!(matches!(out[..], [Action::ReadRecord]));
+    let out = bench.step(Event::RecordRead(stored(1, record(1_000))));
     let reply = out.iter().find_map(|a| match a {
-        Action::Acted { reply, .. } => Some(reply.clone()),
+        Action::OperatorReply { reply, .. } => Some(reply.clone()),
         _ => None,
     });
     assert_eq!(reply, Some(budget::OperatorReply::IdReused(1_000)));
@@ -300,15 +305,15 @@
 fn what_was_granted_without_a_witness_goes_back_when_there_is_one() {
     let mut bench = Bench::open("a.1");
     bench.reserve("r", 100);
-    let out = bench.step(Event::Read(stored(1, record(400_000))));
+    let out = bench.step(Event::RecordRead(stored(1, record(400_000))));
     let (_, alone) = written(&out);
-    bench.step(Event::Written { revision: 2 });
+    bench.step(Event::WriteCommitted { revision: 2 });
     assert_eq!(alone.accounts["c"].unspent("a.1"), 100_000);
     let peers = vec!["a.1".to_string(), "b.1".to_string()];
     bench.home.place(Role::Home, peers, Some("b.1".to_string()));
     let out = bench.step(Event::Tick);
     let (_, together) = written(&out);
-    bench.step(Event::Written { revision: 3 });
+    bench.step(Event::WriteCommitted { revision: 3 });
     let unspent = together.accounts["c"].unspent("a.1");
     assert!(unspent < 8_000, "{unspent} would be stranded");
     assert!(unspent >= 100, "what is reserved stays covered");
@@ -321,28 +326,28 @@
 fn what_was_granted_without_a_witness_goes_back_whatever_comes_first() {
     let mut bench = Bench::open("a.1");
     bench.reserve("r", 100);
-    let out = bench.step(Event::Read(stored(1, record(400_000))));
+    let out = bench.step(Event::RecordRead(stored(1, record(400_000))));
     let (_, alone) = written(&out);
-    bench.step(Event::Written { revision: 2 });
+    bench.step(Event::WriteCommitted { revision: 2 });
     let settled = post("a.1", 1, "r", 100);
     bench.step(Event::Settle {
-        ask: None,
+        reply_to: None,
         account: "c".to_string(),
-        post: settled,
-        doubts: Vec::new(),
+        settlement: settled,
+        unconfirmed: Vec::new(),
     });
     let out = bench.step(Event::Tick);
     let mut record = written_in(&out).map_or(alone, |w| w.1);
-    bench.step(Event::Written { revision: 3 });
+    bench.step(Event::WriteCommitted { revision: 3 });
     bench.now += 60_000;
     bench.step(Event::Tick);
     let peers = vec!["a.1".to_string(), "b.1".to_string()];
     bench.home.place(Role::Home, peers, Some("b.1".to_string()));
-    bench.step(Event::Read(stored(4, record.clone())));
+    bench.step(Event::RecordRead(stored(4, record.clone())));
     for _ in 0..3 {
         if let Some((base, next)) = written_in(&bench.step(Event::Tick)) {
             record = next;
-            bench.step(Event::Written { revision: base + 1 });
+            bench.step(Event::WriteCommitted { revision: base + 1 });
         }
     }
     let unspent = record.accounts["c"].unspent("a.1");
--- a/crates/budget/tests/encoding.rs
+++ b/crates/budget/tests/encoding.rs
@@ -61,21 +61,21 @@
 fn dumped_holds_keep_their_encoding() {
     let at = || serde_json::from_str(r#"{"upstream":"engine-1","run":"r-7"}"#).expect("a sample");
     let held = Hold {
-        request: "q-1".to_string(),
-        body: u64::MAX,
+        request_id: "q-1".to_string(),
+        body_hash: u64::MAX,
         entries: ["r1.6a".to_string(), "r2.6b".to_string()].into(),
-        at: at(),
+        attempt: at(),
         tokens: 500,
-        paid: 10,
-        uncertain: true,
-        probe_at: Some(77),
+        settled: 10,
+        unconfirmed: true,
+        cancel_at: Some(77),
     };
     let sample = r#"{"request":"q-1","body":18446744073709551615,"entries":["r1.6a","r2.6b"],"at":{"upstream":"engine-1","run":"r-7"},"tokens":500,"paid":10,"uncertain":true,"probe_at":77}"#;
     assert_eq!(serde_json::to_string(&held).expect("JSON"), sample);
     let joint = LocalJointGrant {
         key: "r1.6a+r2.6b+1+alpha".to_string(),
         opened: 40,
-        asked: Some((5, 60)),
+        pending_step: Some((5, 60)),
         is_watched: true,
         closing: false,
     };
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -239,12 +239,16 @@
     let live: Vec<String> = shared.live().into_iter().map(|m| m.id).collect();
     let is_live = |h: &String| live.contains(h);
     let unspent = |h: &String| account.unspent(h);
-    let lines = account.lines.keys();
+    let lines = account.ledger.keys();
     let held: u64 = lines.clone().filter(|h| is_live(h)).map(unspent).sum();
-    let joints: u64 = account.joints.values().map(|j| j.granted - j.opened).sum();
+    let joints: u64 = account
+        .joint_grants
+        .values()
+        .map(|j| j.granted - j.opened)
+        .sum();
     let held = held + joints;
     let stranded: u64 = lines.filter(|h| !is_live(h)).map(unspent).sum();
-    let written_off: u64 = account.lines.values().map(|l| l.written_off).sum();
+    let written_off: u64 = account.ledger.values().map(|l| l.written_off).sum();
     json!({
         "customer": name,
         "total": account.total(),
@@ -360,7 +364,7 @@
     for shard in 0..shared.settings.shards() {
         let record = record(shared, shard).await?;
         for (name, account) in &record.accounts {
-            for holder in account.lines.keys().filter(|h| !live.contains(h)) {
+            for holder in account.ledger.keys().filter(|h| !live.contains(h)) {
                 let tokens = account.unspent(holder);
                 if tokens > 0 {
                     rows.push(json!({"customer": name, "holder": holder, "tokens": tokens}));
@@ -401,7 +405,7 @@
         id,
         holder,
         reason,
-        who,
+        operator: who,
     };
     let reply = carry_out(shared, name, act).await?;
     shared.log(Event::Released, what);
--- a/crates/entry/src/bank_io.rs
+++ b/crates/entry/src/bank_io.rs
@@ -34,7 +34,7 @@
 pub(crate) async fn read(cx: &Shared, shard: u32) -> Event {
     let got = cx.kv.get(&record_key(shard)).await;
     match got.map(stored) {
-        Ok(Ok(stored)) => Event::Read(stored),
+        Ok(Ok(stored)) => Event::RecordRead(stored),
         Ok(Err(_)) | Err(_) => Event::ReadFailed,
     }
 }
@@ -42,13 +42,13 @@
 pub(crate) async fn write(cx: &Shared, shard: u32, base: i64, record: &ShardRecord) -> Event {
     let text = serde_json::to_vec(record).expect("a record is JSON");
     match cx.kv.swap(&record_key(shard), base, &text, 0).await {
-        Ok(Swap::Done(revision)) => Event::Written { revision },
+        Ok(Swap::Done(revision)) => Event::WriteCommitted { revision },
         Ok(Swap::Lost(found)) => match stored(found) {
-            Ok(stored) => Event::WriteLost(stored),
+            Ok(stored) => Event::WriteConflict(stored),
             Err(_) => Event::WriteRefused,
         },
         Err(Failure::Refused(_)) => Event::WriteRefused,
-        Err(Failure::Unknown(_)) => Event::WriteUnknown,
+        Err(Failure::Unknown(_)) => Event::WriteOutcomeUnknown,
     }
 }
 
@@ -109,7 +109,7 @@
         let key = pool.find(&at.upstream)?;
         pool.get(key).spec.url.clone()
     };
-    let url = format!("{url}/v1/requests/{}/cancel", at.run);
+    let url = format!("{url}/v1/requests/{}/cancel", at.id);
     let sent = cx.http.post(url).timeout(PROBE_TIMEOUT).send().await;
     let usage: Value = sent.ok()?.json().await.ok()?;
     match usage["known"].as_bool()? {
--- a/crates/entry/src/bankd.rs
+++ b/crates/entry/src/bankd.rs
@@ -29,7 +29,7 @@
 pub fn spawn(inbox: Inbox, shared: &Arc<Shared>) {
     let settings = &shared.settings;
     let params = Params {
-        orphan_ms: settings.orphan_grace_ms(),
+        orphan_grace_ms: settings.orphan_grace_ms(),
         ..Params::default()
     };
     let clock = shared.clock;
@@ -113,16 +113,24 @@
                 self.reserves.insert(ask, tx);
                 let account = req.account.clone();
                 let deadline = now + wait_ms;
-                self.step(now, &account, Event::Reserve { ask, req, deadline })
+                self.step(
+                    now,
+                    &account,
+                    Event::Reserve {
+                        reply_to: ask,
+                        request: req,
+                        deadline,
+                    },
+                )
             }
             Cmd::Extend(m, tx) => {
                 self.reserves.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Extend {
-                    ask,
+                    reply_to: ask,
                     account: m.account,
                     hold: m.hold,
-                    at: m.at,
+                    attempt: m.at,
                     tokens: m.tokens,
                     deadline: now + m.wait_ms,
                 };
@@ -132,7 +140,7 @@
                 let account = m.account.clone();
                 let event = Event::Void {
                     account: m.account,
-                    request: m.request,
+                    request_id: m.request,
                     entry: m.entry,
                 };
                 self.step(now, &account, event)
@@ -140,8 +148,8 @@
             Cmd::DropOut(m, tx) => {
                 self.drop_outs.insert(ask, tx);
                 let account = m.account.clone();
-                let event = Event::DropOut {
-                    ask,
+                let event = Event::Detach {
+                    reply_to: ask,
                     account: m.account,
                     hold: m.hold,
                     entry: m.entry,
@@ -152,22 +160,29 @@
                 self.settles.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Settle {
-                    ask: Some(ask),
+                    reply_to: Some(ask),
                     account: m.account,
-                    post: m.post,
-                    doubts: m.doubts,
+                    settlement: m.post,
+                    unconfirmed: m.doubts,
                 };
                 self.step(now, &account, event)
             }
             Cmd::Keep(KeepMsg { account, post }) => {
                 let name = account.clone();
-                self.step(now, &name, Event::Keep { account, post })
+                self.step(
+                    now,
+                    &name,
+                    Event::StoreCopy {
+                        account,
+                        settlement: post,
+                    },
+                )
             }
             Cmd::Recall(m, tx) => {
                 self.recalls.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Recall {
-                    ask,
+                    reply_to: ask,
                     account: m.account,
                     to: m.to,
                     tokens: m.tokens,
@@ -178,12 +193,28 @@
                 // Answered like a recall: by a number of tokens.
                 self.recalls.insert(ask, tx);
                 let (key, upto) = (m.key, m.upto);
-                self.step(now, &m.account, Event::Open { ask, key, upto })
+                self.step(
+                    now,
+                    &m.account,
+                    Event::OpenStep {
+                        reply_to: ask,
+                        key,
+                        up_to: upto,
+                    },
+                )
             }
             Cmd::Act(account, act, tx) => {
                 self.acts.insert(ask, tx);
                 let name = account.clone();
-                self.step(now, &name, Event::Act { ask, account, act })
+                self.step(
+                    now,
+                    &name,
+                    Event::Operator {
+                        reply_to: ask,
+                        account,
+                        command: act,
+                    },
+                )
             }
             Cmd::Event(shard, event) => self.bank.step(now, shard, event),
             Cmd::Members(members) => {
@@ -191,7 +222,7 @@
                 Vec::new()
             }
             Cmd::Silent(entries) => {
-                let gone = |entry| Event::Gone { entry };
+                let gone = |entry| Event::InstanceUnresponsive { instance: entry };
                 let events: Vec<Event> = entries.into_iter().map(gone).collect();
                 let all = events.iter().flat_map(|e| self.bank.step_all(now, e));
                 all.collect()
@@ -226,13 +257,16 @@
         let cx = Arc::clone(shared);
         let handle = self.handle.clone();
         match output.action {
-            Action::Read => {
+            Action::ReadRecord => {
                 tokio::spawn(async move {
                     let event = read(&cx, shard).await;
                     handle.send(Cmd::Event(shard, event));
                 });
             }
-            Action::Write { base, record } => {
+            Action::WriteRecord {
+                base_revision: base,
+                record,
+            } => {
                 tokio::spawn(async move {
                     let event = write(&cx, shard, base, &record).await;
                     handle.send(Cmd::Event(shard, event));
@@ -255,10 +289,22 @@
                     handle.send(Cmd::Event(shard, Event::SegmentRead(segment)));
                 });
             }
-            Action::Reserved { ask, reply } => reply_to(&mut self.reserves, ask, reply),
-            Action::Settled { ask, how } => reply_to(&mut self.settles, ask, how),
-            Action::Acted { ask, reply } => reply_to(&mut self.acts, ask, reply),
-            Action::Handed { ask, sent } => reply_to(&mut self.recalls, ask, sent),
+            Action::ReserveReply {
+                reply_to: ask,
+                reply,
+            } => reply_to(&mut self.reserves, ask, reply),
+            Action::SettleReply {
+                reply_to: ask,
+                durability: how,
+            } => reply_to(&mut self.settles, ask, how),
+            Action::OperatorReply {
+                reply_to: ask,
+                reply,
+            } => reply_to(&mut self.acts, ask, reply),
+            Action::RecallReply {
+                reply_to: ask,
+                total_sent: sent,
+            } => reply_to(&mut self.recalls, ask, sent),
             Action::Recall {
                 account,
                 from,
@@ -266,48 +312,61 @@
             } => {
                 tokio::spawn(async move {
                     let sent = recall(&cx, &account, &from, tokens).await;
-                    let event = Event::Recalled {
+                    let event = Event::RecallReply {
                         account,
                         from,
-                        sent,
+                        total_sent: sent,
                     };
                     handle.send(Cmd::Event(shard, event));
                 });
             }
-            Action::Witnessed { ask, opened } => reply_to(&mut self.recalls, ask, opened),
-            Action::Open {
+            Action::StepReply {
+                reply_to: ask,
+                total_opened: opened,
+            } => reply_to(&mut self.recalls, ask, opened),
+            Action::OpenStep {
                 account,
                 witness,
                 key,
-                upto,
+                up_to: upto,
             } => {
                 tokio::spawn(async move {
                     let opened = ask_witness(&cx, &account, &witness, &key, upto).await;
-                    let event = Event::Opened {
+                    let event = Event::StepReply {
                         account,
                         key,
-                        opened,
+                        total_opened: opened,
                     };
                     handle.send(Cmd::Event(shard, event));
                 });
             }
-            Action::Copy { account, post } => {
+            Action::SendCopy {
+                account,
+                settlement: post,
+            } => {
                 tokio::spawn(async move {
                     let hold = post.hold;
                     if copy(&cx, &account, post).await {
-                        handle.send(Cmd::Event(shard, Event::Copied { account, hold }));
+                        handle.send(Cmd::Event(shard, Event::CopyStored { account, hold }));
                     }
                 });
             }
-            Action::DroppedOut { ask, others } => reply_to(&mut self.drop_outs, ask, others),
-            Action::Probe { account, hold, at } => {
+            Action::DetachReply {
+                reply_to: ask,
+                others_remain: others,
+            } => reply_to(&mut self.drop_outs, ask, others),
+            Action::CancelAttempt {
+                account,
+                hold,
+                attempt: at,
+            } => {
                 tokio::spawn(async move {
                     match probe(&cx, &at).await {
                         Some(tokens) => {
-                            let detail = format!("{} at {}: {tokens}", at.run, at.upstream);
+                            let detail = format!("{} at {}: {tokens}", at.id, at.upstream);
                             cx.log(event::Event::OrphanBilled, detail);
                             let at_ms = wall_ms();
-                            let event = Event::Proof {
+                            let event = Event::UsageReported {
                                 account,
                                 hold,
                                 tokens,
@@ -316,16 +375,19 @@
                             handle.send(Cmd::Event(shard, event));
                         }
                         None => {
-                            let detail = format!("{} at {}", at.run, at.upstream);
+                            let detail = format!("{} at {}", at.id, at.upstream);
                             cx.log(event::Event::OrphanHeld, detail);
                         }
                     }
                 });
             }
-            Action::Note(Warning::Excess { account, tokens }) => {
+            Action::Warn(Warning::ExcessUsage { account, tokens }) => {
                 shared.log(event::Event::Excess, format!("{account}: {tokens} tokens"));
             }
-            Action::Note(Warning::Duplicate { account, request }) => {
+            Action::Warn(Warning::DuplicateBill {
+                account,
+                request_id: request,
+            }) => {
                 shared.log(event::Event::BillDuplicate, format!("{account}: {request}"));
             }
         }
@@ -340,12 +402,12 @@
                 .map(|(name, l)| {
                     let row = json!({
                         "available": home.available(name),
-                        "held": l.held,
+                        "held": l.holds,
                         "pending": l.pending.len(),
                         "waiting": l.waiting.len(),
                         "sent": l.sent,
-                        "got": l.got,
-                        "giving": l.giving,
+                        "got": l.received,
+                        "giving": l.returning,
                         "joint": l.joint,
                     });
                     (name, row)
--- a/crates/entry/src/pipe/chat.rs
+++ b/crates/entry/src/pipe/chat.rs
@@ -211,9 +211,9 @@
             let paid = out.at;
             spent.tokens += paid;
             spent.doubts.push(UnconfirmedUsage {
-                at,
+                attempt: at,
                 tokens: cost(chat) - paid,
-                paid,
+                settled: paid,
             });
         }
     }
--- a/crates/entry/src/pipe/choose.rs
+++ b/crates/entry/src/pipe/choose.rs
@@ -83,7 +83,7 @@
         why: Why::Joined,
     };
     drop(pool);
-    cx.run = at.run.clone();
+    cx.run = at.id.clone();
     cx.upstream = Some(choice);
     Ok(())
 }
--- a/crates/entry/src/pipe/cx.rs
+++ b/crates/entry/src/pipe/cx.rs
@@ -76,7 +76,7 @@
         let upstream = self.upstream.as_ref().map(|u| u.id.clone());
         AttemptRef {
             upstream: upstream.unwrap_or_default(),
-            run: self.run.clone(),
+            id: self.run.clone(),
         }
     }
 
--- a/crates/entry/src/pipe/reserve.rs
+++ b/crates/entry/src/pipe/reserve.rs
@@ -53,7 +53,7 @@
 fn judge(cx: &mut Cx, reply: ReserveReply) -> Result<(), Error> {
     match reply {
         ReserveReply::Held { .. } | ReserveReply::Exists { .. } => Ok(()),
-        ReserveReply::Reused => Err(Error::new(
+        ReserveReply::IdReused => Err(Error::new(
             Kind::IdReused,
             "this request id came before with another body",
         )),
@@ -79,10 +79,10 @@
     let mut msg = ReserveMsg {
         req: ReserveRequest {
             account: cx.customer.clone(),
-            request: cx.id.clone(),
-            body: chat.hash,
+            request_id: cx.id.clone(),
+            body_hash: chat.hash,
             entry: cx.shared.me.clone(),
-            at: Default::default(),
+            attempt: Default::default(),
             tokens,
             weight: cx.policy.weight,
         },
@@ -90,7 +90,7 @@
     };
     for home in homes(&cx.shared, &cx.customer) {
         cx.name_run();
-        msg.req.at = cx.run_at();
+        msg.req.attempt = cx.run_at();
         let Some(reply) = ask_home(&cx.shared, &home, &msg).await else {
             cx.step(format!("home {home} does not answer"));
             give_up(cx, &home);
@@ -118,7 +118,7 @@
         ReserveReply::Exists {
             holder,
             hold,
-            at,
+            attempt: at,
             billed,
         } => {
             let upstream = &at.upstream;
--- a/crates/entry/src/pipe/settle.rs
+++ b/crates/entry/src/pipe/settle.rs
@@ -75,11 +75,11 @@
         post: Settlement {
             holder: hold.holder.clone(),
             hold: hold.number,
-            request: cx.id.clone(),
+            request_id: cx.id.clone(),
             tokens: spent.tokens.min(hold.tokens),
             billed: spent.billed,
-            body: spent.body,
-            at: cx.run_at(),
+            body_hash: spent.body,
+            attempt: cx.run_at(),
             at_ms: wall_ms(),
         },
         doubts: spent.doubts,
@@ -95,7 +95,7 @@
         }
         round += 1;
         if round == HOME_ROUNDS {
-            shared.log(Event::BillLate, &msg.post.request);
+            shared.log(Event::BillLate, &msg.post.request_id);
         }
         if round >= HOME_ROUNDS {
             // Posting is idempotent by holder and number, so the home may post it as well.
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -104,17 +104,25 @@
         let account = self.account(request.account);
         let req = ReserveRequest {
             account: account.clone(),
-            request: request.id.clone(),
-            body: 1,
+            request_id: request.id.clone(),
+            body_hash: 1,
             entry: self.nodes[self.jobs[job].entry].id.clone(),
-            at: run_at(&request.id, job, tries),
+            attempt: run_at(&request.id, job, tries),
             tokens: request.bound,
             weight: 25,
         };
         let ask = self.ask(node, Ask::Reserve { job, tries });
         let shard = self.nodes[node].bank.shard(&account);
         let deadline = self.now + HOME_WAIT;
-        self.step(node, shard, Event::Reserve { ask, req, deadline });
+        self.step(
+            node,
+            shard,
+            Event::Reserve {
+                reply_to: ask,
+                request: req,
+                deadline,
+            },
+        );
     }
 
     pub(crate) fn reserve_late(&mut self, job: usize, tries: usize) {
@@ -148,7 +156,7 @@
         let account = self.account(request.account);
         let event = Event::Void {
             account: account.clone(),
-            request: request.id.clone(),
+            request_id: request.id.clone(),
             entry: self.nodes[entry].id.clone(),
         };
         let shard = self.nodes[node].bank.shard(&account);
@@ -172,11 +180,11 @@
             ReserveReply::Exists {
                 holder,
                 hold,
-                at,
+                attempt: at,
                 billed,
             } => {
                 self.jobs[job].hold = Some((holder, hold));
-                self.jobs[job].run = self.run_names.get(&at.run).copied();
+                self.jobs[job].run = self.run_names.get(&at.id).copied();
                 self.jobs[job].at = at;
                 if self.jobs[job].run.is_none() {
                     // Reserved, and never sent as far as known: in progress elsewhere.
@@ -199,7 +207,7 @@
 
     pub(crate) fn dispatch(&mut self, job: usize) {
         self.jobs[job].phase = Phase::Running;
-        let name = self.jobs[job].at.run.clone();
+        let name = self.jobs[job].at.id.clone();
         if self.tombstones.contains(&name) {
             self.put(self.now, Item::EngineEnd { job });
             return;
@@ -279,11 +287,11 @@
         let post = Settlement {
             holder: holder.clone(),
             hold,
-            request: request.id.clone(),
+            request_id: request.id.clone(),
             tokens,
             billed: tokens > 0,
-            body: 1,
-            at: self.jobs[job].at.clone(),
+            body_hash: 1,
+            attempt: self.jobs[job].at.clone(),
             at_ms: self.now,
         };
         let entry = self.jobs[job].entry;
@@ -311,10 +319,10 @@
         let ask = Some(self.ask(node, Ask::Settle { job }));
         let shard = self.nodes[node].bank.shard(&account);
         let event = Event::Settle {
-            ask,
+            reply_to: ask,
             account,
-            post,
-            doubts: Vec::new(),
+            settlement: post,
+            unconfirmed: Vec::new(),
         };
         self.step(node, shard, event);
     }
--- a/crates/trial/src/check.rs
+++ b/crates/trial/src/check.rs
@@ -25,8 +25,8 @@
     let bills = world.platform.bills(&name);
     let mut seen = BTreeSet::new();
     for bill in &bills {
-        if !seen.insert(bill.request.clone()) {
-            return Err(format!("{name}: {} has two bills", bill.request));
+        if !seen.insert(bill.request_id.clone()) {
+            return Err(format!("{name}: {} has two bills", bill.request_id));
         }
     }
     for (i, request) in world.requests.iter().enumerate() {
@@ -34,7 +34,7 @@
         if !served {
             continue;
         }
-        let bill = bills.iter().find(|b| b.request == request.id);
+        let bill = bills.iter().find(|b| b.request_id == request.id);
         let Some(bill) = bill else {
             return Err(format!("{name}: {} was served and has no bill", request.id));
         };
@@ -63,9 +63,9 @@
     if settled > served {
         return Err(format!("{name}: settled {settled}, served {served}"));
     }
-    let lines = stored.lines.keys().cloned();
+    let lines = stored.ledger.keys().cloned();
     let joints = stored
-        .joints
+        .joint_grants
         .keys()
         .filter_map(|k| budget::record::joint_parts(k));
     let holders: BTreeSet<String> = lines.chain(joints.map(|(h, _)| h.to_string())).collect();
--- a/crates/trial/src/link.rs
+++ b/crates/trial/src/link.rs
@@ -20,7 +20,7 @@
         let ask = self.ask(node, Ask::Recall { from, account });
         let shard = self.nodes[node].bank.shard(&name);
         let event = Event::Recall {
-            ask,
+            reply_to: ask,
             account: name,
             to,
             tokens,
@@ -42,10 +42,10 @@
         }
         let name = self.account(account);
         let shard = self.nodes[node].bank.shard(&name);
-        let event = Event::Recalled {
+        let event = Event::RecallReply {
             account: name,
             from: self.nodes[from].id.clone(),
-            sent,
+            total_sent: sent,
         };
         self.step(node, shard, event);
     }
@@ -55,9 +55,16 @@
         let shard = self.nodes[node].bank.shard(&name);
         let hold = post.hold;
         let account = name.clone();
-        self.step(node, shard, Event::Keep { account, post });
+        self.step(
+            node,
+            shard,
+            Event::StoreCopy {
+                account,
+                settlement: post,
+            },
+        );
         if let Some(hop) = self.hop(node, from) {
-            let event = Event::Copied {
+            let event = Event::CopyStored {
                 account: name,
                 hold,
             };
@@ -73,8 +80,11 @@
     pub(crate) fn act(&mut self, node: usize, output: ShardAction) {
         let shard = output.shard;
         match output.action {
-            Action::Read => self.call(node, shard, Call::Read),
-            Action::Write { base, record } => self.call(node, shard, Call::Write { base, record }),
+            Action::ReadRecord => self.call(node, shard, Call::Read),
+            Action::WriteRecord {
+                base_revision: base,
+                record,
+            } => self.call(node, shard, Call::Write { base, record }),
             Action::ReadSegment { name } => {
                 let name = format!("{shard}/{name}");
                 self.call(node, shard, Call::ReadSegment { name });
@@ -83,26 +93,32 @@
                 let name = format!("{shard}/{name}");
                 self.call(node, shard, Call::Segment { name, segment });
             }
-            Action::Reserved { ask, reply } => {
+            Action::ReserveReply {
+                reply_to: ask,
+                reply,
+            } => {
                 if let Some(Ask::Reserve { job, tries }) = self.nodes[node].asks.remove(&ask) {
                     if let Some(hop) = self.hop(node, self.jobs[job].entry) {
                         self.put(self.now + hop, Item::Reply { job, tries, reply });
                     }
                 }
             }
-            Action::Settled { ask, .. } => {
+            Action::SettleReply { reply_to: ask, .. } => {
                 if let Some(Ask::Settle { job }) = self.nodes[node].asks.remove(&ask) {
                     if let Some(hop) = self.hop(node, self.jobs[job].entry) {
                         self.put(self.now + hop, Item::Settled { job });
                     }
                 }
             }
-            Action::Handed { ask, sent } => {
+            Action::RecallReply {
+                reply_to: ask,
+                total_sent: sent,
+            } => {
                 if let Some(Ask::Recall { from, account }) = self.nodes[node].asks.remove(&ask) {
                     self.hand(node, from, account, sent);
                 }
             }
-            Action::Acted { ask, .. } => {
+            Action::OperatorReply { reply_to: ask, .. } => {
                 self.nodes[node].asks.remove(&ask);
             }
             Action::Recall {
@@ -110,26 +126,32 @@
                 from,
                 tokens,
             } => self.send_recall(node, &account, &from, tokens),
-            Action::Open {
+            Action::OpenStep {
                 account,
                 witness,
                 key,
-                upto,
+                up_to: upto,
             } => self.send_open(node, shard, account, &witness, key, upto),
-            Action::Witnessed { ask, opened } => {
+            Action::StepReply {
+                reply_to: ask,
+                total_opened: opened,
+            } => {
                 if let Some(Ask::Open { from, account, key }) = self.nodes[node].asks.remove(&ask) {
                     if let Some(hop) = self.hop(node, from) {
-                        let event = Event::Opened {
+                        let event = Event::StepReply {
                             account: self.account(account),
                             key,
-                            opened: Some(opened),
+                            total_opened: Some(opened),
                         };
                         let node = from;
                         self.put(self.now + hop, Item::Bank { node, shard, event });
                     }
                 }
             }
-            Action::Copy { account, post } => {
+            Action::SendCopy {
+                account,
+                settlement: post,
+            } => {
                 let zone = self.nodes[node].zone;
                 let other = (0..self.nodes.len())
                     .find(|n| self.nodes[*n].zone != zone && self.seems_live(node, *n));
@@ -144,9 +166,13 @@
                     self.put(self.now + hop, item);
                 }
             }
-            Action::Probe { account, hold, at } => {
-                let tokens = self.cancel(&at.run);
-                let event = Event::Proof {
+            Action::CancelAttempt {
+                account,
+                hold,
+                attempt: at,
+            } => {
+                let tokens = self.cancel(&at.id);
+                let event = Event::UsageReported {
                     account,
                     hold,
                     tokens,
@@ -154,7 +180,7 @@
                 };
                 self.put(self.now + 2, Item::Bank { node, shard, event });
             }
-            Action::DroppedOut { .. } | Action::Note(_) => {}
+            Action::DetachReply { .. } | Action::Warn(_) => {}
         }
     }
 
@@ -214,10 +240,10 @@
         // After the answer this finds nothing to end: the grant is asked for its next step by then,
         // or the answer to this one has not come.
         if self.nodes[to].state != State::Up || self.hop(node, to).is_none() {
-            let event = Event::Opened {
+            let event = Event::StepReply {
                 account,
                 key,
-                opened: None,
+                total_opened: None,
             };
             self.put(self.now + RPC_TIMEOUT, Item::Bank { node, shard, event });
         }
@@ -239,7 +265,15 @@
             key: key.clone(),
         };
         let ask = self.ask(node, ask);
-        self.step(node, shard, Event::Open { ask, key, upto });
+        self.step(
+            node,
+            shard,
+            Event::OpenStep {
+                reply_to: ask,
+                key,
+                up_to: upto,
+            },
+        );
     }
 
     pub(crate) fn send_recall(&mut self, node: usize, account: &str, from: &str, tokens: u64) {
@@ -287,7 +321,7 @@
         if !answered {
             let event = match call {
                 Call::Read => Event::ReadFailed,
-                Call::Write { .. } => Event::WriteUnknown,
+                Call::Write { .. } => Event::WriteOutcomeUnknown,
                 Call::Segment { .. } => Event::SegmentWritten(false),
                 Call::ReadSegment { .. } => Event::SegmentRead(None),
             };
@@ -305,10 +339,10 @@
 
     pub(crate) fn exec(&mut self, node: usize, shard: u32, call: Call, answered: bool) {
         let event = match call {
-            Call::Read => Event::Read(self.platform.read(shard)),
+            Call::Read => Event::RecordRead(self.platform.read(shard)),
             Call::Write { base, record } => match self.platform.write(shard, base, record) {
-                Ok(revision) => Event::Written { revision },
-                Err(stored) => Event::WriteLost(stored),
+                Ok(revision) => Event::WriteCommitted { revision },
+                Err(stored) => Event::WriteConflict(stored),
             },
             Call::ReadSegment { name } => Event::SegmentRead(self.platform.read_segment(&name)),
             Call::Segment { name, segment } => {
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -55,19 +55,19 @@
                     parts: instances as u64,
                 },
                 recall: false,
-                joint: false,
+                joint_grants: false,
                 standby_pct: 0,
                 ..base
             },
             Policy::Swap => Params {
                 sizing: GrantSizing::Exact,
                 recall: false,
-                joint: false,
+                joint_grants: false,
                 standby_pct: 0,
                 ..base
             },
             Policy::Sole => Params {
-                joint: false,
+                joint_grants: false,
                 ..base
             },
             Policy::NoStandby => Params {
@@ -87,11 +87,11 @@
                 ..base
             },
             Policy::LateCopies => Params {
-                copy_ms: 25,
+                copy_delay_ms: 25,
                 ..base
             },
             Policy::NoCopies => Params {
-                copy_ms: u64::MAX / 2,
+                copy_delay_ms: u64::MAX / 2,
                 ..base
             },
             Policy::Chosen | Policy::ZoneHomes => base,
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -68,7 +68,7 @@
 pub(crate) fn run_at(request: &str, job: usize, tries: usize) -> AttemptRef {
     AttemptRef {
         upstream: "e".to_string(),
-        run: format!("{request}~{job}.{tries}"),
+        id: format!("{request}~{job}.{tries}"),
     }
 }
 
@@ -413,7 +413,7 @@
                 .set_presence(self.now, &present, &left);
             for other in news {
                 let entry = self.nodes[other].id.clone();
-                let event = Event::Gone { entry };
+                let event = Event::InstanceUnresponsive { instance: entry };
                 let outputs = self.nodes[node].bank.step_all(self.now, &event);
                 for output in outputs {
                     self.act(node, output);
@@ -462,7 +462,15 @@
         let ask = self.ask(node, Ask::Act);
         let act = OperatorCommand::TopUp { id, tokens };
         let account = name;
-        self.step(node, shard, Event::Act { ask, account, act });
+        self.step(
+            node,
+            shard,
+            Event::Operator {
+                reply_to: ask,
+                account,
+                command: act,
+            },
+        );
     }
 
     pub(crate) fn ask(&mut self, node: usize, ask: Ask) -> u64 {
@@ -481,9 +489,9 @@
         };
         let mut sum = 0;
         for account in self.platform.records().flat_map(|r| r.accounts.values()) {
-            let lines = account.lines.keys().filter(|h| gone(h));
+            let lines = account.ledger.keys().filter(|h| gone(h));
             sum += lines.map(|h| account.unspent(h)).sum::<u64>();
-            let joints = account.joints.iter().filter(|(k, _)| {
+            let joints = account.joint_grants.iter().filter(|(k, _)| {
                 let parts = budget::record::joint_parts(k);
                 parts.is_some_and(|(h, w)| gone(h) && gone(w))
             });
