--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -3,10 +3,10 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use budget::home::Params;
-use budget::msg::{Reserve, RunAt, Stored};
-use budget::pacer::Pacer;
-use budget::{Event, Home, Record, Role};
+use budget::msg::{AttemptRef, RecordSnapshot, ReserveRequest};
+use budget::shard::Params;
+use budget::write_limiter::WriteLimiter;
+use budget::{Event, Role, Shard, ShardRecord};
 use conf::bundle::{Change, Head};
 use conf::{Bundle, Config, Customer, Template};
 use peer::{Member, Members, Standing, Told};
@@ -35,8 +35,8 @@
     began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
-fn record(accounts: usize) -> Record {
-    let mut record = Record::default();
+fn record(accounts: usize) -> ShardRecord {
+    let mut record = ShardRecord::default();
     for i in 0..accounts {
         let account = record
             .accounts
@@ -46,10 +46,10 @@
             .top_up("invoice-2026-12", 1 << 40)
             .expect("a new id");
         for holder in ["instance-1.0123456789abcdef", "instance-2.0123456789abcdef"] {
-            let line = account.lines.entry(holder.to_string()).or_default();
+            let line = account.ledger.entry(holder.to_string()).or_default();
             line.granted = 1 << 30;
             line.settled = 1 << 20;
-            line.posted.insert(1);
+            line.settled_holds.insert(1);
         }
     }
     record
@@ -62,7 +62,7 @@
     for count in [10, 100, 1_000] {
         let record = record(count);
         let text = serde_json::to_vec(&record).expect("a record is JSON");
-        let parse = time(|| serde_json::from_slice::<Record>(&text).expect("own text"));
+        let parse = time(|| serde_json::from_slice::<ShardRecord>(&text).expect("own text"));
         let (reserve, commit) = decide(&record);
         println!(
             "| {count} | {} | {} | {parse:.0} | {reserve:.0} | {commit:.0} |",
@@ -73,63 +73,72 @@
 }
 
 /// Returns the times of a reservation and of a commit.
-fn decide(record: &Record) -> (f64, f64) {
-    let mut home = Home::open("instance-1.0123456789abcdef", Params::default());
+fn decide(record: &ShardRecord) -> (f64, f64) {
+    let mut home = Shard::open("instance-1.0123456789abcdef", Params::default());
     home.place(Role::Home, Vec::new(), None);
-    let mut pacer = Pacer::open(0, 1 << 30, 1.0);
+    let mut pacer = WriteLimiter::open(0, 1 << 30, 1.0);
     let mut out = Vec::new();
     let mut ask = 0;
-    let mut reserve = |home: &mut Home, pacer: &mut Pacer| {
+    let mut reserve = |home: &mut Shard, pacer: &mut WriteLimiter| {
         ask += 1;
-        let req = Reserve {
+        let req = ReserveRequest {
             account: "customer-00001".to_string(),
-            request: format!("request-{ask}"),
-            body: 1,
+            request_id: format!("request-{ask}"),
+            body_hash: 1,
             entry: "instance-3.0123456789abcdef".to_string(),
-            at: RunAt::default(),
+            attempt: AttemptRef::default(),
             tokens: 1,
             weight: 25,
         };
         let mut out = Vec::new();
         let deadline = 1_000_000;
-        home.step(1, Event::Reserve { ask, req, deadline }, pacer, &mut out);
+        home.step(
+            1,
+            Event::Reserve {
+                reply_to: ask,
+                request: req,
+                deadline,
+            },
+            pacer,
+            &mut out,
+        );
         out
     };
     reserve(&mut home, &mut pacer);
-    let stored = Stored {
+    let stored = RecordSnapshot {
         revision: 1,
         record: record.clone(),
     };
-    home.step(1, Event::Read(Some(stored)), &mut pacer, &mut out);
+    home.step(1, Event::RecordRead(Some(stored)), &mut pacer, &mut out);
     let reserved = time(|| reserve(&mut home, &mut pacer));
     let mut hold = 0;
     let commit = time(|| {
         hold += 1;
-        let post = budget::Post {
+        let post = budget::Settlement {
             holder: "instance-1.0123456789abcdef".to_string(),
             hold,
-            request: format!("request-{hold}"),
+            request_id: format!("request-{hold}"),
             tokens: 1,
             billed: true,
-            body: 1,
-            at: RunAt::default(),
+            body_hash: 1,
+            attempt: AttemptRef::default(),
             at_ms: 1,
         };
         let event = Event::Settle {
-            ask: None,
+            reply_to: None,
             account: "customer-00001".to_string(),
-            post,
-            doubts: Vec::new(),
+            settlement: post,
+            unconfirmed: Vec::new(),
         };
         let mut out = Vec::new();
         home.step(2, event, &mut pacer, &mut out);
         for action in &out {
-            if let budget::Action::Write { record, .. } = action {
+            if let budget::Action::WriteRecord { record, .. } = action {
                 black_box(serde_json::to_vec(record).expect("a record is JSON"));
             }
         }
         let revision = i64::from(hold as u32) + 10;
-        home.step(2, Event::Written { revision }, &mut pacer, &mut out);
+        home.step(2, Event::WriteCommitted { revision }, &mut pacer, &mut out);
     });
     (reserved, commit)
 }
--- a/crates/budget/src/joint.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -9,9 +9,9 @@
 
 use serde::Serialize;
 
-use crate::home::{Home, Role};
 use crate::msg::Action;
-use crate::record::{joint_parts, Account, Record};
+use crate::record::{joint_parts, Account, ShardRecord};
+use crate::shard::{Role, Shard};
 
 /// A step covers this much of the demand, in milliseconds.
 const STEP_MS: f64 = 1_500.0;
@@ -26,13 +26,14 @@
 
 /// The joint grant of one account at its holder.
 #[derive(Clone, Debug, Serialize)]
-pub struct JointLocal {
+pub struct LocalJointGrant {
     /// Its key in the record.
     pub key: String,
     /// Tokens opened, cumulative.
     pub opened: u64,
     /// When the witness was asked for a step, in milliseconds, and up to where.
-    pub asked: Option<(u64, u64)>,
+    #[serde(rename = "asked")]
+    pub pending_step: Option<(u64, u64)>,
     /// Whether the witness knows of it, and so hands it back when this holder falls silent.
     pub is_watched: bool,
     /// Set when no step is opened any more.
@@ -41,15 +42,15 @@
 
 /// A call for tokens that waits for a step.
 #[derive(Clone, Debug)]
-pub struct WaitingCall {
+pub struct DeferredRecall {
     /// Names the reply.
-    pub ask: u64,
+    pub reply_to: u64,
     /// The holder that asks.
     pub to: String,
     /// Tokens.
     pub tokens: u64,
     /// When it is answered with what there is, in milliseconds.
-    pub until: u64,
+    pub deadline: u64,
 }
 
 /// What an instance knows as a witness.
@@ -95,14 +96,16 @@
     }
 }
 
-impl Home {
+impl Shard {
     /// Returns the tokens that the account's joint grant has left to open, while that works.
     pub(crate) fn joint_left(&self, now: u64, name: &str) -> u64 {
         let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
         let Some(joint) = joint.filter(|j| !j.closing && !is_late(now, j)) else {
             return 0;
         };
-        let stored = self.stored(name).and_then(|a| a.joints.get(&joint.key));
+        let stored = self
+            .stored(name)
+            .and_then(|a| a.joint_grants.get(&joint.key));
         stored.map_or(0, |s| s.granted.saturating_sub(joint.opened))
     }
 
@@ -111,7 +114,7 @@
         let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
         let shown = joint.filter(|j| {
             self.stored(name)
-                .is_some_and(|a| a.joints.contains_key(&j.key))
+                .is_some_and(|a| a.joint_grants.contains_key(&j.key))
         });
         shown.map_or(0, |j| j.opened)
     }
@@ -120,7 +123,7 @@
     pub(crate) fn grants_jointly(&self, now: u64, name: &str) -> bool {
         let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
         let usable = joint.is_none_or(|j| !j.closing && !is_late(now, j));
-        self.params.joint && self.witness.is_some() && usable
+        self.params.joint_grants && self.witness.is_some() && usable
     }
 
     /// Asks the witness for a step that covers a lack.
@@ -130,19 +133,19 @@
             return;
         };
         let step = (local.rate(now) * STEP_MS / 1000.0) as u64;
-        let Some(joint) = local.joint.as_mut().filter(|j| j.asked.is_none()) else {
+        let Some(joint) = local.joint.as_mut().filter(|j| j.pending_step.is_none()) else {
             return;
         };
         let Some((_, witness)) = joint_parts(&joint.key).filter(|_| left > 0) else {
             return;
         };
         let upto = joint.opened + lack.max(step).min(left);
-        joint.asked = Some((now, upto));
-        out.push(Action::Open {
+        joint.pending_step = Some((now, upto));
+        out.push(Action::OpenStep {
             account: name.to_string(),
             witness: witness.to_string(),
             key: joint.key.clone(),
-            upto,
+            up_to: upto,
         });
     }
 
@@ -154,7 +157,7 @@
             // It is being handed back: a step that comes now must not be spent.
             return;
         };
-        let Some((_, upto)) = joint.asked.take() else {
+        let Some((_, upto)) = joint.pending_step.take() else {
             return;
         };
         match opened {
@@ -206,8 +209,8 @@
             let Some(local) = self.locals.get_mut(&name) else {
                 continue;
             };
-            if lone > 0 && local.waiting.is_empty() && local.giving == 0 {
-                local.giving = lone;
+            if lone > 0 && local.waiting.is_empty() && local.returning == 0 {
+                local.returning = lone;
             }
         }
     }
@@ -240,10 +243,10 @@
     }
 
     /// Returns the joint grants that this witness is to hand back for silent holders.
-    fn to_close(&self, record: &Record) -> Vec<(String, String)> {
+    fn to_close(&self, record: &ShardRecord) -> Vec<(String, String)> {
         let mut keys = Vec::new();
         for (name, account) in &record.accounts {
-            for key in account.joints.keys() {
+            for key in account.joint_grants.keys() {
                 let Some((holder, witness)) = joint_parts(key) else {
                     continue;
                 };
@@ -262,7 +265,7 @@
     }
 
     /// Hands joint grants of silent holders back; their steps end first.
-    pub(crate) fn close_silent(&mut self, record: &mut Record) {
+    pub(crate) fn close_silent(&mut self, record: &mut ShardRecord) {
         for (name, key) in self.to_close(record) {
             let opened = self.witness_of.close(&key);
             let account = record.accounts.get_mut(&name).expect("listed from it");
@@ -279,7 +282,7 @@
                 account.close_joint(key, local.opened);
                 return;
             }
-            let joint = account.joints.get_mut(key).expect("found above");
+            let joint = account.joint_grants.get_mut(key).expect("found above");
             joint.opened = joint.opened.max(local.opened);
         }
         if adds == 0 {
@@ -291,7 +294,7 @@
             Some(format!("{}+{witness}+{number}+{name}", self.me))
         });
         let key = key.expect("checked by grants_jointly");
-        account.joints.entry(key).or_default().granted += adds;
+        account.joint_grants.entry(key).or_default().granted += adds;
     }
 
     /// Forgets silent holders whose joint grants are all handed back.
@@ -299,7 +302,7 @@
         let Some(record) = self.known.as_ref().map(|(s, _)| &s.record) else {
             return;
         };
-        let keys = record.accounts.values().flat_map(|a| a.joints.keys());
+        let keys = record.accounts.values().flat_map(|a| a.joint_grants.keys());
         let pairs: Vec<_> = keys.filter_map(|k| joint_parts(k)).collect();
         let me = self.me.as_str();
         let silent = &mut self.witness_of.silent;
@@ -319,20 +322,20 @@
             let local = self.locals.entry(name.clone()).or_default();
             if local.joint.as_ref().is_none_or(|j| j.key != *key) {
                 self.hot.insert(name.clone());
-                local.joint = Some(JointLocal {
+                local.joint = Some(LocalJointGrant {
                     key: key.clone(),
                     opened: joint.opened,
-                    asked: None,
+                    pending_step: None,
                     is_watched: false,
                     closing: false,
                 });
             }
         }
         for (name, local) in &mut self.locals {
-            let shown = |j: &JointLocal| {
+            let shown = |j: &LocalJointGrant| {
                 accounts
                     .get(name)
-                    .is_some_and(|a| a.joints.contains_key(&j.key))
+                    .is_some_and(|a| a.joint_grants.contains_key(&j.key))
             };
             // Closed by the witness: what was opened is part of the line's grant now.
             local.joint = local.joint.take().filter(shown);
@@ -340,6 +343,8 @@
     }
 }
 
-fn is_late(now: u64, joint: &JointLocal) -> bool {
-    joint.asked.is_some_and(|(at, _)| now > at + PATIENCE_MS)
+fn is_late(now: u64, joint: &LocalJointGrant) -> bool {
+    joint
+        .pending_step
+        .is_some_and(|(at, _)| now > at + PATIENCE_MS)
 }
--- a/crates/budget/src/propose.rs
+++ b/crates/budget/src/record_sync.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use crate::grant::Basis;
-use crate::home::{act_reply, Home, Io, Proposal, Role};
-use crate::local::Local;
-use crate::msg::{Act, Action, Settled, Stored};
-use crate::pacer::Pacer;
-use crate::record::{Account, Record, Segment};
+use crate::grant::SizingInput;
+use crate::local_account::LocalAccount;
+use crate::msg::{Action, Durability, OperatorCommand, RecordSnapshot};
+use crate::record::{Account, BillSegment, ShardRecord};
+use crate::shard::{act_reply, Io, Proposal, Role, Shard};
+use crate::write_limiter::WriteLimiter;
 
 /// Bills in a record above which the older half moves to a segment: each commit writes them all.
 const ROLL_BILLS: usize = 128;
@@ -16,9 +16,9 @@
 /// Read again when a write waits for the pacer no longer than this, in milliseconds.
 const IDLE_USE_MS: u64 = 300_000;
 
-impl Home {
+impl Shard {
     /// Serves who waits, then starts the platform call that is due.
-    pub(crate) fn pump(&mut self, now: u64, pacer: &mut Pacer, out: &mut Vec<Action>) {
+    pub(crate) fn pump(&mut self, now: u64, pacer: &mut WriteLimiter, out: &mut Vec<Action>) {
         self.serve_waiting(now, out);
         if self.io != Io::Idle || now < self.retry_at {
             return;
@@ -26,7 +26,7 @@
         if self.want_read || (self.known.is_none() && self.has_work(now)) {
             self.want_read = false;
             self.io = Io::Read { since: now };
-            out.push(Action::Read);
+            out.push(Action::ReadRecord);
         } else if let Some(name) = self.lacks_older() {
             self.io = Io::Segment;
             out.push(Action::ReadSegment { name });
@@ -39,7 +39,7 @@
 
     /// Returns the segment of older bills to load before more is held or settled.
     fn lacks_older(&mut self) -> Option<String> {
-        let needs = |l: &Local| !l.pending.is_empty() || !l.waiting.is_empty();
+        let needs = |l: &LocalAccount| !l.pending.is_empty() || !l.waiting.is_empty();
         if !self.hot_locals().any(|(_, l)| needs(l)) {
             return None;
         }
@@ -48,7 +48,7 @@
     }
 
     /// Takes a segment of older bills.
-    pub(crate) fn segment_read(&mut self, now: u64, segment: Option<Segment>) {
+    pub(crate) fn segment_read(&mut self, now: u64, segment: Option<BillSegment>) {
         match segment {
             Some(segment) => {
                 self.io = Io::Idle;
@@ -62,8 +62,8 @@
     /// Returns whether the record lacks something that only a write can bring.
     fn has_work(&mut self, now: u64) -> bool {
         self.standby_due = self.standby_due && self.standby_lacks(now);
-        let any = |(name, l): (&String, &Local)| {
-            let local = !l.pending.is_empty() || !l.acts.is_empty() || l.giving > 0;
+        let any = |(name, l): (&String, &LocalAccount)| {
+            let local = !l.pending.is_empty() || !l.commands.is_empty() || l.returning > 0;
             let lacks = self.wants(now, name) > 0 || self.has_unwritten_transfers(name);
             local || lacks || self.must_close(name)
         };
@@ -71,7 +71,7 @@
         own || self.standby_due || self.has_silent_joints()
     }
 
-    fn hot_locals(&self) -> impl Iterator<Item = (&String, &Local)> {
+    fn hot_locals(&self) -> impl Iterator<Item = (&String, &LocalAccount)> {
         let hot = self.hot.iter();
         hot.filter_map(|n| self.locals.get_key_value(n))
     }
@@ -86,7 +86,7 @@
         let me = &self.me;
         let sent = local.sent.iter().map(|(to, t)| (format!("{me}>{to}"), *t));
         let got = local
-            .got
+            .received
             .iter()
             .map(|(from, t)| (format!("{from}>{me}"), *t));
         sent.chain(got)
@@ -105,7 +105,7 @@
         };
         let local = &self.locals[name];
         let weight = local.waiting.iter().map(|w| w.weight).max().unwrap_or(100);
-        let size = self.params.sizing.size(Basis {
+        let size = self.params.sizing.size(SizingInput {
             need,
             free: account.free(),
             total: account.total(),
@@ -113,7 +113,7 @@
             weight,
             rate: local.rate(now),
         });
-        if self.params.joint && self.witness.is_some() && !self.grants_jointly(now, name) {
+        if self.params.joint_grants && self.witness.is_some() && !self.grants_jointly(now, name) {
             // The witness does not answer: as little as possible without it.
             return size.min(need.saturating_mul(2)).min(account.free());
         }
@@ -125,7 +125,7 @@
         if self.role != Role::Standby || self.params.standby_pct == 0 {
             return 0;
         }
-        let can_be_joint = self.params.joint && self.witness.is_some();
+        let can_be_joint = self.params.joint_grants && self.witness.is_some();
         if can_be_joint && !self.grants_jointly(now, name) {
             // Its joint grant is being handed back: a standby can wait for the next one, and a
             // grant of its own would strand whole.
@@ -149,17 +149,17 @@
         record.accounts.iter().any(lacks)
     }
 
-    fn must_roll(&self, now: u64, pacer: &mut Pacer) -> bool {
+    fn must_roll(&self, now: u64, pacer: &mut WriteLimiter) -> bool {
         let most = if pacer.has_spare(now) {
             ROLL_BILLS
         } else {
             ROLL_BILLS_BUSY
         };
-        let full = |r: &Record| r.bills() > most;
+        let full = |r: &ShardRecord| r.bills() > most;
         self.role == Role::Home && self.rolled.is_none() && self.record().is_some_and(full)
     }
 
-    fn write_segment(&mut self, pacer: &mut Pacer, now: u64, out: &mut Vec<Action>) {
+    fn write_segment(&mut self, pacer: &mut WriteLimiter, now: u64, out: &mut Vec<Action>) {
         if !pacer.take(now) {
             return;
         }
@@ -181,8 +181,8 @@
         self.end_steps();
         for (name, local) in self.hot_locals() {
             self.write_account(now, number, name, &mut record);
-            if local.giving > 0 {
-                giving.insert(name.clone(), local.giving);
+            if local.returning > 0 {
+                giving.insert(name.clone(), local.returning);
             }
         }
         self.write_standby(now, number, &mut record);
@@ -200,7 +200,10 @@
             record: record.clone(),
         });
         self.io = Io::Write { since: now };
-        out.push(Action::Write { base, record });
+        out.push(Action::WriteRecord {
+            base_revision: base,
+            record,
+        });
     }
 
     /// Reads again before a write that would put an overspend in force.
@@ -227,18 +230,21 @@
         self.want_read = true;
     }
 
-    fn write_account(&self, now: u64, number: u64, name: &str, record: &mut Record) {
+    fn write_account(&self, now: u64, number: u64, name: &str, record: &mut ShardRecord) {
         let local = &self.locals[name];
         let wanted = self.wants(now, name);
         for pending in &local.pending {
-            let has_older = self.older.bill(name, &pending.post.request).is_some();
-            record.post(name, &pending.post, has_older);
+            let has_older = self
+                .older
+                .bill(name, &pending.settlement.request_id)
+                .is_some();
+            record.post(name, &pending.settlement, has_older);
         }
         if local.sent.is_empty()
-            && local.got.is_empty()
-            && local.acts.is_empty()
+            && local.received.is_empty()
+            && local.commands.is_empty()
             && local.joint.is_none()
-            && wanted + local.giving == 0
+            && wanted + local.returning == 0
         {
             return;
         }
@@ -246,22 +252,22 @@
         for (to, tokens) in &local.sent {
             merge(account, format!("{}>{to}", self.me), *tokens);
         }
-        for (from, tokens) in &local.got {
+        for (from, tokens) in &local.received {
             merge(account, format!("{from}>{}", self.me), *tokens);
         }
-        for (_, act) in &local.acts {
+        for (_, act) in &local.commands {
             apply_act(account, act);
         }
         let jointly = self.grants_jointly(now, name);
         let (joint, own) = if jointly { (wanted, 0) } else { (0, wanted) };
         self.write_joint(name, number, joint, account);
-        if own + local.giving > 0 {
-            let line = account.lines.entry(self.me.clone()).or_default();
-            line.granted += own as i64 - local.giving as i64;
+        if own + local.returning > 0 {
+            let line = account.ledger.entry(self.me.clone()).or_default();
+            line.granted += own as i64 - local.returning as i64;
         }
     }
 
-    fn write_standby(&self, now: u64, number: u64, record: &mut Record) {
+    fn write_standby(&self, now: u64, number: u64, record: &mut ShardRecord) {
         if self.role != Role::Standby {
             return;
         }
@@ -270,12 +276,12 @@
             if adds > 0 && self.grants_jointly(now, name) {
                 self.write_joint(name, number, adds, account);
             } else if adds > 0 {
-                account.lines.entry(self.me.clone()).or_default().granted += adds as i64;
+                account.ledger.entry(self.me.clone()).or_default().granted += adds as i64;
             }
         }
     }
 
-    fn write_rest(&self, record: &mut Record) {
+    fn write_rest(&self, record: &mut ShardRecord) {
         if let Some((name, segment)) = &self.rolled {
             record.roll(name, segment);
         }
@@ -285,7 +291,7 @@
     }
 
     /// Takes over what a read found.
-    pub(crate) fn read(&mut self, now: u64, stored: Option<Stored>, out: &mut Vec<Action>) {
+    pub(crate) fn read(&mut self, now: u64, stored: Option<RecordSnapshot>, out: &mut Vec<Action>) {
         let since = match self.io {
             Io::Read { since } => since,
             _ => now,
@@ -302,15 +308,15 @@
             return;
         };
         let record = proposal.record.clone();
-        self.end_write(Stored { revision, record }, out);
+        self.end_write(RecordSnapshot { revision, record }, out);
     }
 
     /// Takes over the write that came first.
-    pub(crate) fn write_lost(&mut self, stored: Option<Stored>, out: &mut Vec<Action>) {
+    pub(crate) fn write_lost(&mut self, stored: Option<RecordSnapshot>, out: &mut Vec<Action>) {
         self.end_write(or_empty(stored), out);
     }
 
-    fn end_write(&mut self, stored: Stored, out: &mut Vec<Action>) {
+    fn end_write(&mut self, stored: RecordSnapshot, out: &mut Vec<Action>) {
         let since = match self.io {
             Io::Write { since } => since,
             _ => 0,
@@ -322,7 +328,7 @@
     }
 
     /// Makes a record the known one, and finds out which of this home's writes it holds.
-    fn adopt(&mut self, stored: Stored, since: u64, out: &mut Vec<Action>) {
+    fn adopt(&mut self, stored: RecordSnapshot, since: u64, out: &mut Vec<Action>) {
         if let Some((old, _)) = &self.known {
             if stored.revision < old.revision {
                 // A store that went back can't be believed: what it granted may be granted twice.
@@ -343,7 +349,7 @@
     }
 
     /// Drops a segment that the record names now, or can't name any more.
-    fn end_roll(&mut self, record: &Record) {
+    fn end_roll(&mut self, record: &ShardRecord) {
         let Some((name, segment)) = self.rolled.take() else {
             return;
         };
@@ -355,13 +361,13 @@
     }
 
     /// Ends the doubt about writes that have landed or can land no more.
-    fn land(&mut self, stored: &Stored) {
+    fn land(&mut self, stored: &RecordSnapshot) {
         let landed = stored.record.writers.get(&self.me).copied().unwrap_or(0);
         for proposal in std::mem::take(&mut self.doubtful) {
             if proposal.number == landed {
                 for (name, tokens) in &proposal.giving {
                     let local = self.locals.get_mut(name).expect("kept while giving");
-                    local.giving -= tokens;
+                    local.returning -= tokens;
                 }
             } else if proposal.base == stored.revision {
                 // Still on its way, perhaps: it can land until the revision moves.
@@ -377,7 +383,7 @@
         };
         let tombstones = &stored.record.tombstones;
         for local in self.locals.values_mut() {
-            local.got.retain(|h, _| !tombstones.contains(h));
+            local.received.retain(|h, _| !tombstones.contains(h));
             local.sent.retain(|h, _| !tombstones.contains(h));
         }
     }
@@ -387,7 +393,7 @@
             return;
         };
         for (name, account) in &stored.record.accounts {
-            if account.lines.contains_key(&self.me) {
+            if account.ledger.contains_key(&self.me) {
                 // A standby's grant came without a request; a stop must find and return it too.
                 self.locals.entry(name.clone()).or_default();
             }
@@ -397,7 +403,7 @@
                 };
                 if to == self.me {
                     let local = self.locals.entry(name.clone()).or_default();
-                    let got = local.got.entry(from.to_string()).or_default();
+                    let got = local.received.entry(from.to_string()).or_default();
                     *got = (*got).max(*tokens);
                 }
             }
@@ -412,17 +418,20 @@
         let record = &stored.record;
         for (name, local) in &mut self.locals {
             local.pending.retain_mut(|p| {
-                let posted = record.has_post(name, &p.post.holder, p.post.hold);
+                let posted = record.has_post(name, &p.settlement.holder, p.settlement.hold);
                 if posted {
-                    let how = Settled::Recorded;
-                    out.extend(p.asks.drain(..).map(|ask| Action::Settled { ask, how }));
+                    let how = Durability::Recorded;
+                    out.extend(p.reply_to.drain(..).map(|ask| Action::SettleReply {
+                        reply_to: ask,
+                        durability: how,
+                    }));
                 }
                 !posted
             });
             let me = &self.me;
-            local.held.retain(|n, _| !record.has_post(name, me, *n));
-            let held = &local.held;
-            local.by_request.retain(|_, n| held.contains_key(n));
+            local.holds.retain(|n, _| !record.has_post(name, me, *n));
+            let held = &local.holds;
+            local.hold_by_request.retain(|_, n| held.contains_key(n));
         }
         self.kept
             .retain(|(_, a, p)| !record.has_post(a, &p.holder, p.hold));
@@ -436,10 +445,13 @@
             let Some(account) = stored.record.accounts.get(name) else {
                 continue;
             };
-            local.acts.retain(|(ask, act)| {
+            local.commands.retain(|(ask, act)| {
                 let reply = act_reply(account, act);
                 let answered = reply.is_some();
-                out.extend(reply.map(|reply| Action::Acted { ask: *ask, reply }));
+                out.extend(reply.map(|reply| Action::OperatorReply {
+                    reply_to: *ask,
+                    reply,
+                }));
                 !answered
             });
         }
@@ -452,23 +464,23 @@
         };
         let holds = |n: &String| {
             let account = stored.record.accounts.get(n);
-            account.is_some_and(|a| a.lines.contains_key(&self.me))
+            account.is_some_and(|a| a.ledger.contains_key(&self.me))
         };
         self.locals.retain(|n, l| {
             let empty = l.is_quiet()
                 && l.joint.is_none()
-                && l.acts.is_empty()
+                && l.commands.is_empty()
                 && l.sent.is_empty()
-                && l.got.is_empty();
-            !(empty && l.giving == 0 && l.used_at + IDLE_USE_MS < *since && !holds(n))
+                && l.received.is_empty();
+            !(empty && l.returning == 0 && l.last_used_at + IDLE_USE_MS < *since && !holds(n))
         });
     }
 }
 
-fn or_empty(stored: Option<Stored>) -> Stored {
-    stored.unwrap_or(Stored {
+fn or_empty(stored: Option<RecordSnapshot>) -> RecordSnapshot {
+    stored.unwrap_or(RecordSnapshot {
         revision: 0,
-        record: Record::default(),
+        record: ShardRecord::default(),
     })
 }
 
@@ -480,17 +492,17 @@
     }
 }
 
-fn apply_act(account: &mut Account, act: &Act) {
+fn apply_act(account: &mut Account, act: &OperatorCommand) {
     match act {
-        Act::TopUp { id, tokens } => {
+        OperatorCommand::TopUp { id, tokens } => {
             // A reused id is answered by `act_reply` from the record, which keeps the first act.
             let _ = account.top_up(id, *tokens);
         }
-        Act::Release {
+        OperatorCommand::Release {
             id,
             holder,
             reason,
-            who,
+            operator: who,
         } => {
             account.release(id, holder, reason, who);
         }
--- a/crates/budget/src/decide.rs
+++ b/crates/budget/src/reservation.rs
@@ -2,9 +2,9 @@
 
 use smallvec::smallvec;
 
-use crate::home::{Home, Io};
-use crate::local::{Held, Local, Waiting, Want};
+use crate::local_account::{Hold, LocalAccount, ReservationKind, WaitingReservation};
 use crate::msg::{Action, ReserveReply};
+use crate::shard::{Io, Shard};
 
 /// When to come back for tokens that others hold or have reserved, in milliseconds.
 const RETRY_MS: u64 = 1_000;
@@ -23,9 +23,9 @@
     Refuse(ReserveReply),
 }
 
-impl Home {
+impl Shard {
     pub(crate) fn serve_waiting(&mut self, now: u64, out: &mut Vec<Action>) {
-        let waits = |(n, l): (&String, &Local)| (!l.waiting.is_empty()).then(|| n.clone());
+        let waits = |(n, l): (&String, &LocalAccount)| (!l.waiting.is_empty()).then(|| n.clone());
         let hot = self.hot.iter().filter_map(|n| self.locals.get_key_value(n));
         let names: Vec<String> = hot.filter_map(waits).collect();
         for name in names {
@@ -51,7 +51,7 @@
                 local.waiting.push_back(waiting);
                 continue;
             }
-            let ask = waiting.ask;
+            let ask = waiting.reply_to;
             let tokens = waiting.tokens;
             let reply = match hold(local, waiting, next_hold) {
                 Some(hold) => {
@@ -62,7 +62,10 @@
                 }
                 None => ReserveReply::Voided,
             };
-            out.push(Action::Reserved { ask, reply });
+            out.push(Action::ReserveReply {
+                reply_to: ask,
+                reply,
+            });
         }
         self.next_hold = next_hold;
     }
@@ -71,14 +74,18 @@
     fn answer_billed(&mut self, name: &str, out: &mut Vec<Action>) {
         let local = self.locals.get_mut(name).expect("listed by the caller");
         for waiting in std::mem::take(&mut local.waiting) {
-            let reply = match &waiting.want {
-                Want::New { request, body, .. } => self.billed_before(name, request, *body),
-                Want::More { .. } => None,
+            let reply = match &waiting.kind {
+                ReservationKind::NewHold {
+                    request_id: request,
+                    body_hash: body,
+                    ..
+                } => self.billed_before(name, request, *body),
+                ReservationKind::ExtendHold { .. } => None,
             };
             let local = self.locals.get_mut(name).expect("listed by the caller");
             match reply {
-                Some(reply) => out.push(Action::Reserved {
-                    ask: waiting.ask,
+                Some(reply) => out.push(Action::ReserveReply {
+                    reply_to: waiting.reply_to,
                     reply,
                 }),
                 None => local.waiting.push_back(waiting),
@@ -93,13 +100,16 @@
                 Verdict::Wait => {}
                 Verdict::Read => self.want_read = true,
                 Verdict::Recall(lack) => {
-                    waiting.recalled = true;
+                    waiting.recall_sent = true;
                     self.recall(name, lack, out);
                 }
                 Verdict::Step(lack) => self.ask_step(now, name, lack, out),
                 Verdict::Refuse(reply) => {
-                    let ask = waiting.ask;
-                    out.push(Action::Reserved { ask, reply });
+                    let ask = waiting.reply_to;
+                    out.push(Action::ReserveReply {
+                        reply_to: ask,
+                        reply,
+                    });
                     continue;
                 }
             }
@@ -108,7 +118,7 @@
         }
     }
 
-    fn judge(&self, now: u64, name: &str, waiting: &Waiting) -> Verdict {
+    fn judge(&self, now: u64, name: &str, waiting: &WaitingReservation) -> Verdict {
         let retry_ms = if self.failures > 0 {
             OUTAGE_RETRY_MS
         } else {
@@ -136,7 +146,7 @@
             if free >= lack && self.may_grant(name, lack) {
                 return Verdict::Wait;
             }
-            if !self.is_fresh(waiting.asked_at) {
+            if !self.is_fresh(waiting.requested_at) {
                 return Verdict::Read;
             }
             let left = self.left(name);
@@ -144,9 +154,9 @@
                 return Verdict::Refuse(ReserveReply::Exhausted { left });
             }
         }
-        let open = self.locals.get(name).map_or(0, |l| l.recalls);
+        let open = self.locals.get(name).map_or(0, |l| l.open_recalls);
         let write_open = matches!(self.io, Io::Write { .. });
-        match (waiting.recalled, open) {
+        match (waiting.recall_sent, open) {
             (false, _) if self.params.recall && !self.donors(name).is_empty() => {
                 let granted = if self.failures == 0 { free } else { 0 };
                 Verdict::Recall(lack.saturating_sub(granted))
@@ -161,7 +171,7 @@
         let Some(account) = self.stored(name) else {
             return false;
         };
-        let basis = crate::grant::Basis {
+        let basis = crate::grant::SizingInput {
             need: lack,
             free: account.free(),
             total: account.total(),
@@ -207,7 +217,7 @@
     fn recall(&mut self, name: &str, lack: u64, out: &mut Vec<Action>) {
         let donors = self.donors(name);
         let local = self.locals.get_mut(name).expect("listed by the caller");
-        local.recalls += donors.len() as u32;
+        local.open_recalls += donors.len() as u32;
         for from in donors {
             out.push(Action::Recall {
                 account: name.to_string(),
@@ -229,31 +239,31 @@
 }
 
 /// Opens or widens a hold; none when the hold to widen is gone.
-fn hold(local: &mut Local, waiting: Waiting, next_hold: u64) -> Option<u64> {
-    match waiting.want {
-        Want::New {
-            request,
-            body,
+fn hold(local: &mut LocalAccount, waiting: WaitingReservation, next_hold: u64) -> Option<u64> {
+    match waiting.kind {
+        ReservationKind::NewHold {
+            request_id: request,
+            body_hash: body,
             entry,
         } => {
-            local.by_request.insert(request.clone(), next_hold);
-            let held = Held {
-                request,
-                body,
+            local.hold_by_request.insert(request.clone(), next_hold);
+            let held = Hold {
+                request_id: request,
+                body_hash: body,
                 entries: smallvec![entry],
-                at: waiting.at,
+                attempt: waiting.attempt,
                 tokens: waiting.tokens,
-                paid: 0,
-                uncertain: false,
-                probe_at: None,
+                settled: 0,
+                unconfirmed: false,
+                cancel_at: None,
             };
-            local.held.insert(next_hold, held);
+            local.holds.insert(next_hold, held);
             Some(next_hold)
         }
-        Want::More { hold } => {
-            let held = local.held.get_mut(&hold)?;
+        ReservationKind::ExtendHold { hold } => {
+            let held = local.holds.get_mut(&hold)?;
             held.tokens += waiting.tokens;
-            held.at = waiting.at;
+            held.attempt = waiting.attempt;
             Some(hold)
         }
     }
--- a/crates/entry/src/pipe/reserve.rs
+++ b/crates/entry/src/pipe/reserve.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use budget::msg::Reserve;
-use budget::place;
+use budget::msg::ReserveRequest;
+use budget::placement;
 use budget::ReserveReply;
 use err::{Error, Kind};
 use serde_json::Value;
@@ -53,7 +53,7 @@
 fn judge(cx: &mut Cx, reply: ReserveReply) -> Result<(), Error> {
     match reply {
         ReserveReply::Held { .. } | ReserveReply::Exists { .. } => Ok(()),
-        ReserveReply::Reused => Err(Error::new(
+        ReserveReply::IdReused => Err(Error::new(
             Kind::IdReused,
             "this request id came before with another body",
         )),
@@ -77,12 +77,12 @@
 /// Asks the home, then the standbys, until one answers.
 async fn ask_homes(cx: &mut Cx, chat: &Chat, tokens: u64) -> Result<ReserveReply, Error> {
     let mut msg = ReserveMsg {
-        req: Reserve {
+        req: ReserveRequest {
             account: cx.customer.clone(),
-            request: cx.id.clone(),
-            body: chat.hash,
+            request_id: cx.id.clone(),
+            body_hash: chat.hash,
             entry: cx.shared.me.clone(),
-            at: Default::default(),
+            attempt: Default::default(),
             tokens,
             weight: cx.policy.weight,
         },
@@ -90,7 +90,7 @@
     };
     for home in homes(&cx.shared, &cx.customer) {
         cx.name_run();
-        msg.req.at = cx.run_at();
+        msg.req.attempt = cx.run_at();
         let Some(reply) = ask_home(&cx.shared, &home, &msg).await else {
             cx.step(format!("home {home} does not answer"));
             give_up(cx, &home);
@@ -118,7 +118,7 @@
         ReserveReply::Exists {
             holder,
             hold,
-            at,
+            attempt: at,
             billed,
         } => {
             let upstream = &at.upstream;
@@ -140,8 +140,8 @@
 /// Returns the instances to ask for a budget: the home, the own zone's standby, the others.
 pub fn homes(shared: &Shared, account: &str) -> Vec<String> {
     let candidates = shared.candidates();
-    let shard = place::shard(account, shared.settings.shards());
-    let mut order = place::home_and_standbys(shard, &candidates);
+    let shard = placement::shard(account, shared.settings.shards());
+    let mut order = placement::home_and_standbys(shard, &candidates);
     if order.len() > 1 {
         order[1..].sort_by_key(|c| c.zone != shared.settings.zone);
     }
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -1,8 +1,8 @@
 //! Callers and entries: requests, reservations, runs at engines and settlements.
 
-use budget::msg::{Reserve, RunAt};
-use budget::place::{self, Candidate};
-use budget::{Event, Post, ReserveReply};
+use budget::msg::{AttemptRef, ReserveRequest};
+use budget::placement::{self, Candidate};
+use budget::{Event, ReserveReply, Settlement};
 use rand::Rng;
 
 use crate::item::{Ask, Item};
@@ -50,7 +50,7 @@
             run: None,
             since: self.now,
             rounds: 0,
-            at: RunAt::default(),
+            at: AttemptRef::default(),
         });
         self.ask_home(job);
     }
@@ -69,9 +69,9 @@
                 zone: self.nodes[*n].zone.to_string(),
             })
             .collect();
-        let shard = place::shard(&self.account(account), SHARDS);
+        let shard = placement::shard(&self.account(account), SHARDS);
         let own = self.nodes[entry].zone.to_string();
-        let mut order = place::home_and_standbys(shard, &candidates);
+        let mut order = placement::home_and_standbys(shard, &candidates);
         match self.policy.asks() {
             Asks::OwnZone => order.sort_by_key(|c| c.zone != own),
             _ if order.len() > 1 => order[1..].sort_by_key(|c| c.zone != own),
@@ -102,19 +102,27 @@
     pub(crate) fn reserve(&mut self, node: usize, job: usize, tries: usize) {
         let request = &self.requests[self.jobs[job].request];
         let account = self.account(request.account);
-        let req = Reserve {
+        let req = ReserveRequest {
             account: account.clone(),
-            request: request.id.clone(),
-            body: 1,
+            request_id: request.id.clone(),
+            body_hash: 1,
             entry: self.nodes[self.jobs[job].entry].id.clone(),
-            at: run_at(&request.id, job, tries),
+            attempt: run_at(&request.id, job, tries),
             tokens: request.bound,
             weight: 25,
         };
         let ask = self.ask(node, Ask::Reserve { job, tries });
         let shard = self.nodes[node].bank.shard(&account);
         let deadline = self.now + HOME_WAIT;
-        self.step(node, shard, Event::Reserve { ask, req, deadline });
+        self.step(
+            node,
+            shard,
+            Event::Reserve {
+                reply_to: ask,
+                request: req,
+                deadline,
+            },
+        );
     }
 
     pub(crate) fn reserve_late(&mut self, job: usize, tries: usize) {
@@ -148,7 +156,7 @@
         let account = self.account(request.account);
         let event = Event::Void {
             account: account.clone(),
-            request: request.id.clone(),
+            request_id: request.id.clone(),
             entry: self.nodes[entry].id.clone(),
         };
         let shard = self.nodes[node].bank.shard(&account);
@@ -172,11 +180,11 @@
             ReserveReply::Exists {
                 holder,
                 hold,
-                at,
+                attempt: at,
                 billed,
             } => {
                 self.jobs[job].hold = Some((holder, hold));
-                self.jobs[job].run = self.run_names.get(&at.run).copied();
+                self.jobs[job].run = self.run_names.get(&at.id).copied();
                 self.jobs[job].at = at;
                 if self.jobs[job].run.is_none() {
                     // Reserved, and never sent as far as known: in progress elsewhere.
@@ -199,7 +207,7 @@
 
     pub(crate) fn dispatch(&mut self, job: usize) {
         self.jobs[job].phase = Phase::Running;
-        let name = self.jobs[job].at.run.clone();
+        let name = self.jobs[job].at.id.clone();
         if self.tombstones.contains(&name) {
             self.put(self.now, Item::EngineEnd { job });
             return;
@@ -276,14 +284,14 @@
         let tokens = self.jobs[job]
             .run
             .map_or(0, |r| self.runs[r].served(self.now));
-        let post = Post {
+        let post = Settlement {
             holder: holder.clone(),
             hold,
-            request: request.id.clone(),
+            request_id: request.id.clone(),
             tokens,
             billed: tokens > 0,
-            body: 1,
-            at: self.jobs[job].at.clone(),
+            body_hash: 1,
+            attempt: self.jobs[job].at.clone(),
             at_ms: self.now,
         };
         let entry = self.jobs[job].entry;
@@ -306,15 +314,15 @@
         self.put(self.now + RPC_TIMEOUT, Item::SettleRound { job, round });
     }
 
-    pub(crate) fn settle(&mut self, node: usize, job: usize, post: Post) {
+    pub(crate) fn settle(&mut self, node: usize, job: usize, post: Settlement) {
         let account = self.account(self.requests[self.jobs[job].request].account);
         let ask = Some(self.ask(node, Ask::Settle { job }));
         let shard = self.nodes[node].bank.shard(&account);
         let event = Event::Settle {
-            ask,
+            reply_to: ask,
             account,
-            post,
-            doubts: Vec::new(),
+            settlement: post,
+            unconfirmed: Vec::new(),
         };
         self.step(node, shard, event);
     }
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -1,7 +1,7 @@
 //! The policies that a trial compares.
 
-use budget::grant::Sizing;
-use budget::home::Params;
+use budget::grant::GrantSizing;
+use budget::shard::Params;
 
 /// A policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,23 +51,23 @@
         let base = Params::default();
         match self {
             Policy::Split => Params {
-                sizing: Sizing::Split {
+                sizing: GrantSizing::Split {
                     parts: instances as u64,
                 },
                 recall: false,
-                joint: false,
+                joint_grants: false,
                 standby_pct: 0,
                 ..base
             },
             Policy::Swap => Params {
-                sizing: Sizing::Exact,
+                sizing: GrantSizing::Exact,
                 recall: false,
-                joint: false,
+                joint_grants: false,
                 standby_pct: 0,
                 ..base
             },
             Policy::Sole => Params {
-                joint: false,
+                joint_grants: false,
                 ..base
             },
             Policy::NoStandby => Params {
@@ -79,7 +79,7 @@
                 ..base
             },
             Policy::Demand => Params {
-                sizing: Sizing::Demand { horizon_ms: 10_000 },
+                sizing: GrantSizing::Demand { horizon_ms: 10_000 },
                 ..base
             },
             Policy::NoRecall => Params {
@@ -87,11 +87,11 @@
                 ..base
             },
             Policy::LateCopies => Params {
-                copy_ms: 25,
+                copy_delay_ms: 25,
                 ..base
             },
             Policy::NoCopies => Params {
-                copy_ms: u64::MAX / 2,
+                copy_delay_ms: u64::MAX / 2,
                 ..base
             },
             Policy::Chosen | Policy::ZoneHomes => base,
