--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -242,7 +242,7 @@
         if let Some(conn) = job.router.dialer.kept(&incarnation) {
             return Ok((slot, conn));
         }
-        let sharers = job.router.fleet.sharers();
+        let sharers = job.router.fleet.instance_count();
         let most = max_connections(job.traits.connections as usize, sharers);
         let target = Target {
             upstream: &incarnation,
--- a/crates/proxy/src/bank/draw.rs
+++ b/crates/proxy/src/bank/draw.rs
@@ -12,7 +12,7 @@
 use crate::event::Event;
 use crate::fleet::Member;
 use crate::peers::CALL_TIMEOUT;
-use crate::roster::Area;
+use crate::roster::HomeScope;
 
 /// A home waits so long for the store and for other homes: less than the instance that draws waits for
 /// the home.
@@ -105,7 +105,7 @@
         let draw = self.draw(home, customer, tokens, size);
         let bytes = serde_json::to_vec(&draw).map_or(0, |d| d.len());
         let Sender { fleet, traffic, .. } = &self.means().sender;
-        traffic.count("draws", fleet.roster().is_near(home.addr), bytes);
+        traffic.count("draws", fleet.roster().is_same_zone(home.addr), bytes);
         let (bank, addr) = (self.clone(), home.addr);
         let call = async move {
             let drawn = bank.means().peers.draw(addr, &draw).await?;
@@ -140,7 +140,7 @@
     }
 
     fn draw(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> Draw {
-        let zone = self.area(customer) == Area::Zone;
+        let zone = self.area(customer) == HomeScope::Zone;
         self.open_holding(customer, |h| Draw {
             customer: customer.to_string(),
             tokens,
--- a/crates/proxy/src/bank/handover.rs
+++ b/crates/proxy/src/bank/handover.rs
@@ -14,7 +14,7 @@
 use crate::event::Event;
 use crate::fleet::Member;
 use crate::peers::{Gift, Want};
-use crate::roster::Area;
+use crate::roster::HomeScope;
 
 /// A stopping instance tries the store for so long before it gives its tokens to others.
 const LEAVE_STORE: Duration = Duration::from_millis(250);
@@ -45,8 +45,8 @@
     /// the own zone, and among them each time others, since no one knows who has tokens.
     fn askable(&self, customer: &str) -> Vec<Arc<Member>> {
         let fleet = &self.means().fleet;
-        let homes = fleet.homes_besides(customer, Area::Fleet);
-        let mut others = fleet.others();
+        let homes = fleet.other_homes(customer, HomeScope::Fleet);
+        let mut others = fleet.peers();
         others.shuffle(&mut rand::rng());
         let is_home = |m: &Member| homes.iter().any(|h| h.id == m.id);
         others.sort_by_key(|m| (!is_home(m), m.zone != fleet.zone()));
@@ -155,7 +155,7 @@
     async fn staying(&self) -> Vec<Member> {
         let means = self.means();
         let mut pings = JoinSet::new();
-        for peer in means.fleet.others() {
+        for peer in means.fleet.peers() {
             let peers = means.peers.clone();
             pings.spawn(async move {
                 // The list may show one that was there before.
--- a/crates/proxy/src/bank/mod.rs
+++ b/crates/proxy/src/bank/mod.rs
@@ -37,7 +37,7 @@
 use crate::log::Log;
 use crate::peers::{Peers, Want};
 use crate::reach::Reach;
-use crate::roster::{Area, Homes};
+use crate::roster::{HomeScope, Homes};
 
 pub(crate) use charge::Charge;
 use charge::Lack;
@@ -175,9 +175,9 @@
     /// come to one instance, and nobody else would take tokens for them.
     fn homes(&self, customer: &str) -> Homes {
         let (fleet, area) = (&self.means().fleet, self.area(customer));
-        let homes = fleet.homes(customer, area);
+        let homes = fleet.preceding_homes(customer, area);
         if homes.is_empty() && self.is_cut_off() {
-            return fleet.homes_besides(customer, area);
+            return fleet.other_homes(customer, area);
         }
         homes
     }
@@ -185,16 +185,16 @@
     /// Returns whether this instance holds a customer's tokens for others.
     fn is_home(&self, customer: &str) -> bool {
         let fleet = &self.means().fleet;
-        fleet.is_home(customer, Area::Fleet) || fleet.is_home(customer, self.area(customer))
+        fleet.is_home(customer, HomeScope::Fleet) || fleet.is_home(customer, self.area(customer))
     }
 
     /// Returns which instances a customer's homes are chosen from.
-    fn area(&self, customer: &str) -> Area {
+    fn area(&self, customer: &str) -> HomeScope {
         let accounts = self.0.accounts.lock().expect("no panic inside");
         let until = accounts.get(customer).and_then(|a| a.crowded_until);
         match until {
-            Some(until) if Instant::now() < until => Area::Zone,
-            _ => Area::Fleet,
+            Some(until) if Instant::now() < until => HomeScope::Zone,
+            _ => HomeScope::Fleet,
         }
     }
 
@@ -264,7 +264,7 @@
     fn first_try(&self, customer: &str, tokens: u64, size: u64) -> Tried {
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.entry(customer.to_string()).or_default();
-        let rationed = self.means().fleet.has_started_again();
+        let rationed = self.means().fleet.is_mass_start();
         if rationed && !account.holding.admits(self.0.clock.now(), size) {
             return Tried::Refused(self.why(&account.holding, size));
         }
@@ -308,7 +308,7 @@
     }
 
     pub(crate) fn me(&self) -> String {
-        self.means().fleet.me().to_string()
+        self.means().fleet.incarnation().to_string()
     }
 
     fn tell(&self, to: &str, total: u64) -> CumulativeTotal {
--- a/crates/proxy/src/bank/records.rs
+++ b/crates/proxy/src/bank/records.rs
@@ -9,7 +9,7 @@
 
 use super::{Account, Bank};
 use crate::event::Event;
-use crate::roster::Area;
+use crate::roster::HomeScope;
 
 /// Keys of instances' books.
 const BOOKS: &str = "oriolehitch/books/";
@@ -34,7 +34,7 @@
         let old = |(name, account): &(&String, &Account)| {
             let holding = &account.holding;
             match holding.snapshot() {
-                None => holding.is_in_use(now) || fleet.is_home(name, Area::Fleet),
+                None => holding.is_in_use(now) || fleet.is_home(name, HomeScope::Fleet),
                 Some(known) => {
                     holding.shortfall() > holding.free() && now > known.read_at + RECORDS_OLD_MS
                 }
--- a/crates/proxy/src/bank/refill.rs
+++ b/crates/proxy/src/bank/refill.rs
@@ -12,7 +12,7 @@
 use super::records::PREFIX;
 use super::{Bank, Means, TRIES};
 use crate::event::Event;
-use crate::roster::Area;
+use crate::roster::HomeScope;
 
 /// How often all holdings are looked through: a call of the store each time, for tokens that last ten
 /// times as long.
@@ -80,7 +80,7 @@
 
     /// Returns the pause until all holdings are looked through again.
     fn pause(&self) -> Duration {
-        let sharers = self.means().fleet.sharers() as u32;
+        let sharers = self.means().fleet.instance_count() as u32;
         let pause = LOOK_EVERY * sharers.max(OFTEN_MOST) / OFTEN_MOST;
         let spread = rand::rng().random_range(0..LOOK_SPREAD_MS);
         pause.min(LOOK_MOST) + Duration::from_millis(spread)
@@ -209,7 +209,10 @@
     /// Panics when a record lacks a line of the own book, though it is no newer than that book, or the book was read again since:
     /// tokens could be spent twice.
     pub(super) fn plan(&self, scope: Scope) -> Txn {
-        let (now, sharers) = (self.0.clock.now(), self.means().fleet.sharers() as u64);
+        let (now, sharers) = (
+            self.0.clock.now(),
+            self.means().fleet.instance_count() as u64,
+        );
         let mut txn = Txn::default();
         let Some(book_revision) = self.book() else {
             return txn;
@@ -247,7 +250,7 @@
             let line = match scope {
                 Scope::Leaving => holding.plan_shutdown(),
                 Scope::All | Scope::Missing => {
-                    let home = self.means().fleet.is_home(name, Area::Fleet);
+                    let home = self.means().fleet.is_home(name, HomeScope::Fleet);
                     holding.plan_update(now, sharers, home)
                 }
             };
--- a/crates/proxy/src/bank/settled.rs
+++ b/crates/proxy/src/bank/settled.rs
@@ -69,7 +69,10 @@
         drop(ended);
         let mut told: BTreeMap<SocketAddr, Vec<Settled>> = BTreeMap::new();
         for customer in customers {
-            let homes = self.means().fleet.homes(&customer, self.area(&customer));
+            let homes = self
+                .means()
+                .fleet
+                .preceding_homes(&customer, self.area(&customer));
             // What is passed on to one that is gone is out of reach, and never on record: the own line tells of it.
             let peers = &self.means().peers;
             let home = homes.first().filter(|h| !peers.is_silent(h.addr));
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -80,7 +80,7 @@
         let bytes = serde_json::to_vec(datagram).expect("numbers and texts that JSON can hold");
         let roster = self.fleet.roster();
         for addr in to {
-            let near = roster.is_near(addr);
+            let near = roster.is_same_zone(addr);
             self.traffic.count(datagram.purpose(), near, bytes.len());
             // One that can't be sent is as good as a lost one.
             let _ = self.socket.try_send_to(&bytes, addr);
@@ -126,7 +126,7 @@
             continue;
         };
         let roster = sender.fleet.roster();
-        let to = roster.neighbours().iter().map(|m| m.addr);
+        let to = roster.zone_peers().iter().map(|m| m.addr);
         sender.send(&Datagram::Head(head), to);
     }
 }
@@ -135,7 +135,7 @@
     let from = rand::random();
     let mut silent = false;
     loop {
-        let mut load_peers = sender.fleet.others();
+        let mut load_peers = sender.fleet.peers();
         load_peers.truncate(LOAD_PEERS_MOST);
         let rounds = (load_peers.len() / SMALL_FLEET + 1) as u32;
         sleep(ROUND * rounds).await;
@@ -186,7 +186,7 @@
                     }
                 }
                 Ok(Datagram::Notices { version, batch }) => {
-                    let near = fleet.roster().is_near(from);
+                    let near = fleet.roster().is_same_zone(from);
                     let lacks = self.desk.effects.receive(from, near, version, batch);
                     if !lacks.is_empty() {
                         let version = self.desk.effects.config.version();
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -19,24 +19,24 @@
 use crate::follow::{Feed, Follow, Update};
 use crate::log::Log;
 use crate::passed::Topic;
-use crate::roster::{Area, Homes, Roster};
+use crate::roster::{HomeScope, Homes, Roster};
 
 /// Keys of instances, by availability zone and name.
 const PREFIX: &str = "oriolehitch/instances/";
 /// A lease outlives an outage of the store and a partition of its holder: the others need the list
 /// most just then. An instance that crashed is listed that much longer, which costs a message.
-const LEASE_MS: u64 = 30_000;
+const MIN_LEASE_TTL_MS: u64 = 30_000;
 /// How often a lease is renewed: three times within the shortest outage that it must outlive.
-const RENEW_EVERY: Duration = Duration::from_secs(8);
+const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(8);
 /// Longest wait of one watch of the list, in milliseconds: what it brings late costs a message to an
 /// instance that is gone, or a share of what is bounded for all.
-const WATCH_MS: u64 = 10_000;
+const WATCH_TIMEOUT_MS: u64 = 10_000;
 /// Instances that start within so many seconds have started together: machines come back one after the other.
-const TOGETHER_SECS: u64 = 15;
+const SAME_START_SECS: u64 = 15;
 /// All but one in so many are most of them.
-const MOST_PART: usize = 4;
+const MASS_START_DIVISOR: usize = 4;
 /// Pause before a failed registration is tried again.
-const AGAIN_AFTER: Duration = Duration::from_millis(500);
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// An instance as it lists itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -57,10 +57,10 @@
 pub(crate) struct Fleet(Arc<Inner>);
 
 struct Inner {
-    me: Member,
+    own: Member,
     name: String,
     key: String,
-    lease_ms: u64,
+    lease_ttl_ms: u64,
     seeds: Vec<Arc<Member>>,
     store: Arc<dyn Store>,
     feed: Feed,
@@ -71,7 +71,7 @@
     /// What follows from the members.
     roster: RwLock<Arc<Roster>>,
     /// Whether most instances have started with this one, or after it.
-    started_again: AtomicBool,
+    mass_start: AtomicBool,
     lease: Mutex<i64>,
 }
 
@@ -113,24 +113,24 @@
         Fleet(Arc::new(Inner {
             roster: RwLock::new(Arc::new(roster)),
             seeds: seeds.collect(),
-            me,
+            own: me,
             name: name.to_string(),
             key,
-            lease_ms: LEASE_MS.max(lease_least_ms),
+            lease_ttl_ms: MIN_LEASE_TTL_MS.max(lease_least_ms),
             store,
             feed,
             log,
             pool,
             clock,
             members: Mutex::default(),
-            started_again: AtomicBool::new(false),
+            mass_start: AtomicBool::new(false),
             lease: Mutex::new(0),
         }))
     }
 
     /// Returns this incarnation.
-    pub(crate) fn me(&self) -> &str {
-        &self.0.me.id
+    pub(crate) fn incarnation(&self) -> &str {
+        &self.0.own.id
     }
 
     /// Returns the instance's name, which it keeps over restarts.
@@ -140,7 +140,7 @@
 
     /// Returns the own availability zone.
     pub(crate) fn zone(&self) -> &str {
-        &self.0.me.zone
+        &self.0.own.zone
     }
 
     /// Returns the instances by the newest list.
@@ -150,45 +150,45 @@
 
     /// Returns the other instances, those of the own zone first; those that the settings name while the
     /// list is not known.
-    pub(crate) fn others(&self) -> Vec<Arc<Member>> {
+    pub(crate) fn peers(&self) -> Vec<Arc<Member>> {
         let roster = self.roster();
-        if roster.others().is_empty() {
+        if roster.peers().is_empty() {
             return self.0.seeds.clone();
         }
-        roster.others().to_vec()
+        roster.peers().to_vec()
     }
 
     /// Returns the instances to draw a customer's tokens from; none where this one holds them itself.
-    pub(crate) fn homes(&self, customer: &str, area: Area) -> Homes {
+    pub(crate) fn preceding_homes(&self, customer: &str, area: HomeScope) -> Homes {
         let mut homes = self.roster().homes(customer, area);
-        let own = homes.iter().position(|m| m.id == self.0.me.id);
+        let own = homes.iter().position(|m| m.id == self.0.own.id);
         homes.truncate(own.unwrap_or(homes.len()));
         homes
     }
 
     /// Returns the other instances that hold a customer's tokens when this one can't take any.
-    pub(crate) fn homes_besides(&self, customer: &str, area: Area) -> Homes {
+    pub(crate) fn other_homes(&self, customer: &str, area: HomeScope) -> Homes {
         let mut homes = self.roster().homes(customer, area);
-        homes.retain(|m| m.id != self.0.me.id);
+        homes.retain(|m| m.id != self.0.own.id);
         homes
     }
 
     /// Returns whether this instance holds a customer's tokens for others, or the others are not known.
-    pub(crate) fn is_home(&self, customer: &str, area: Area) -> bool {
+    pub(crate) fn is_home(&self, customer: &str, area: HomeScope) -> bool {
         let roster = self.roster();
-        roster.is_first(&roster.homes(customer, area))
+        roster.is_primary_home(&roster.homes(customer, area))
     }
 
     /// Returns the living incarnations, the own one among them.
-    pub(crate) fn live(&self) -> BTreeSet<String> {
+    pub(crate) fn live_incarnations(&self) -> BTreeSet<String> {
         let roster = self.roster();
         let mut live: BTreeSet<String> = roster.incarnations().map(str::to_string).collect();
-        live.insert(self.0.me.id.clone());
+        live.insert(self.0.own.id.clone());
         live
     }
 
     /// Returns how many instances share what is bounded for all of them.
-    pub(crate) fn sharers(&self) -> usize {
+    pub(crate) fn instance_count(&self) -> usize {
         self.roster().len()
     }
 
@@ -198,8 +198,8 @@
         tokio::spawn(async move {
             loop {
                 match fleet.register().await {
-                    Ok(lease) => fleet.renew(lease).await,
-                    Err(_) => sleep(AGAIN_AFTER).await,
+                    Ok(lease) => fleet.keep_lease_alive(lease).await,
+                    Err(_) => sleep(REGISTER_RETRY_DELAY).await,
                 }
             }
         });
@@ -208,9 +208,16 @@
             let store = Arc::clone(&fleet.0.store);
             let feed = fleet.0.feed.clone();
             let near = Some(zone_prefix(fleet.zone()));
-            let mut follow = Follow::open(store, feed, Topic::Instances, PREFIX, near, WATCH_MS);
+            let mut follow = Follow::open(
+                store,
+                feed,
+                Topic::Instances,
+                PREFIX,
+                near,
+                WATCH_TIMEOUT_MS,
+            );
             loop {
-                fleet.update(follow.next().await);
+                fleet.apply(follow.next().await);
             }
         });
     }
@@ -218,8 +225,8 @@
     /// Writes the own key with a new lease.
     async fn register(&self) -> Result<i64, Failure> {
         let store = &self.0.store;
-        let lease = store.grant_lease(self.0.lease_ms).await?;
-        let value = serde_json::to_vec(&self.0.me).expect("a member that JSON can hold");
+        let lease = store.grant_lease(self.0.lease_ttl_ms).await?;
+        let value = serde_json::to_vec(&self.0.own).expect("a member that JSON can hold");
         // A write that loses tells what is there: most starts find no key of their own.
         let mut revision = 0;
         loop {
@@ -242,7 +249,7 @@
                     let there = there.map_or(0, |f| f.revision);
                     // An earlier incarnation's write came late, or its key has ended, if not the first time.
                     if revision > 0 {
-                        sleep(AGAIN_AFTER).await;
+                        sleep(REGISTER_RETRY_DELAY).await;
                     }
                     revision = there;
                 }
@@ -254,12 +261,12 @@
     }
 
     /// Renews the lease until it has ended; each renewal also tells whether the store answers.
-    async fn renew(&self, lease: i64) {
+    async fn keep_lease_alive(&self, lease: i64) {
         let Feed { reach, relay, .. } = &self.0.feed;
         // A call that hangs must not hold up the next one: it ends long after the store is back.
         let mut asked = JoinSet::new();
         loop {
-            let turn = reach.ask_turn(RENEW_EVERY, relay.others_ask());
+            let turn = reach.ask_turn(LEASE_RENEWAL_INTERVAL, relay.others_ask());
             tokio::pin!(turn);
             loop {
                 tokio::select! {
@@ -277,7 +284,7 @@
         }
     }
 
-    fn update(&self, update: Update) {
+    fn apply(&self, update: Update) {
         let parse = |f: &Found| {
             let member = serde_json::from_slice::<Member>(&f.value).ok();
             member.map(Arc::new)
@@ -302,11 +309,11 @@
             Update::Lost => return,
         }
         let after = members.len();
-        let roster = Roster::new(&members, &self.0.key, &self.0.me);
+        let roster = Roster::new(&members, &self.0.key, &self.0.own);
         let roster = Arc::new(roster);
         *self.0.roster.write().expect("no panic inside") = Arc::clone(&roster);
-        self.place(&members, &roster);
-        self.compare_starts(&members);
+        self.publish_instances(&members, &roster);
+        self.update_mass_start(&members);
         drop(members);
         if before != after {
             let detail = format_args!("before={before} now={after}");
@@ -315,26 +322,26 @@
     }
 
     /// Returns whether most instances have started with this one, or after it: the first time, or after a loss of all.
-    pub(crate) fn has_started_again(&self) -> bool {
-        self.0.started_again.load(Ordering::Relaxed)
+    pub(crate) fn is_mass_start(&self) -> bool {
+        self.0.mass_start.load(Ordering::Relaxed)
     }
 
     /// Takes which instances have started with this one, or after it.
-    fn compare_starts(&self, members: &BTreeMap<String, Arc<Member>>) {
-        let Some(own) = started_at(&self.0.me.id) else {
+    fn update_mass_start(&self, members: &BTreeMap<String, Arc<Member>>) {
+        let Some(own) = started_at(&self.0.own.id) else {
             return;
         };
         let earlier =
-            |m: &&Arc<Member>| started_at(&m.id).is_some_and(|at| at + TOGETHER_SECS < own);
+            |m: &&Arc<Member>| started_at(&m.id).is_some_and(|at| at + SAME_START_SECS < own);
         let earlier = members.values().filter(earlier).count();
-        let most = earlier * MOST_PART <= members.len();
-        self.0.started_again.store(most, Ordering::Relaxed);
+        let most = earlier * MASS_START_DIVISOR <= members.len();
+        self.0.mass_start.store(most, Ordering::Relaxed);
     }
 
     /// Takes which instances of the own zone may read the store for it, and which of all may send to cold upstreams.
-    fn place(&self, members: &BTreeMap<String, Arc<Member>>, roster: &Roster) {
-        let near = zone_prefix(&self.0.me.zone);
-        let zone = members.iter().filter(|(_, m)| m.zone == self.0.me.zone);
+    fn publish_instances(&self, members: &BTreeMap<String, Arc<Member>>, roster: &Roster) {
+        let near = zone_prefix(&self.0.own.zone);
+        let zone = members.iter().filter(|(_, m)| m.zone == self.0.own.zone);
         let zone = zone.map(|(key, m)| Candidate {
             name: key.strip_prefix(&near).unwrap_or(key),
             link_mbps: m.link_mbps,
@@ -342,17 +349,17 @@
         let zone: Vec<Candidate<'_>> = zone.collect();
         let me = Candidate {
             name: &self.0.name,
-            link_mbps: self.0.me.link_mbps,
+            link_mbps: self.0.own.link_mbps,
         };
-        let neighbours = roster.neighbours().iter().map(|m| m.addr);
+        let neighbours = roster.zone_peers().iter().map(|m| m.addr);
         self.0.feed.relay.place(&me, &zone, neighbours.collect());
         let mut pool = self.0.pool.lock().expect("no panic inside");
         let now = self.0.clock.now();
-        pool.set_instances(now, xxh3_64(self.0.key.as_bytes()), &roster.hashes());
+        pool.set_instances(now, xxh3_64(self.0.key.as_bytes()), &roster.key_hashes());
     }
 
     /// Ends the lease, and with it the own key.
-    pub(crate) async fn leave(&self) {
+    pub(crate) async fn deregister(&self) {
         let lease = *self.0.lease.lock().expect("no panic inside");
         if lease == 0 {
             return;
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -249,7 +249,7 @@
         };
         let detail = format_args!(
             "id={} zone={} callers={addr} peers={peer_addr} ready={} metrics={}",
-            router.fleet.me(),
+            router.fleet.incarnation(),
             settings.zone,
             ready.addr(),
             ops.as_ref()
@@ -314,7 +314,7 @@
         }
         let said = timeout(LAST_WORDS / 2, router.bank.leave()).await == Ok(true);
         // What is not ended by then ends by itself.
-        let _ = timeout(LAST_WORDS / 4, router.fleet.leave()).await;
+        let _ = timeout(LAST_WORDS / 4, router.fleet.deregister()).await;
         self.calls.log(&router.log);
         let detail = format_args!("cut={} handed_back={said}", self.inflight());
         router.log.note(Event::Stopped, detail);
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -114,7 +114,7 @@
         if !self.router.suspects.may_repeat(self.digest) {
             return false;
         }
-        let (now, sharers) = (self.router.clock.now(), self.router.fleet.sharers());
+        let (now, sharers) = (self.router.clock.now(), self.router.fleet.instance_count());
         let mut retries = self.router.retries.lock().expect("no panic inside");
         retries.try_acquire(now, &self.service, sharers)
     }
--- a/crates/proxy/src/kept.rs
+++ b/crates/proxy/src/kept.rs
@@ -59,8 +59,8 @@
     async fn reads(&self) -> bool {
         let until = Instant::now() + LISTED_WITHIN;
         while Instant::now() < until {
-            let keepers = self.fleet.roster().keepers(READERS_OF);
-            if keepers.iter().any(|m| m.id == self.fleet.me()) {
+            let keepers = self.fleet.roster().owners(READERS_OF);
+            if keepers.iter().any(|m| m.id == self.fleet.incarnation()) {
                 return true;
             }
             sleep(LOOK_AGAIN).await;
@@ -96,8 +96,10 @@
 
     /// Returns whether this instance decides about a request.
     fn decides(&self, digest: Digest) -> bool {
-        let keepers = self.fleet.roster().keepers(digest.placement_key());
-        keepers.first().is_none_or(|m| m.id == self.fleet.me())
+        let keepers = self.fleet.roster().owners(digest.placement_key());
+        keepers
+            .first()
+            .is_none_or(|m| m.id == self.fleet.incarnation())
     }
 
     /// Writes what is known of a request until the store has it.
--- a/crates/proxy/src/notices.rs
+++ b/crates/proxy/src/notices.rs
@@ -110,9 +110,9 @@
 
 /// Sends a batch to some peers, chosen at random.
 fn send(others: &Others, config: &Config, batch: Vec<Notice>, peers: usize) {
-    let (listed, roster) = (others.fleet.others(), others.fleet.roster());
+    let (listed, roster) = (others.fleet.peers(), others.fleet.roster());
     let mut rng = rand::rng();
-    let near = roster.neighbours();
+    let near = roster.zone_peers();
     let near = near.choose_multiple(&mut rng, SAME_ZONE_FANOUT.min(peers - 1));
     let mut chosen: Vec<SocketAddr> = near.map(|m| m.addr).collect();
     for any in listed.choose_multiple(&mut rng, peers) {
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -60,13 +60,13 @@
         });
         let suspects: Vec<_> = suspects.collect();
         let value = json!({
-            "id": router.fleet.me(),
+            "id": router.fleet.incarnation(),
             "at_ms": now,
             "ready": router.is_ready(),
             "stopping": router.is_stopping(),
             "version": router.config.version(),
             "store_out": router.reach.is_out(),
-            "instances": router.fleet.live(),
+            "instances": router.fleet.live_incarnations(),
             "inflight": *router.busy.borrow(),
             "connections": router.dialer.count(),
             "log_lines_cut": router.log.cut(),
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -348,7 +348,7 @@
         tokio::spawn(async move {
             loop {
                 sleep(NEWS_EVERY).await;
-                let others = fleet.others();
+                let others = fleet.peers();
                 if !reach.is_out() || others.is_empty() {
                     continue;
                 }
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -199,8 +199,8 @@
 
     /// Asks the instances that keep a request whether it may be tried: the first of them that answers decides.
     async fn ask_trial(&self, others: &Others, digest: Digest) -> bool {
-        let keepers = others.fleet.roster().keepers(digest.placement_key());
-        let me = others.fleet.me();
+        let keepers = others.fleet.roster().owners(digest.placement_key());
+        let me = others.fleet.incarnation();
         let silent = |m: &&Arc<Member>| m.id != me && others.peers.is_silent(m.addr);
         let mut keepers = keepers.iter().filter(|m| !silent(m));
         let Some(first) = keepers.next() else {
@@ -262,9 +262,9 @@
 
     /// Takes the words of another instance; returns what that one lacks.
     pub(crate) fn hear(&self, fleet: &Fleet, words: &[SuspectRecord]) -> Vec<SuspectRecord> {
-        let me = fleet.me();
+        let me = fleet.incarnation();
         let keeps = |word: &SuspectRecord| {
-            let keepers = fleet.roster().keepers(word.digest.placement_key());
+            let keepers = fleet.roster().owners(word.digest.placement_key());
             keepers.iter().any(|m| m.id == me)
         };
         let heard = words.iter().map(|word| (word, keeps(word)));
--- a/crates/proxy/src/tell.rs
+++ b/crates/proxy/src/tell.rs
@@ -54,11 +54,13 @@
                 }
                 let (to_all, to_keepers): (Vec<_>, Vec<_>) = due.into_iter().partition(|d| d.1);
                 let to_all: Vec<SuspectRecord> = to_all.into_iter().map(|d| d.0).collect();
-                let all = others.fleet.others().into_iter().map(|m| m.addr);
+                let all = others.fleet.peers().into_iter().map(|m| m.addr);
                 send(&others.sender, &to_all, &all.collect::<Vec<_>>());
                 for (word, _) in to_keepers {
-                    let keepers = others.fleet.roster().keepers(word.digest.placement_key());
-                    let keepers = keepers.iter().filter(|m| m.id != others.fleet.me());
+                    let keepers = others.fleet.roster().owners(word.digest.placement_key());
+                    let keepers = keepers
+                        .iter()
+                        .filter(|m| m.id != others.fleet.incarnation());
                     let keepers: Vec<SocketAddr> = keepers.map(|m| m.addr).collect();
                     send(&others.sender, &[word], &keepers);
                 }
@@ -73,7 +75,7 @@
         loop {
             sleep(PAGE_EVERY).await;
             let page = self.page(PAGE_MOST);
-            let listed = others.fleet.others();
+            let listed = others.fleet.peers();
             if page.is_empty() || listed.is_empty() {
                 continue;
             }
@@ -121,7 +123,7 @@
     /// Returns the next peer to query; none after enough answers or the timeout.
     pub(crate) async fn next(&mut self, fleet: &Fleet) -> Option<SocketAddr> {
         while self.answers < ASKED && Instant::now() < self.until {
-            let listed = fleet.others();
+            let listed = fleet.peers();
             let next = listed.iter().find(|m| !self.asked.contains(&m.addr));
             if let Some(next) = next {
                 self.asked.push(next.addr);
--- a/crates/proxy/src/traffic.rs
+++ b/crates/proxy/src/traffic.rs
@@ -56,7 +56,7 @@
                 let mut detail = format!(
                     "memory_kb={} instances={} connections={}",
                     resident_kb(),
-                    fleet.sharers(),
+                    fleet.instance_count(),
                     dialer.count(),
                 );
                 traffic.describe(&mut detail);
