--- a/crates/proxy/src/bank/mod.rs
+++ b/crates/proxy/src/bank/mod.rs
@@ -36,8 +36,8 @@
 use crate::fleet::Fleet;
 use crate::log::Log;
 use crate::peers::{Peers, Want};
-use crate::reach::Reach;
 use crate::roster::{HomeScope, Homes};
+use crate::store_health::StoreHealth;
 
 pub(crate) use charge::Charge;
 use charge::Lack;
@@ -57,7 +57,7 @@
 /// What the task of the holdings works with.
 pub(crate) struct Means {
     pub(crate) store: Arc<dyn Store>,
-    pub(crate) reach: Arc<Reach>,
+    pub(crate) reach: Arc<StoreHealth>,
     pub(crate) fleet: Fleet,
     pub(crate) peers: Peers,
     /// For datagrams to other instances.
@@ -304,7 +304,7 @@
 
     /// Returns whether the store is out of reach from here.
     pub(crate) fn is_cut_off(&self) -> bool {
-        self.means().reach.is_out()
+        self.means().reach.is_unavailable()
     }
 
     pub(crate) fn me(&self) -> String {
--- a/crates/proxy/src/calls.rs
+++ b/crates/proxy/src/calls.rs
@@ -15,7 +15,7 @@
 
 use crate::event::Event;
 use crate::log::Log;
-use crate::reach::Reach;
+use crate::store_health::StoreHealth;
 
 /// How often the totals are logged: one line against the hundreds that requests write meanwhile.
 const LOG_EVERY: Duration = Duration::from_secs(5);
@@ -50,14 +50,14 @@
 
 struct Inner {
     clock: Clock,
-    reach: Arc<Reach>,
+    reach: Arc<StoreHealth>,
     metric: Family<Call, Counter>,
     /// The metric's counters: it lists none itself.
     counts: Mutex<BTreeMap<Call, Counter>>,
 }
 
 impl Calls {
-    pub(crate) fn open(clock: Clock, reach: Arc<Reach>) -> Calls {
+    pub(crate) fn open(clock: Clock, reach: Arc<StoreHealth>) -> Calls {
         Calls(Arc::new(Inner {
             clock,
             reach,
@@ -119,11 +119,11 @@
         let reach = &self.calls.0.reach;
         match answer {
             Ok(answer) => {
-                reach.answered();
+                reach.record_response();
                 self.call.end = end(answer);
             }
             Err(failure) => {
-                reach.failed(self.began, failure);
+                reach.record_failure(self.began, failure);
                 self.call.end = match failure {
                     Failure::Refused(_) => "refused",
                     Failure::Unknown(_) => "unknown",
@@ -157,7 +157,7 @@
     where
         T: 'a,
     {
-        let out = self.calls.0.reach.is_out();
+        let out = self.calls.0.reach.is_unavailable();
         let mut pending = Pending {
             began: self.calls.0.clock.now(),
             calls: self.calls.clone(),
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -266,7 +266,7 @@
         // A call that hangs must not hold up the next one: it ends long after the store is back.
         let mut asked = JoinSet::new();
         loop {
-            let turn = reach.ask_turn(LEASE_RENEWAL_INTERVAL, relay.others_ask());
+            let turn = reach.wait_until_probe_due(LEASE_RENEWAL_INTERVAL, relay.others_ask());
             tokio::pin!(turn);
             loop {
                 tokio::select! {
--- a/crates/proxy/src/follow.rs
+++ b/crates/proxy/src/follow.rs
@@ -9,8 +9,8 @@
 
 use crate::passed::{Ask, Passed, Topic};
 use crate::peers::Peers;
-use crate::reach::Reach;
 use crate::relay::{Relay, Source};
+use crate::store_health::StoreHealth;
 
 /// Longest wait of one watch, in milliseconds: a watch that hangs costs so much time, and each one
 /// is a call that is paid for.
@@ -92,7 +92,7 @@
 /// What a follower works with besides the store.
 #[derive(Clone)]
 pub(crate) struct Feed {
-    pub(crate) reach: Arc<Reach>,
+    pub(crate) reach: Arc<StoreHealth>,
     pub(crate) relay: Relay,
     pub(crate) peers: Peers,
 }
@@ -350,7 +350,7 @@
 
     async fn lost(&mut self) -> Update {
         sleep(AGAIN_AFTER).await;
-        self.feed.reach.wait_back().await;
+        self.feed.reach.wait_until_available().await;
         Update::Lost
     }
 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -32,9 +32,9 @@
 use crate::notices::{Effects, Notices};
 use crate::ops::{Ops, Ready};
 use crate::peers::{self, Desk, Peers};
-use crate::reach::Reach;
 use crate::relay::Relay;
 use crate::router::Router;
+use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 use crate::tell::Others;
 use crate::traffic::Traffic;
@@ -99,7 +99,7 @@
         let bound = listen::bind(settings.listen()).await;
         let (listener, addr) = bound.map_err(|e| anyhow!("callers' listener: {e}"))?;
 
-        let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
+        let reach = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
         let calls = Calls::open(clock, Arc::clone(&reach));
         let relay = Relay::open(clock, Arc::clone(&reach));
         let peers = Peers::default();
--- a/crates/proxy/src/kept.rs
+++ b/crates/proxy/src/kept.rs
@@ -14,7 +14,7 @@
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::log::Log;
-use crate::reach::Reach;
+use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 
 /// Keys of requests.
@@ -33,7 +33,7 @@
     pub(crate) suspects: Suspects,
     pub(crate) fleet: Fleet,
     pub(crate) store: Arc<dyn Store>,
-    pub(crate) reach: Arc<Reach>,
+    pub(crate) reach: Arc<StoreHealth>,
     pub(crate) log: Arc<Log>,
     /// Revisions of the keys that were read or written here.
     pub(crate) revisions: HashMap<Digest, i64>,
@@ -91,7 +91,7 @@
 
     async fn wait(&self) {
         sleep(AGAIN_AFTER).await;
-        self.reach.wait_back().await;
+        self.reach.wait_until_available().await;
     }
 
     /// Returns whether this instance decides about a request.
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -18,7 +18,7 @@
 use crate::log::Log;
 use crate::notices::Notices;
 use crate::passed::Topic;
-use crate::reach::Reach;
+use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 
 /// New upstreams of one change that are logged one by one.
@@ -34,7 +34,7 @@
     dialer: Dialer,
     suspects: Suspects,
     notices: Notices,
-    reach: Arc<Reach>,
+    reach: Arc<StoreHealth>,
     log: Arc<Log>,
     clock: Clock,
     seen: Mutex<Seen>,
@@ -72,7 +72,7 @@
         dialer: Dialer,
         suspects: Suspects,
         notices: Notices,
-        reach: Arc<Reach>,
+        reach: Arc<StoreHealth>,
         log: Arc<Log>,
         clock: Clock,
     ) -> Listing {
@@ -258,7 +258,7 @@
 
     /// Takes that an entry is missing at a revision.
     fn missing(&self, key: &str, revision: i64) {
-        let (now, back_at) = (self.0.clock.now(), self.0.reach.back_at());
+        let (now, back_at) = (self.0.clock.now(), self.0.reach.recovered_at());
         let gone = {
             let mut seen = self.seen();
             let listed = seen.entries.contains_key(key);
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -65,7 +65,7 @@
             "ready": router.is_ready(),
             "stopping": router.is_stopping(),
             "version": router.config.version(),
-            "store_out": router.reach.is_out(),
+            "store_out": router.reach.is_unavailable(),
             "instances": router.fleet.live_incarnations(),
             "inflight": *router.busy.borrow(),
             "connections": router.dialer.count(),
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -24,8 +24,8 @@
 use crate::log::Log;
 use crate::notices::Effects;
 use crate::passed::{Ask, Passed, Topic};
-use crate::reach::Reach;
 use crate::relay::Relay;
+use crate::store_health::StoreHealth;
 use crate::suspects::{AskTrial, Suspects, Trial};
 use crate::traffic::Traffic;
 
@@ -343,13 +343,19 @@
     }
 
     /// Asks other instances for news whenever the store is out of reach.
-    pub(crate) fn spawn_news(&self, fleet: Fleet, desk: Desk, reach: Arc<Reach>, log: Arc<Log>) {
+    pub(crate) fn spawn_news(
+        &self,
+        fleet: Fleet,
+        desk: Desk,
+        reach: Arc<StoreHealth>,
+        log: Arc<Log>,
+    ) {
         let peers = self.clone();
         tokio::spawn(async move {
             loop {
                 sleep(NEWS_EVERY).await;
                 let others = fleet.peers();
-                if !reach.is_out() || others.is_empty() {
+                if !reach.is_unavailable() || others.is_empty() {
                     continue;
                 }
                 // One that is known to have what is lacking here is asked first, else any: the whole zone may be cut off.
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -16,7 +16,7 @@
 
 use crate::follow::Update;
 use crate::passed::{change, changed, written, Ask, Passed, Topic, TOPICS};
-use crate::reach::Reach;
+use crate::store_health::StoreHealth;
 
 /// How often a reader says how far it has read, and the others look whether they still hear one.
 const BEAT: Duration = Duration::from_millis(BEAT_MS);
@@ -38,7 +38,7 @@
 
 struct Inner {
     clock: Clock,
-    reach: Arc<Reach>,
+    reach: Arc<StoreHealth>,
     readers: Mutex<Readers>,
     /// The other instances of the own zone.
     neighbours: Mutex<Vec<SocketAddr>>,
@@ -56,7 +56,7 @@
 }
 
 impl Relay {
-    pub(crate) fn open(clock: Clock, reach: Arc<Reach>) -> Relay {
+    pub(crate) fn open(clock: Clock, reach: Arc<StoreHealth>) -> Relay {
         Relay(Arc::new(Inner {
             clock,
             reach,
@@ -93,7 +93,7 @@
 
     /// Returns the revision up to which a topic is known; 0 while the store is out of reach, since it may be old.
     pub(crate) fn current_revision(&self, topic: Topic) -> i64 {
-        if self.0.reach.is_out() {
+        if self.0.reach.is_unavailable() {
             0
         } else {
             self.revision(topic)
@@ -336,7 +336,7 @@
     pub(crate) fn hear(&self, from: SocketAddr, head: Head) {
         let now = self.0.clock.now();
         if let Some(ago) = head.back_ms {
-            self.0.reach.told_back(now.saturating_sub(ago));
+            self.0.reach.report_recovery(now.saturating_sub(ago));
         }
         let out = head.out;
         let mut readers = self.0.readers.lock().expect("no panic inside");
@@ -345,10 +345,10 @@
         drop(readers);
         self.0.heard.notify_waiters();
         if all_out {
-            self.0.reach.told_out();
-        } else if !out && self.0.reach.is_out() {
+            self.0.reach.report_unavailable();
+        } else if !out && self.0.reach.is_unavailable() {
             // It is back, by a word that may be wrong here: it is worth a look.
-            self.0.reach.doubt();
+            self.0.reach.request_probe();
         }
     }
 
@@ -357,7 +357,7 @@
         // Either way it is said how far this instance has read.
         let _ = timeout(BEAT, self.0.learnt.notified()).await;
         let now = self.0.clock.now();
-        let out = self.0.reach.is_out();
+        let out = self.0.reach.is_unavailable();
         let readers = self.0.readers.lock().expect("no panic inside");
         if !readers.speaks(now, out) {
             return None;
@@ -365,7 +365,7 @@
         let rank = readers.rank();
         drop(readers);
         let boards = self.0.boards.lock().expect("no panic inside");
-        let back_at = self.0.reach.back_at();
+        let back_at = self.0.reach.recovered_at();
         Some(Head {
             rank,
             revisions: boards.iter().map(Replica::revision).collect(),
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -16,7 +16,7 @@
 use crate::listing::Listing;
 use crate::log::Log;
 use crate::metric::Metrics;
-use crate::reach::Reach;
+use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 use crate::tell::Others;
 
@@ -37,7 +37,7 @@
     pub(crate) fleet: Fleet,
     pub(crate) others: Others,
     pub(crate) suspects: Suspects,
-    pub(crate) reach: Arc<Reach>,
+    pub(crate) reach: Arc<StoreHealth>,
     pub(crate) zone: String,
     pub(crate) stopping: AtomicBool,
     /// A planned stop is so near that a new request could not end before it.
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -8,7 +8,7 @@
 use super::{Call, Calls};
 use crate::log::Log;
 use crate::metric::Metrics;
-use crate::reach::Reach;
+use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 
 fn call() -> Call {
@@ -29,7 +29,7 @@
 fn metrics_keep_their_names_and_labels() {
     let clock = Clock::start();
     let log = Arc::new(Log::open(clock));
-    let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
+    let reach = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
     let calls = Calls::open(clock, reach);
     let suspects = Suspects::open("r1", clock, log, Dialer::default());
     let metrics = Metrics::open(&calls, &suspects);
