--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -373,7 +373,7 @@
         pool.incarnation(slot.choice.key)
     };
     if reading.leaving {
-        job.router.listing.leaving(&incarnation, "answer");
+        job.router.listing.mark_leaving(&incarnation, "answer");
     }
     update_limit(job, slot, reading, status, &incarnation);
     let Some(rest) = reading.rest else {
--- a/crates/proxy/src/bank/draw.rs
+++ b/crates/proxy/src/bank/draw.rs
@@ -108,7 +108,7 @@
         traffic.count("draws", fleet.roster().is_same_zone(home.addr), bytes);
         let (bank, addr) = (self.clone(), home.addr);
         let call = async move {
-            let drawn = bank.means().peers.draw(addr, &draw).await?;
+            let drawn = bank.means().peers.draw_tokens(addr, &draw).await?;
             if let Drawn::Tokens(given) = &drawn {
                 bank.with(&draw.customer, |h| {
                     h.receive_tokens(&draw.spent.from, given);
@@ -133,7 +133,7 @@
         match timeout(CALL_TIMEOUT, tokio::spawn(call)).await {
             Ok(ended) => ended.expect("a call does not panic"),
             Err(_) => {
-                self.means().peers.rest(peer.addr);
+                self.means().peers.back_off(peer.addr);
                 Err("no answer in time".to_string())
             }
         }
--- a/crates/proxy/src/bank/handover.rs
+++ b/crates/proxy/src/bank/handover.rs
@@ -13,7 +13,7 @@
 use super::{Bank, TRIES};
 use crate::event::Event;
 use crate::fleet::Member;
-use crate::peers::{Gift, Want};
+use crate::peers::{TokenHandover, TokenRequest};
 use crate::roster::HomeScope;
 
 /// A stopping instance tries the store for so long before it gives its tokens to others.
@@ -30,7 +30,7 @@
             };
             let (bank, from) = (self.clone(), peer.clone());
             let call = async move {
-                let given = bank.means().peers.take(from.addr, &want).await?;
+                let given = bank.means().peers.request_tokens(from.addr, &want).await?;
                 bank.receive(&want.customer, &given);
                 Ok(())
             };
@@ -53,11 +53,11 @@
         others
     }
 
-    fn want(&self, customer: &str) -> Option<Want> {
+    fn want(&self, customer: &str) -> Option<TokenRequest> {
         let accounts = self.0.accounts.lock().expect("no panic inside");
         let holding = &accounts.get(customer)?.holding;
         let tokens = holding.shortfall();
-        (tokens > 0).then(|| Want {
+        (tokens > 0).then(|| TokenRequest {
             from: self.me(),
             customer: customer.to_string(),
             tokens,
@@ -85,7 +85,7 @@
     }
 
     /// Takes tokens from an instance that leaves; returns whether this one serves their customer.
-    pub(crate) fn accept(&self, gift: &Gift) -> bool {
+    pub(crate) fn accept(&self, gift: &TokenHandover) -> bool {
         let me = self.me();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let Some(account) = accounts.get_mut(&gift.customer) else {
@@ -143,7 +143,7 @@
                 return false;
             };
             let gift = self.gift(peer, customer);
-            let given = means.peers.give(peer.addr, &gift).await;
+            let given = means.peers.hand_over_tokens(peer.addr, &gift).await;
             all &= given == Ok(true);
             let detail = format_args!("to={} gift={gift:?} given={given:?}", peer.id);
             self.0.log.note(Event::Transfer, detail);
@@ -179,8 +179,8 @@
     }
 
     /// Debits all that is left of a customer's tokens, for another instance, and passes on what was spent.
-    fn gift(&self, peer: &Member, customer: &str) -> Gift {
-        self.open_holding(customer, |h| Gift {
+    fn gift(&self, peer: &Member, customer: &str) -> TokenHandover {
+        self.open_holding(customer, |h| TokenHandover {
             customer: customer.to_string(),
             given: self.tell(&peer.id, h.transfer_all(&peer.id)),
             spent: self.tell(&peer.id, h.forward_spending(&peer.id)),
--- a/crates/proxy/src/bank/mod.rs
+++ b/crates/proxy/src/bank/mod.rs
@@ -35,7 +35,7 @@
 use crate::datagram::Sender;
 use crate::fleet::Fleet;
 use crate::log::Log;
-use crate::peers::{Peers, Want};
+use crate::peers::{Peers, TokenRequest};
 use crate::roster::{HomeScope, Homes};
 use crate::store_health::StoreHealth;
 
@@ -320,7 +320,7 @@
     }
 
     /// Debits tokens for another instance.
-    pub(crate) fn give(&self, want: &Want) -> CumulativeTotal {
+    pub(crate) fn give(&self, want: &TokenRequest) -> CumulativeTotal {
         let now = self.0.clock.now();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.get_mut(&want.customer);
--- a/crates/proxy/src/bank/settled.rs
+++ b/crates/proxy/src/bank/settled.rs
@@ -75,7 +75,7 @@
                 .preceding_homes(&customer, self.area(&customer));
             // What is passed on to one that is gone is out of reach, and never on record: the own line tells of it.
             let peers = &self.means().peers;
-            let home = homes.first().filter(|h| !peers.is_silent(h.addr));
+            let home = homes.first().filter(|h| !peers.is_unresponsive(h.addr));
             if let Some(home) = home {
                 let rows = told.entry(home.addr).or_default();
                 rows.extend(self.settled_row(home, customer));
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -20,11 +20,11 @@
 use crate::replication::Topic;
 
 /// Revoked keys that are remembered until the version that revokes them is in force, bounding memory.
-const REVOKED_MOST: usize = 1_024;
+const MAX_REVOKED_KEYS: usize = 1_024;
 
 /// A configuration in force.
 #[derive(Debug)]
-pub(crate) struct Active {
+pub(crate) struct ActiveConfig {
     /// As it is read.
     pub(crate) routing: Routing,
     /// As it stands in the store: other instances may ask for it.
@@ -36,62 +36,62 @@
 pub(crate) struct Config(Arc<Inner>);
 
 struct Inner {
-    works: Works,
-    active: RwLock<Option<Arc<Active>>>,
+    deps: ConfigDeps,
+    active: RwLock<Option<Arc<ActiveConfig>>>,
     /// Keys that a version which is not in force here yet no longer holds, by their hashes.
-    revoked: RwLock<HashMap<u64, u64>>,
+    revoked_keys: RwLock<HashMap<u64, u64>>,
 }
 
 /// How far the rate that a cold upstream bears may be exceeded by the fleet.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct ColdBounds {
+pub(crate) struct ColdStartTolerance {
     /// A factor.
-    pub(crate) over: f64,
+    pub(crate) factor: f64,
     /// Requests besides.
     pub(crate) slack: f64,
 }
 
 /// What a configuration is put in force with.
-pub(crate) struct Works {
+pub(crate) struct ConfigDeps {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) bank: Bank,
     pub(crate) log: Arc<Log>,
     pub(crate) notices: Notices,
     pub(crate) relay: Relay,
     pub(crate) pool: Arc<Mutex<Pool>>,
-    pub(crate) bounds: ColdBounds,
+    pub(crate) cold_start_tolerance: ColdStartTolerance,
 }
 
 impl Config {
-    pub(crate) fn open(works: Works) -> Config {
+    pub(crate) fn open(works: ConfigDeps) -> Config {
         Config(Arc::new(Inner {
-            works,
+            deps: works,
             active: RwLock::new(None),
-            revoked: RwLock::default(),
+            revoked_keys: RwLock::default(),
         }))
     }
 
     /// Returns the configuration in force.
-    pub(crate) fn get(&self) -> Option<Arc<Active>> {
+    pub(crate) fn active(&self) -> Option<Arc<ActiveConfig>> {
         self.0.active.read().expect("no panic inside").clone()
     }
 
     /// Returns the version in force; 0 for none.
     pub(crate) fn version(&self) -> u64 {
-        self.get().map_or(0, |a| a.routing.version)
+        self.active().map_or(0, |a| a.routing.version)
     }
 
     /// Takes a configuration from any source, and puts it in force if it is newer.
-    pub(crate) fn offer(&self, raw: &[u8], source: &str) {
-        let same = self.get().is_some_and(|a| a.raw == raw);
+    pub(crate) fn apply_if_newer(&self, raw: &[u8], source: &str) {
+        let same = self.active().is_some_and(|a| a.raw == raw);
         if same {
             return;
         }
-        let routing = match self.0.works.dialect.routing(raw) {
+        let routing = match self.0.deps.dialect.routing(raw) {
             Ok(routing) => routing,
             Err(why) => {
                 let detail = format_args!("source={source} why={why}");
-                self.0.works.log.note(Event::ConfigBroken, detail);
+                self.0.deps.log.note(Event::ConfigBroken, detail);
                 return;
             }
         };
@@ -106,72 +106,75 @@
             routing.routes().len(),
             routing.accounts.len(),
         );
-        self.0.works.bank.set_prepaid(&routing);
-        self.set_cold(&routing);
-        let next = Arc::new(Active {
+        self.0.deps.bank.set_prepaid(&routing);
+        self.set_cold_starts(&routing);
+        let next = Arc::new(ActiveConfig {
             routing,
             raw: Bytes::copy_from_slice(raw),
         });
         let previous = active.replace(Arc::clone(&next));
         drop(active);
-        self.0.works.log.note(Event::ConfigInForce, detail);
-        self.spread(previous.as_deref(), &next);
+        self.0.deps.log.note(Event::ConfigInForce, detail);
+        self.publish_change(previous.as_deref(), &next);
     }
 
     /// Tells peers what is urgent of a version that is in force now.
-    fn spread(&self, previous: Option<&Active>, next: &Active) {
+    fn publish_change(&self, previous: Option<&ActiveConfig>, next: &ActiveConfig) {
         let version = next.routing.version;
-        self.0.works.relay.set_config_version(version);
-        self.forget_revoked(version);
-        let keys = |a: &Active| -> BTreeSet<u64> {
+        self.0.deps.relay.set_config_version(version);
+        self.forget_revoked_keys(version);
+        let keys = |a: &ActiveConfig| -> BTreeSet<u64> {
             let keys = a.routing.accounts.iter().flat_map(|c| &c.keys);
             keys.map(|k| key_hash(k)).collect()
         };
         if let Some(previous) = previous {
             for key in keys(previous).difference(&keys(next)) {
                 let key = *key;
-                self.0.works.notices.learn(Notice::Revoked { key, version });
+                self.0
+                    .deps
+                    .notices
+                    .publish(Notice::Revoked { key, version });
             }
         }
-        self.0.works.notices.learn(Notice::Version { version });
+        self.0.deps.notices.publish(Notice::Version { version });
     }
 
-    fn set_cold(&self, routing: &Routing) {
-        let bounds = self.0.works.bounds;
+    fn set_cold_starts(&self, routing: &Routing) {
+        let bounds = self.0.deps.cold_start_tolerance;
         let cold = |s: &conf::Service| ColdStart {
             duration_ms: s.cold_ms,
             max_per_sec: (s.cold_per_sec > 0.0)
-                .then_some(s.cold_per_sec * bounds.over + bounds.slack),
+                .then_some(s.cold_per_sec * bounds.factor + bounds.slack),
         };
         let services = routing.services.iter();
         let cold = services.map(|(name, s)| (name.clone(), cold(s)));
-        let mut pool = self.0.works.pool.lock().expect("no panic inside");
+        let mut pool = self.0.deps.pool.lock().expect("no panic inside");
         pool.set_cold_starts(cold.collect());
     }
 
     /// Takes a peer's report that a version revokes a key: it is refused from now on, though that version itself may
     /// come later.
-    pub(crate) fn revoke(&self, key: u64, version: u64) {
+    pub(crate) fn revoke_key(&self, key: u64, version: u64) {
         if version <= self.version() {
             return;
         }
-        let mut revoked = self.0.revoked.write().expect("no panic inside");
-        if revoked.len() < REVOKED_MOST {
+        let mut revoked = self.0.revoked_keys.write().expect("no panic inside");
+        if revoked.len() < MAX_REVOKED_KEYS {
             revoked.insert(key, version);
         }
         drop(revoked);
         let detail = format_args!("what=revoked version={version}");
-        self.0.works.log.note(Event::NewsFromPeer, detail);
+        self.0.deps.log.note(Event::NewsFromPeer, detail);
     }
 
-    fn forget_revoked(&self, version: u64) {
-        let mut revoked = self.0.revoked.write().expect("no panic inside");
+    fn forget_revoked_keys(&self, version: u64) {
+        let mut revoked = self.0.revoked_keys.write().expect("no panic inside");
         revoked.retain(|_, by| *by > version);
     }
 
     /// Returns the version, newer than the one in force, that no longer holds a key; none where nothing says so.
-    pub(crate) fn revoked_by(&self, key: &str) -> Option<u64> {
-        let revoked = self.0.revoked.read().expect("no panic inside");
+    pub(crate) fn revoking_version(&self, key: &str) -> Option<u64> {
+        let revoked = self.0.revoked_keys.read().expect("no panic inside");
         if revoked.is_empty() {
             return None;
         }
@@ -187,7 +190,7 @@
     ) {
         let config = self.clone();
         tokio::spawn(async move {
-            let dialect = &config.0.works.dialect;
+            let dialect = &config.0.deps.dialect;
             let key = dialect.config_key().to_string();
             let prefix = dialect.operator_prefix().to_string();
             let mut follow =
@@ -195,24 +198,24 @@
             loop {
                 let found = match follow.next().await {
                     Update::Snapshot(items, revision) => {
-                        evacuations.listed(&items, revision);
+                        evacuations.apply_snapshot(&items, revision);
                         items.into_iter().find(|f| f.key == key)
                     }
                     Update::Changes(changes, _) => {
-                        evacuations.changed(&changes);
-                        newest(changes, &key)
+                        evacuations.apply_changes(&changes);
+                        last_value(changes, &key)
                     }
                     Update::Partial(_) | Update::Unavailable => None,
                 };
                 if let Some(found) = found {
-                    config.offer(&found.value, "store");
+                    config.apply_if_newer(&found.value, "store");
                 }
             }
         });
     }
 }
 
-fn newest(changes: Vec<Change>, key: &str) -> Option<kv::Found> {
+fn last_value(changes: Vec<Change>, key: &str) -> Option<kv::Found> {
     let of_key = changes.into_iter().filter(|c| c.key == key);
     of_key.filter_map(|c| c.now).next_back()
 }
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -19,20 +19,20 @@
 
 use crate::bank::Settled;
 use crate::fleet::Fleet;
-use crate::peers::Desk;
+use crate::peers::PeerService;
 use crate::relay::Relay;
-use crate::tell::Others;
+use crate::tell::PeerNetwork;
 use crate::traffic::Traffic;
 
 /// Pause between two rounds of a small fleet: a long prompt is read in some hundred milliseconds.
-const ROUND: Duration = Duration::from_millis(80);
+const ROUND_INTERVAL: Duration = Duration::from_millis(80);
 /// A fleet of more instances than this has longer rounds, so that each sends as many datagrams a
 /// second.
 const SMALL_FLEET: usize = 9;
 /// Instances that get load reports: each of so many gets the next one before the one before has expired.
-const LOAD_PEERS_MOST: usize = 90;
+const MAX_LOAD_PEERS: usize = 90;
 /// Largest datagram that is read, in bytes.
-const DATAGRAM_MOST: usize = 16 << 10;
+const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
 /// What one instance sends to another.
 #[derive(Debug, Serialize, Deserialize)]
@@ -91,9 +91,11 @@
 /// What one instance has at the upstreams.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct LoadReport {
-    from: u64,
+    #[serde(rename = "from")]
+    sender: u64,
     /// Upstreams by the hash of their names, with milliseconds of reading and requests there.
-    held: Vec<(u64, u32, u32)>,
+    #[serde(rename = "held")]
+    loads: Vec<(u64, u32, u32)>,
 }
 
 /// Binds the socket.
@@ -106,16 +108,16 @@
 }
 
 /// Tells the others, and listens to them.
-pub(crate) fn spawn(others: &Others, pool: Arc<Mutex<Pool>>, desk: Desk, clock: Clock) {
+pub(crate) fn spawn(others: &PeerNetwork, pool: Arc<Mutex<Pool>>, desk: PeerService, clock: Clock) {
     let sender = &others.sender;
     let receiver = Receiver {
         pool: Arc::clone(&pool),
-        desk: desk.clone(),
+        service: desk.clone(),
         sender: sender.clone(),
         clock,
     };
     tokio::spawn(receiver.listen());
-    tokio::spawn(broadcast_heads(sender.clone(), desk.effects.relay));
+    tokio::spawn(broadcast_heads(sender.clone(), desk.notice_handler.relay));
     tokio::spawn(broadcast_loads(sender.clone(), pool, clock));
 }
 
@@ -136,9 +138,9 @@
     let mut silent = false;
     loop {
         let mut load_peers = sender.fleet.peers();
-        load_peers.truncate(LOAD_PEERS_MOST);
+        load_peers.truncate(MAX_LOAD_PEERS);
         let rounds = (load_peers.len() / SMALL_FLEET + 1) as u32;
-        sleep(ROUND * rounds).await;
+        sleep(ROUND_INTERVAL * rounds).await;
         let held = pool.lock().expect("no panic inside").own_loads(clock.now());
         // An instance that has nothing says so once.
         if held.is_empty() && silent {
@@ -147,8 +149,8 @@
         silent = held.is_empty();
         let row = |(hash, h): (u64, InstanceLoad)| (hash, h.pending_prefill_ms as u32, h.inflight);
         let report = LoadReport {
-            from,
-            held: held.into_iter().map(row).collect(),
+            sender: from,
+            loads: held.into_iter().map(row).collect(),
         };
         let to = load_peers.into_iter().map(|m| m.addr);
         sender.send(&Datagram::Loads(report), to);
@@ -158,7 +160,7 @@
 /// Receives datagrams of other instances, and passes them on to what they are for.
 struct Receiver {
     pool: Arc<Mutex<Pool>>,
-    desk: Desk,
+    service: PeerService,
     sender: Sender,
     clock: Clock,
 }
@@ -166,30 +168,35 @@
 impl Receiver {
     async fn listen(self) {
         let Sender { socket, fleet, .. } = &self.sender;
-        let mut buf = vec![0; DATAGRAM_MOST];
+        let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             // An error here is another instance's closed port, told by its host.
             let Ok((n, from)) = socket.recv_from(&mut buf).await else {
-                sleep(ROUND).await;
+                sleep(ROUND_INTERVAL).await;
                 continue;
             };
             match serde_json::from_slice(&buf[..n]) {
                 Ok(Datagram::Loads(report)) => {
                     receive_loads(&self.pool, &report, self.clock.now());
                 }
-                Ok(Datagram::Settled(told)) => self.desk.bank.take_settled(&told),
-                Ok(Datagram::Head(head)) => self.desk.effects.relay.receive_head(from, head),
+                Ok(Datagram::Settled(told)) => self.service.bank.take_settled(&told),
+                Ok(Datagram::Head(head)) => {
+                    self.service.notice_handler.relay.receive_head(from, head)
+                }
                 Ok(Datagram::Suspects(words)) => {
-                    let lacks = self.desk.suspects.hear(fleet, &words);
+                    let lacks = self.service.suspects.hear(fleet, &words);
                     if !lacks.is_empty() {
                         self.sender.send(&Datagram::Suspects(lacks), [from]);
                     }
                 }
                 Ok(Datagram::Notices { version, batch }) => {
                     let near = fleet.roster().is_same_zone(from);
-                    let lacks = self.desk.effects.receive(from, near, version, batch);
+                    let lacks = self
+                        .service
+                        .notice_handler
+                        .receive_batch(from, near, version, batch);
                     if !lacks.is_empty() {
-                        let version = self.desk.effects.config.version();
+                        let version = self.service.notice_handler.config.version();
                         let batch = lacks;
                         self.sender
                             .send(&Datagram::Notices { version, batch }, [from]);
@@ -210,7 +217,7 @@
         };
         (*hash, held)
     };
-    let held: HashMap<u64, InstanceLoad> = report.held.iter().map(row).collect();
+    let held: HashMap<u64, InstanceLoad> = report.loads.iter().map(row).collect();
     let mut pool = pool.lock().expect("no panic inside");
-    pool.set_peer_loads(now, report.from, &held);
+    pool.set_peer_loads(now, report.sender, &held);
 }
--- a/crates/proxy/src/evacuation.rs
+++ b/crates/proxy/src/evacuation.rs
@@ -43,14 +43,14 @@
     }
 
     /// Takes all that operators have written, as it was at a revision.
-    pub(crate) fn listed(&self, items: &[Found], revision: i64) {
+    pub(crate) fn apply_snapshot(&self, items: &[Found], revision: i64) {
         let zone = |f: &Found| {
             let zone = self.0.dialect.evacuated_zone(&f.key)?;
             Some((zone.to_string(), f.revision))
         };
         let there: BTreeMap<String, i64> = items.iter().filter_map(zone).collect();
         for (zone, revision) in &there {
-            self.learn(zone, *revision, true);
+            self.publish(zone, *revision, true);
         }
         for notice in self.0.notices.evacuations() {
             if let Notice::Evacuation {
@@ -59,34 +59,34 @@
             {
                 // A notice of a later revision outweighs this list.
                 if evacuated && !there.contains_key(&zone) {
-                    self.learn(&zone, revision, false);
+                    self.publish(&zone, revision, false);
                 }
             }
         }
     }
 
     /// Takes changes of what operators have written.
-    pub(crate) fn changed(&self, changes: &[Change]) {
+    pub(crate) fn apply_changes(&self, changes: &[Change]) {
         for change in changes {
             if let Some(zone) = self.0.dialect.evacuated_zone(&change.key) {
-                self.learn(zone, change.revision, change.now.is_some());
+                self.publish(zone, change.revision, change.now.is_some());
             }
         }
     }
 
-    fn learn(&self, zone: &str, revision: i64, evacuated: bool) {
+    fn publish(&self, zone: &str, revision: i64, evacuated: bool) {
         let notice = Notice::Evacuation {
             zone: zone.to_string(),
             revision,
             evacuated,
         };
-        if self.0.notices.learn(notice) {
-            self.apply(zone, evacuated, "store");
+        if self.0.notices.publish(notice) {
+            self.set_evacuated(zone, evacuated, "store");
         }
     }
 
     /// Has the upstreams of a zone get nothing more, or work again.
-    pub(crate) fn apply(&self, zone: &str, evacuated: bool, source: &str) {
+    pub(crate) fn set_evacuated(&self, zone: &str, evacuated: bool, source: &str) {
         let mut pool = self.0.pool.lock().expect("no panic inside");
         if pool.evacuated_zones().contains(zone) == evacuated {
             return;
--- a/crates/proxy/src/follower.rs
+++ b/crates/proxy/src/follower.rs
@@ -207,7 +207,7 @@
                 (ask, None)
             }
         };
-        let Ok(page) = self.context.peers.lacking(addr, &ask).await else {
+        let Ok(page) = self.context.peers.fetch_delta(addr, &ask).await else {
             relay.forget_peer(addr);
             return FetchOutcome::Failed;
         };
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -17,7 +17,7 @@
 
 use crate::bank::{Bank, Means};
 use crate::calls::Calls;
-use crate::config::{ColdBounds, Config, Works};
+use crate::config::{ColdStartTolerance, Config, ConfigDeps};
 use crate::datagram::{self, Sender};
 use crate::dialect::Dialect;
 use crate::evacuation::Evacuations;
@@ -26,18 +26,18 @@
 use crate::follower::FollowContext;
 use crate::kept::Kept;
 use crate::listen::{self, Phase};
-use crate::listing::Listing;
 use crate::log::Log;
 use crate::metric::Metrics;
-use crate::notices::{Effects, Notices};
+use crate::notices::{NoticeHandler, Notices};
 use crate::ops::{Ops, Ready};
-use crate::peers::{self, Desk, Peers};
+use crate::peers::{self, PeerService, Peers};
 use crate::relay::Relay;
 use crate::router::Router;
 use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
-use crate::tell::Others;
+use crate::tell::PeerNetwork;
 use crate::traffic::Traffic;
+use crate::upstream_list::UpstreamList;
 
 /// Largest body that the readiness and operators' listeners take, in bytes.
 const OPS_BODY_LIMIT: usize = 1 << 16;
@@ -112,14 +112,14 @@
         let pool = Arc::new(Mutex::new(pool(&fleet_settings)));
         let dialer = Dialer::default();
         let notices = Notices::default();
-        let config = Config::open(Works {
+        let config = Config::open(ConfigDeps {
             dialect: Arc::clone(&dialect),
             bank: bank.clone(),
             log: Arc::clone(&log),
             notices: notices.clone(),
             relay: relay.clone(),
             pool: Arc::clone(&pool),
-            bounds: cold_bounds(&fleet_settings),
+            cold_start_tolerance: cold_bounds(&fleet_settings),
         });
         let evacuations = Evacuations::open(
             Arc::clone(&dialect),
@@ -129,7 +129,7 @@
             clock,
         );
         let suspects = Suspects::open(&settings.name, clock, Arc::clone(&log), dialer.clone());
-        let listing = Listing::open(
+        let listing = UpstreamList::open(
             Arc::clone(&dialect),
             Arc::clone(&pool),
             dialer.clone(),
@@ -157,7 +157,7 @@
             clock,
         );
         let traffic = Traffic::default();
-        let others = Others {
+        let others = PeerNetwork {
             fleet: fleet.clone(),
             peers: peers.clone(),
             sender: Sender {
@@ -197,20 +197,20 @@
         listing.spawn(calls.store("upstreams", &store), feed);
         fleet.spawn();
         notices.spawn(&others, &config);
-        let desk = Desk {
+        let desk = PeerService {
             bank: bank.clone(),
             suspects: suspects.clone(),
-            effects: Effects {
+            notice_handler: NoticeHandler {
                 notices,
                 config,
-                listing,
+                upstreams: listing,
                 evacuations,
                 relay,
             },
             traffic: traffic.clone(),
         };
         suspects.spawn_tell(&others);
-        desk.effects.spawn_limit_query(&others);
+        desk.notice_handler.spawn_limit_query(&others);
         let kept = Kept {
             suspects,
             fleet: fleet.clone(),
@@ -222,7 +222,7 @@
         tokio::spawn(kept.run());
         datagram::spawn(&others, Arc::clone(&router.pool), desk.clone(), clock);
         let peer = peers::serve(server, desk.clone());
-        peers.spawn_news(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
+        peers.spawn_sync(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
         bank.spawn(Means {
             store: calls.store("budgets", &store),
             reach,
@@ -345,9 +345,9 @@
     }
 }
 
-fn cold_bounds(fleet: &conf::Fleet) -> ColdBounds {
-    ColdBounds {
-        over: fleet.cold_over.unwrap_or(1.0),
+fn cold_bounds(fleet: &conf::Fleet) -> ColdStartTolerance {
+    ColdStartTolerance {
+        factor: fleet.cold_over.unwrap_or(1.0),
         slack: fleet.cold_slack.unwrap_or_default(),
     }
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -24,7 +24,6 @@
 mod job;
 mod kept;
 mod listen;
-mod listing;
 mod log;
 mod metric;
 mod notices;
@@ -42,6 +41,7 @@
 mod suspects;
 mod tell;
 mod traffic;
+mod upstream_list;
 
 pub use ask::{Ask, Sending};
 pub use dialect::{AdvertisedLimit, Dialect, Reading, Rest, Word};
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -54,7 +54,7 @@
 async fn connection(stream: TcpStream, router: Arc<Router>, mut phase: watch::Receiver<Phase>) {
     // Without it small events wait for the caller's acknowledgement; it fails on closed ones only.
     let _ = stream.set_nodelay(true);
-    let limits = router.config.get().map(|a| a.routing.limits);
+    let limits = router.config.active().map(|a| a.routing.limits);
     let limits = limits.unwrap_or_default();
     let answer = service_fn(move |req| {
         let router = Arc::clone(&router);
--- a/crates/proxy/src/notices.rs
+++ b/crates/proxy/src/notices.rs
@@ -14,15 +14,15 @@
 use crate::config::Config;
 use crate::datagram::Datagram;
 use crate::evacuation::Evacuations;
-use crate::listing::Listing;
 use crate::relay::Relay;
-use crate::tell::{Others, StartupPeers};
+use crate::tell::{PeerNetwork, StartupPeers};
+use crate::upstream_list::UpstreamList;
 
 /// Pause between two rounds in which news are sent: what is learnt meanwhile goes with them.
-const ROUND: Duration = Duration::from_millis(60);
+const ROUND_INTERVAL: Duration = Duration::from_millis(60);
 /// How often one peer in turn is sent what all should know: one that was cut off knows it again within the time after which
 /// it counts as reachable.
-const PAGE_EVERY: Duration = Duration::from_secs(1);
+const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// A handle on the notices that this instance knows.
 #[derive(Clone, Default)]
@@ -41,7 +41,7 @@
     }
 
     /// Takes what this instance has learnt, and sends it to peers; returns whether it is new.
-    pub(crate) fn learn(&self, notice: Notice) -> bool {
+    pub(crate) fn publish(&self, notice: Notice) -> bool {
         let news = self.gossip().insert(notice);
         if news {
             self.0.changed.notify_one();
@@ -59,12 +59,12 @@
     }
 
     /// Sets how many upstreams are listed.
-    pub(crate) fn set_upstreams(&self, count: usize) {
+    pub(crate) fn set_upstream_count(&self, count: usize) {
         self.gossip().set_upstream_count(count);
     }
 
     /// Returns the notice about an upstream's removal from the list, as the revision of that.
-    pub(crate) fn gone_at(&self, upstream: &str) -> Option<i64> {
+    pub(crate) fn removed_at(&self, upstream: &str) -> Option<i64> {
         self.gossip().removed_at(upstream)
     }
 
@@ -76,12 +76,15 @@
     }
 
     /// Sends news to peers.
-    pub(crate) fn spawn(&self, others: &Others, config: &Config) {
-        tokio::spawn(self.clone().send_news(others.clone(), config.clone()));
-        tokio::spawn(self.clone().send_pages(others.clone(), config.clone()));
+    pub(crate) fn spawn(&self, others: &PeerNetwork, config: &Config) {
+        tokio::spawn(self.clone().send_updates(others.clone(), config.clone()));
+        tokio::spawn(
+            self.clone()
+                .send_anti_entropy(others.clone(), config.clone()),
+        );
     }
 
-    async fn send_news(self, others: Others, config: Config) {
+    async fn send_updates(self, others: PeerNetwork, config: Config) {
         loop {
             self.0.changed.notified().await;
             loop {
@@ -92,14 +95,14 @@
                 for batch in due {
                     send(&others, &config, batch, FANOUT);
                 }
-                sleep(ROUND).await;
+                sleep(ROUND_INTERVAL).await;
             }
         }
     }
 
-    async fn send_pages(self, others: Others, config: Config) {
+    async fn send_anti_entropy(self, others: PeerNetwork, config: Config) {
         loop {
-            sleep(PAGE_EVERY).await;
+            sleep(ANTI_ENTROPY_INTERVAL).await;
             let page = self.gossip().anti_entropy_batch();
             if !page.is_empty() {
                 send(&others, &config, page, 1);
@@ -109,7 +112,7 @@
 }
 
 /// Sends a batch to some peers, chosen at random.
-fn send(others: &Others, config: &Config, batch: Vec<Notice>, peers: usize) {
+fn send(others: &PeerNetwork, config: &Config, batch: Vec<Notice>, peers: usize) {
     let (listed, roster) = (others.fleet.peers(), others.fleet.roster());
     let mut rng = rand::rng();
     let near = roster.zone_peers();
@@ -134,31 +137,31 @@
 
 /// What news act on.
 #[derive(Clone)]
-pub(crate) struct Effects {
+pub(crate) struct NoticeHandler {
     pub(crate) notices: Notices,
     pub(crate) config: Config,
-    pub(crate) listing: Listing,
+    pub(crate) upstreams: UpstreamList,
     pub(crate) evacuations: Evacuations,
     pub(crate) relay: Relay,
 }
 
-impl Effects {
+impl NoticeHandler {
     /// Starts a task that asks peers for the request rate limits of upstreams, for an instance that has just started.
-    pub(crate) fn spawn_limit_query(&self, others: &Others) {
+    pub(crate) fn spawn_limit_query(&self, others: &PeerNetwork) {
         let (effects, others) = (self.clone(), others.clone());
         tokio::spawn(async move {
             let mut startup_peers = StartupPeers::new();
             while let Some(addr) = startup_peers.next(&others.fleet).await {
-                if let Ok(limits) = others.peers.limits(addr).await {
+                if let Ok(limits) = others.peers.fetch_limits(addr).await {
                     startup_peers.record_answer();
-                    effects.take(limits);
+                    effects.apply(limits);
                 }
             }
         });
     }
 
     /// Takes a batch from a peer that runs a version of the configuration; returns what that peer lacks.
-    pub(crate) fn receive(
+    pub(crate) fn receive_batch(
         &self,
         from: SocketAddr,
         near: bool,
@@ -166,23 +169,23 @@
         batch: Vec<Notice>,
     ) -> Vec<Notice> {
         self.relay.record_config_holder(from, version, near);
-        self.take(batch)
+        self.apply(batch)
     }
 
     /// Takes notices that a peer knows, and acts on those that are new; returns what that peer lacks.
-    pub(crate) fn take(&self, batch: Vec<Notice>) -> Vec<Notice> {
+    pub(crate) fn apply(&self, batch: Vec<Notice>) -> Vec<Notice> {
         let received = self.notices.receive(batch);
         for notice in received.accepted {
-            self.act(notice);
+            self.handle(notice);
         }
         received.sender_lacks
     }
 
-    fn act(&self, notice: Notice) {
+    fn handle(&self, notice: Notice) {
         match notice {
             Notice::Version { version } => self.relay.record_config_version(version),
-            Notice::Revoked { key, version } => self.config.revoke(key, version),
-            Notice::Leaving { upstream } => self.listing.leaving(&upstream, "peer"),
+            Notice::Revoked { key, version } => self.config.revoke_key(key, version),
+            Notice::Leaving { upstream } => self.upstreams.mark_leaving(&upstream, "peer"),
             Notice::Limit {
                 upstream,
                 changes,
@@ -190,13 +193,15 @@
             } => {
                 let rate = rate.map(RateLimit::from_bits);
                 let limit = VersionedLimit { rate, changes };
-                self.listing.merge_limit(&upstream, limit);
+                self.upstreams.merge_limit(&upstream, limit);
+            }
+            Notice::Gone { upstream, revision } => {
+                self.upstreams.record_removal(&upstream, revision)
             }
-            Notice::Gone { upstream, revision } => self.listing.gone(&upstream, revision),
             Notice::Evacuation {
                 zone, evacuated, ..
             } => {
-                self.evacuations.apply(&zone, evacuated, "peer");
+                self.evacuations.set_evacuated(&zone, evacuated, "peer");
             }
         }
     }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,6 +1,7 @@
 //! Between instances, over jsonrpsee: tokens that one lacks, and news that one can't read itself.
 
 use std::collections::HashMap;
+use std::fmt;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -22,7 +23,7 @@
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::log::Log;
-use crate::notices::Effects;
+use crate::notices::NoticeHandler;
 use crate::relay::Relay;
 use crate::replication::{DeltaRequest, DeltaResponse, Topic};
 use crate::store_health::StoreHealth;
@@ -33,19 +34,19 @@
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// An answer that comes later than that is still taken up to this time: it may bring tokens that were
 /// debited, and would be lost to the budget.
-const ANSWER_MOST: Duration = Duration::from_secs(3);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// What a reader passes on may be a whole configuration, over a link that is full, to a dozen instances at once.
 /// The store is asked after this time, which leaves the most of the two seconds in which a change is in force.
-const PASS_MOST: Duration = Duration::from_millis(400);
+const DELTA_TIMEOUT: Duration = Duration::from_millis(400);
 /// An instance that did not answer is not called for this time.
-const REST: Duration = Duration::from_millis(1_500);
+const BACKOFF: Duration = Duration::from_millis(1_500);
 /// How often an instance that can't read the store asks another one for news: well within the two
 /// seconds in which a change is in force.
-const NEWS_EVERY: Duration = Duration::from_millis(400);
+const SYNC_INTERVAL: Duration = Duration::from_millis(400);
 
 /// A call for tokens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Want {
+pub(crate) struct TokenRequest {
     /// The asker's incarnation.
     pub(crate) from: String,
     pub(crate) customer: String,
@@ -58,8 +59,8 @@
 }
 
 /// Tokens of an instance that leaves and can't hand them back to the store.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Gift {
+#[derive(Clone, Serialize, Deserialize)]
+pub(crate) struct TokenHandover {
     pub(crate) customer: String,
     /// All that the giver has ever given to the one that gets this.
     pub(crate) given: CumulativeTotal,
@@ -67,19 +68,31 @@
     pub(crate) spent: CumulativeTotal,
 }
 
+/// Log lines about transfers between instances print this type as `Gift`.
+impl fmt::Debug for TokenHandover {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Gift")
+            .field("customer", &self.customer)
+            .field("given", &self.given)
+            .field("spent", &self.spent)
+            .finish()
+    }
+}
+
 /// What an instance that asks for news has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Have {
+struct SyncRequest {
     version: u64,
     leaving: Vec<String>,
 }
 
 /// What the asker lacks.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct News {
+struct SyncResponse {
     config: Option<String>,
     /// The revision up to which the list of upstreams is known there; 0 where it may be old.
-    upstreams: i64,
+    #[serde(rename = "upstreams")]
+    upstreams_revision: i64,
     leaving: Vec<String>,
     evacuations: Vec<Notice>,
     limits: Vec<Notice>,
@@ -87,26 +100,26 @@
 
 /// What the instance answers from.
 #[derive(Clone)]
-pub(crate) struct Desk {
+pub(crate) struct PeerService {
     pub(crate) bank: Bank,
     pub(crate) suspects: Suspects,
-    pub(crate) effects: Effects,
+    pub(crate) notice_handler: NoticeHandler,
     pub(crate) traffic: Traffic,
 }
 
-impl Desk {
-    fn news(&self, have: &Have) -> News {
+impl PeerService {
+    fn sync_response(&self, have: &SyncRequest) -> SyncResponse {
         for id in &have.leaving {
-            self.effects.listing.leaving(id, "peer");
+            self.notice_handler.upstreams.mark_leaving(id, "peer");
         }
-        let active = self.effects.config.get();
+        let active = self.notice_handler.config.active();
         let newer = active.filter(|a| a.routing.version > have.version);
-        News {
+        SyncResponse {
             config: newer.map(|a| String::from_utf8_lossy(&a.raw).into_owned()),
-            upstreams: self.effects.relay.current_revision(Topic::Upstreams),
-            leaving: self.effects.listing.all_leaving(),
-            evacuations: self.effects.notices.evacuations(),
-            limits: self.effects.listing.all_limits(),
+            upstreams_revision: self.notice_handler.relay.current_revision(Topic::Upstreams),
+            leaving: self.notice_handler.upstreams.leaving_incarnations(),
+            evacuations: self.notice_handler.notices.evacuations(),
+            limits: self.notice_handler.upstreams.limit_notices(),
         }
     }
 }
@@ -123,15 +136,15 @@
 }
 
 /// Answers other instances.
-pub(crate) fn serve(server: Server, desk: Desk) -> ServerHandle {
+pub(crate) fn serve(server: Server, desk: PeerService) -> ServerHandle {
     let mut module = RpcModule::new(desk);
     let take = module.register_method("take", |params, desk, _| -> RpcResult<CumulativeTotal> {
-        let want: Want = params.one()?;
+        let want: TokenRequest = params.one()?;
         Ok(desk.bank.give(&want))
     });
     take.expect("a new name");
     let gift = module.register_method("gift", |params, desk, _| -> RpcResult<bool> {
-        let gift: Gift = params.one()?;
+        let gift: TokenHandover = params.one()?;
         Ok(desk.bank.accept(&gift))
     });
     gift.expect("a new name");
@@ -144,15 +157,15 @@
         Ok((!desk.bank.is_leaving()).then(|| desk.bank.me()))
     });
     ping.expect("a new name");
-    let news = module.register_method("news", |params, desk, _| -> RpcResult<News> {
-        let have: Have = params.one()?;
-        Ok(desk.news(&have))
+    let news = module.register_method("news", |params, desk, _| -> RpcResult<SyncResponse> {
+        let have: SyncRequest = params.one()?;
+        Ok(desk.sync_response(&have))
     });
     news.expect("a new name");
     let lacking =
         module.register_method("lacking", |params, desk, _| -> RpcResult<DeltaResponse> {
             let ask: DeltaRequest = params.one()?;
-            let passed = desk.effects.relay.serve_delta(&ask);
+            let passed = desk.notice_handler.relay.serve_delta(&ask);
             desk.traffic.count("lists", true, passed.size_bytes());
             Ok(passed)
         });
@@ -163,7 +176,7 @@
         });
     suspects.expect("a new name");
     let limits = module.register_method("limits", |_, desk, _| -> RpcResult<Vec<Notice>> {
-        Ok(desk.effects.listing.all_limits())
+        Ok(desk.notice_handler.upstreams.limit_notices())
     });
     limits.expect("a new name");
     let trial = module.register_method("trial", |params, desk, _| -> RpcResult<Trial> {
@@ -175,58 +188,58 @@
 }
 
 /// One instance that is called.
-struct Line {
+struct Connection {
     client: HttpClient,
     /// Not called again before this: a call that hangs keeps requests waiting.
-    rest_until: Option<Instant>,
+    backoff_until: Option<Instant>,
     /// Its last call had no answer: it may be gone though it is listed.
-    silent: bool,
+    unresponsive: bool,
 }
 
 /// Calls other instances.
 #[derive(Clone, Default)]
-pub(crate) struct Peers(Arc<Mutex<HashMap<SocketAddr, Line>>>);
+pub(crate) struct Peers(Arc<Mutex<HashMap<SocketAddr, Connection>>>);
 
 impl Peers {
     fn client(&self, addr: SocketAddr) -> Result<HttpClient, String> {
         let mut clients = self.0.lock().expect("no panic inside");
         let mut silent = false;
         if let Some(line) = clients.get(&addr) {
-            silent = line.silent;
-            let rests = line.rest_until.is_some_and(|t| Instant::now() < t);
+            silent = line.unresponsive;
+            let rests = line.backoff_until.is_some_and(|t| Instant::now() < t);
             if rests {
                 return Err("did not answer a moment ago".to_string());
             }
-            if line.rest_until.is_none() {
+            if line.backoff_until.is_none() {
                 return Ok(line.client.clone());
             }
         }
         let client = HttpClientBuilder::default()
-            .request_timeout(ANSWER_MOST)
+            .request_timeout(RESPONSE_TIMEOUT)
             .build(format!("http://{addr}"))
             .map_err(|e| e.to_string())?;
-        let line = Line {
+        let line = Connection {
             client: client.clone(),
-            rest_until: None,
-            silent,
+            backoff_until: None,
+            unresponsive: silent,
         };
         clients.insert(addr, line);
         Ok(client)
     }
 
     /// Returns whether an instance did not answer when it was called last.
-    pub(crate) fn is_silent(&self, addr: SocketAddr) -> bool {
+    pub(crate) fn is_unresponsive(&self, addr: SocketAddr) -> bool {
         let lines = self.0.lock().expect("no panic inside");
-        lines.get(&addr).is_some_and(|l| l.silent)
+        lines.get(&addr).is_some_and(|l| l.unresponsive)
     }
 
     /// Leaves an instance alone for a while; its next call gets a new connection, since the old one
     /// may hang for good.
-    pub(crate) fn rest(&self, addr: SocketAddr) {
+    pub(crate) fn back_off(&self, addr: SocketAddr) {
         let mut lines = self.0.lock().expect("no panic inside");
         if let Some(line) = lines.get_mut(&addr) {
-            line.rest_until = Some(Instant::now() + REST);
-            line.silent = true;
+            line.backoff_until = Some(Instant::now() + BACKOFF);
+            line.unresponsive = true;
         }
     }
 
@@ -239,21 +252,21 @@
         let client = self.client(addr)?;
         let answer = request(&client, method, param).await;
         match answer {
-            Ok(_) => self.answered(addr),
-            Err(_) => self.rest(addr),
+            Ok(_) => self.record_response(addr),
+            Err(_) => self.back_off(addr),
         }
         answer
     }
 
-    fn answered(&self, addr: SocketAddr) {
+    fn record_response(&self, addr: SocketAddr) {
         let mut lines = self.0.lock().expect("no panic inside");
         if let Some(line) = lines.get_mut(&addr) {
-            line.silent = false;
+            line.unresponsive = false;
         }
     }
 
     /// Calls where an answer that comes late brings nothing.
-    async fn call_briefly<T: DeserializeOwned>(
+    async fn call_with_timeout<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         method: &str,
@@ -261,7 +274,7 @@
     ) -> Result<T, String> {
         let answer = timeout(CALL_TIMEOUT, self.call(addr, method, param)).await;
         answer.unwrap_or_else(|_| {
-            self.rest(addr);
+            self.back_off(addr);
             Err("no answer in time".to_string())
         })
     }
@@ -271,10 +284,10 @@
     /// # Errors
     ///
     /// Returns why there is no answer: tokens that it debited come with its next one.
-    pub(crate) async fn take(
+    pub(crate) async fn request_tokens(
         &self,
         addr: SocketAddr,
-        want: &Want,
+        want: &TokenRequest,
     ) -> Result<CumulativeTotal, String> {
         self.call(addr, "take", want).await
     }
@@ -285,14 +298,16 @@
     /// # Errors
     ///
     /// Returns why there is no answer: tokens that it debited come with its next one.
-    pub(crate) async fn draw(&self, addr: SocketAddr, draw: &Draw) -> Result<Drawn, String> {
+    pub(crate) async fn draw_tokens(&self, addr: SocketAddr, draw: &Draw) -> Result<Drawn, String> {
         self.call(addr, "draw", draw).await
     }
 
     /// Returns the incarnation of an instance that answers, and stays.
     pub(crate) async fn ping(&self, addr: SocketAddr) -> Option<String> {
         // No answer says enough.
-        self.call_briefly(addr, "ping", &()).await.unwrap_or(None)
+        self.call_with_timeout(addr, "ping", &())
+            .await
+            .unwrap_or(None)
     }
 
     /// Asks an instance under which requests upstreams have ended.
@@ -300,8 +315,11 @@
     /// # Errors
     ///
     /// Returns why there is no answer.
-    pub(crate) async fn suspects(&self, addr: SocketAddr) -> Result<Vec<SuspectRecord>, String> {
-        self.call_briefly(addr, "suspects", &()).await
+    pub(crate) async fn fetch_suspects(
+        &self,
+        addr: SocketAddr,
+    ) -> Result<Vec<SuspectRecord>, String> {
+        self.call_with_timeout(addr, "suspects", &()).await
     }
 
     /// Asks an instance for the request rate limits of its listed upstreams.
@@ -309,8 +327,8 @@
     /// # Errors
     ///
     /// Returns why there is no answer.
-    pub(crate) async fn limits(&self, addr: SocketAddr) -> Result<Vec<Notice>, String> {
-        self.call_briefly(addr, "limits", &()).await
+    pub(crate) async fn fetch_limits(&self, addr: SocketAddr) -> Result<Vec<Notice>, String> {
+        self.call_with_timeout(addr, "limits", &()).await
     }
 
     /// Asks an instance that keeps a request whether it may be tried.
@@ -318,8 +336,12 @@
     /// # Errors
     ///
     /// Returns why there is no answer.
-    pub(crate) async fn trial(&self, addr: SocketAddr, ask: &AskTrial) -> Result<Trial, String> {
-        self.call_briefly(addr, "trial", ask).await
+    pub(crate) async fn request_trial(
+        &self,
+        addr: SocketAddr,
+        ask: &AskTrial,
+    ) -> Result<Trial, String> {
+        self.call_with_timeout(addr, "trial", ask).await
     }
 
     /// Gives an instance tokens that were debited here.
@@ -327,8 +349,12 @@
     /// # Errors
     ///
     /// Returns why there is no answer: the tokens are lost to the budget then, unless another gift follows.
-    pub(crate) async fn give(&self, addr: SocketAddr, gift: &Gift) -> Result<bool, String> {
-        self.call_briefly(addr, "gift", gift).await
+    pub(crate) async fn hand_over_tokens(
+        &self,
+        addr: SocketAddr,
+        gift: &TokenHandover,
+    ) -> Result<bool, String> {
+        self.call_with_timeout(addr, "gift", gift).await
     }
 
     /// Asks an instance that reads the store for what is newer than what is known here.
@@ -336,51 +362,51 @@
     /// # Errors
     ///
     /// Returns why there is no answer.
-    pub(crate) async fn lacking(
+    pub(crate) async fn fetch_delta(
         &self,
         addr: SocketAddr,
         ask: &DeltaRequest,
     ) -> Result<DeltaResponse, String> {
         let client = self.client(addr)?;
         // One that is slow with this may be quick with tokens: nothing is held against it.
-        let answer = timeout(PASS_MOST, request(&client, "lacking", ask)).await;
+        let answer = timeout(DELTA_TIMEOUT, request(&client, "lacking", ask)).await;
         answer.unwrap_or_else(|_| Err("no answer in time".to_string()))
     }
 
     /// Asks other instances for news whenever the store is out of reach.
-    pub(crate) fn spawn_news(
+    pub(crate) fn spawn_sync(
         &self,
         fleet: Fleet,
-        desk: Desk,
+        desk: PeerService,
         reach: Arc<StoreHealth>,
         log: Arc<Log>,
     ) {
         let peers = self.clone();
         tokio::spawn(async move {
             loop {
-                sleep(NEWS_EVERY).await;
+                sleep(SYNC_INTERVAL).await;
                 let others = fleet.peers();
                 if !reach.is_unavailable() || others.is_empty() {
                     continue;
                 }
                 // One that is known to have what is lacking here is asked first, else any: the whole zone may be cut off.
                 let any = others.choose(&mut rand::rng()).map(|m| m.addr);
-                if let Some(peer) = desk.effects.relay.config_holder().or(any) {
-                    peers.fetch(peer, &desk, &log).await;
+                if let Some(peer) = desk.notice_handler.relay.config_holder().or(any) {
+                    peers.sync_from(peer, &desk, &log).await;
                 }
             }
         });
     }
 
-    async fn fetch(&self, addr: SocketAddr, desk: &Desk, log: &Log) {
-        let have = Have {
-            version: desk.effects.config.version(),
-            leaving: desk.effects.listing.all_leaving(),
+    async fn sync_from(&self, addr: SocketAddr, desk: &PeerService, log: &Log) {
+        let have = SyncRequest {
+            version: desk.notice_handler.config.version(),
+            leaving: desk.notice_handler.upstreams.leaving_incarnations(),
         };
-        let news: News = match self.call_briefly(addr, "news", &have).await {
+        let news: SyncResponse = match self.call_with_timeout(addr, "news", &have).await {
             Ok(news) => news,
             Err(why) => {
-                desk.effects.relay.forget_peer(addr);
+                desk.notice_handler.relay.forget_peer(addr);
                 log.note(
                     Event::NewsFromPeer,
                     format_args!("from={addr} failed={why}"),
@@ -389,20 +415,22 @@
             }
         };
         // Before the configuration, with which this instance may begin to serve.
-        desk.effects.take(news.evacuations);
-        desk.effects.take(news.limits);
+        desk.notice_handler.apply(news.evacuations);
+        desk.notice_handler.apply(news.limits);
         if let Some(config) = news.config {
             log.note(Event::NewsFromPeer, format_args!("from={addr} what=config"));
-            desk.effects.config.offer(config.as_bytes(), "peer");
+            desk.notice_handler
+                .config
+                .apply_if_newer(config.as_bytes(), "peer");
         }
         for upstream in &news.leaving {
-            desk.effects.listing.leaving(upstream, "peer");
+            desk.notice_handler.upstreams.mark_leaving(upstream, "peer");
         }
-        let relay = &desk.effects.relay;
-        if news.upstreams > relay.revision(Topic::Upstreams) {
+        let relay = &desk.notice_handler.relay;
+        if news.upstreams_revision > relay.revision(Topic::Upstreams) {
             if let Some(passed) = self.fetch_upstreams(addr, relay).await {
                 let update = relay.apply_delta(Topic::Upstreams, passed);
-                desk.effects.listing.update(update);
+                desk.notice_handler.upstreams.apply(update);
             }
         }
     }
@@ -411,10 +439,10 @@
     async fn fetch_upstreams(&self, addr: SocketAddr, relay: &Relay) -> Option<DeltaResponse> {
         let revision = relay.revision(Topic::Upstreams);
         let mut ask = DeltaRequest::first_page(Topic::Upstreams, revision);
-        let mut passed = self.lacking(addr, &ask).await.ok()?;
+        let mut passed = self.fetch_delta(addr, &ask).await.ok()?;
         while let Some(next) = passed.next.take() {
             ask.after = Some(next);
-            let page = self.lacking(addr, &ask).await.ok()?;
+            let page = self.fetch_delta(addr, &ask).await.ok()?;
             if !passed.delta.append(page.delta) {
                 return None;
             }
--- a/crates/proxy/src/pipe.rs
+++ b/crates/proxy/src/pipe.rs
@@ -19,7 +19,7 @@
 use crate::ask::Ask;
 use crate::bank::Charge;
 use crate::body::Out;
-use crate::config::Active;
+use crate::config::ActiveConfig;
 use crate::event::Event;
 use crate::job::{Busy, Expected, Job};
 use crate::refusal::Refusal;
@@ -89,7 +89,7 @@
             let refusal = Refusal::new(Kind::Draining, "this instance is about to end");
             return Err(refusal.back_in(RETRY_ELSEWHERE_MS, wait_ms));
         }
-        let Some(active) = self.config.get() else {
+        let Some(active) = self.config.active() else {
             let refusal = Refusal::new(Kind::NotConfigured, "no configuration yet");
             return Err(refusal.back_in(RETRY_UNKNOWN_MS, wait_ms));
         };
@@ -161,7 +161,7 @@
 
     fn route<'a>(
         &self,
-        active: &'a Active,
+        active: &'a ActiveConfig,
         ask: &Ask,
         head: &request::Parts,
     ) -> Result<&'a Route, Refusal> {
@@ -176,7 +176,7 @@
     /// Returns the customer that holds the request's key; none where no key is wanted.
     fn customer(
         &self,
-        active: &Active,
+        active: &ActiveConfig,
         ask: &Ask,
         route: &Route,
     ) -> Result<Option<String>, Refusal> {
@@ -188,7 +188,7 @@
             let message = format!("the key belongs to no customer in version {version}");
             Refusal::new(Kind::UnknownKey, message)
         };
-        if let Some(version) = self.config.revoked_by(key) {
+        if let Some(version) = self.config.revoking_version(key) {
             return Err(unknown(version));
         }
         let account = active.routing.account(key);
@@ -200,7 +200,7 @@
     /// Reads the whole body: it may have to be sent twice.
     async fn body(
         &self,
-        active: &Active,
+        active: &ActiveConfig,
         head: &request::Parts,
         body: Incoming,
         deadline: u64,
@@ -231,7 +231,7 @@
     }
 
     /// Reserves the most that a request can cost.
-    async fn charge(&self, active: &Active, job: &Job) -> Result<Option<Charge>, Refusal> {
+    async fn charge(&self, active: &ActiveConfig, job: &Job) -> Result<Option<Charge>, Refusal> {
         let tokens = job.ask.tokens();
         let Some(customer) = &job.customer else {
             return Ok(None);
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -13,12 +13,12 @@
 use crate::dialect::Dialect;
 use crate::event::Event;
 use crate::fleet::Fleet;
-use crate::listing::Listing;
 use crate::log::Log;
 use crate::metric::Metrics;
 use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
-use crate::tell::Others;
+use crate::tell::PeerNetwork;
+use crate::upstream_list::UpstreamList;
 
 /// What the filters work with.
 pub(crate) struct Router {
@@ -29,13 +29,13 @@
     pub(crate) config: Config,
     pub(crate) bank: Bank,
     pub(crate) pool: Arc<Mutex<Pool>>,
-    pub(crate) listing: Listing,
+    pub(crate) listing: UpstreamList,
     pub(crate) dialer: Dialer,
     pub(crate) room: Mutex<RequestMemory>,
     pub(crate) link: Mutex<Link>,
     pub(crate) retries: Mutex<RetryBudget>,
     pub(crate) fleet: Fleet,
-    pub(crate) others: Others,
+    pub(crate) others: PeerNetwork,
     pub(crate) suspects: Suspects,
     pub(crate) reach: Arc<StoreHealth>,
     pub(crate) zone: String,
@@ -49,7 +49,7 @@
 impl Router {
     /// Returns whether new connections are wanted.
     pub(crate) fn is_ready(&self) -> bool {
-        let knows = self.config.get().is_some() && self.listing.is_known();
+        let knows = self.config.active().is_some() && self.listing.is_loaded();
         knows && !self.is_stopping() && !self.is_crowded()
     }
 
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -19,7 +19,7 @@
 use crate::fleet::{Fleet, Member};
 use crate::log::Log;
 use crate::refusal::Refusal;
-use crate::tell::Others;
+use crate::tell::PeerNetwork;
 
 /// After a connection broke, it is found out so much later whether the upstream has ended: by then the port of a process
 /// that ended is closed.
@@ -177,7 +177,7 @@
     /// # Errors
     ///
     /// Returns the refusal of a request under which too many upstreams have ended.
-    pub(crate) async fn admit(&self, others: &Others, digest: Digest) -> Result<(), Refusal> {
+    pub(crate) async fn admit(&self, others: &PeerNetwork, digest: Digest) -> Result<(), Refusal> {
         let verdict = {
             let now = self.0.clock.now();
             self.table().admit(now, digest)
@@ -198,10 +198,10 @@
     }
 
     /// Asks the instances that keep a request whether it may be tried: the first of them that answers decides.
-    async fn ask_trial(&self, others: &Others, digest: Digest) -> bool {
+    async fn ask_trial(&self, others: &PeerNetwork, digest: Digest) -> bool {
         let keepers = others.fleet.roster().owners(digest.placement_key());
         let me = others.fleet.incarnation();
-        let silent = |m: &&Arc<Member>| m.id != me && others.peers.is_silent(m.addr);
+        let silent = |m: &&Arc<Member>| m.id != me && others.peers.is_unresponsive(m.addr);
         let mut keepers = keepers.iter().filter(|m| !silent(m));
         let Some(first) = keepers.next() else {
             return self.grant(digest);
@@ -220,7 +220,7 @@
     /// Exchanges with an instance what is known of a request; returns whether that one has granted a trial.
     async fn ask_keeper(
         &self,
-        others: &Others,
+        others: &PeerNetwork,
         digest: Digest,
         keeper: &Member,
         decides: bool,
@@ -230,7 +230,7 @@
             return false;
         };
         let ask = AskTrial { word, decides };
-        let trial = match others.peers.trial(keeper.addr, &ask).await {
+        let trial = match others.peers.request_trial(keeper.addr, &ask).await {
             Ok(trial) => trial,
             Err(why) => {
                 let detail = format!("request={digest} failed={why}");
--- a/crates/proxy/src/tell.rs
+++ b/crates/proxy/src/tell.rs
@@ -12,24 +12,24 @@
 use crate::suspects::Suspects;
 
 /// Pause between two times that a word is told: what is learnt meanwhile goes with it.
-const TELL_EVERY: Duration = Duration::from_millis(150);
+const UPDATE_INTERVAL: Duration = Duration::from_millis(150);
 /// How often one other instance in turn is told what all should know: one that was cut off or frozen knows it again
 /// within the time after which it counts as being in touch.
-const PAGE_EVERY: Duration = Duration::from_millis(500);
+const PAGE_INTERVAL: Duration = Duration::from_millis(500);
 /// Words in a datagram.
-const WORDS_MOST: usize = 12;
+const MAX_RECORDS_PER_DATAGRAM: usize = 12;
 /// Words that one instance in turn is told: this goes on as long as there are any, and must cost next to nothing.
-const PAGE_MOST: usize = 4;
+const PAGE_SIZE: usize = 4;
 /// Instances that one asks when it starts: one of them may have started a moment ago too.
-const ASKED: usize = 2;
+const REQUIRED_ANSWERS: usize = 2;
 /// Pause before they are asked again.
-const ASK_AGAIN: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// An instance that finds no other one for so long is alone.
-const ASK_FOR: Duration = Duration::from_secs(10);
+const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Whom the others are found by, and told with.
 #[derive(Clone)]
-pub(crate) struct Others {
+pub(crate) struct PeerNetwork {
     pub(crate) fleet: Fleet,
     pub(crate) peers: Peers,
     pub(crate) sender: Sender,
@@ -37,14 +37,14 @@
 
 impl Suspects {
     /// Tells the others, and asks them.
-    pub(crate) fn spawn_tell(&self, others: &Others) {
+    pub(crate) fn spawn_tell(&self, others: &PeerNetwork) {
         tokio::spawn(self.clone().tell(others.clone()));
         tokio::spawn(self.clone().tell_in_turn(others.clone()));
         tokio::spawn(self.clone().ask(others.clone()));
     }
 
     /// Tells what is new.
-    async fn tell(self, others: Others) {
+    async fn tell(self, others: PeerNetwork) {
         loop {
             self.wait_changed().await;
             loop {
@@ -64,17 +64,17 @@
                     let keepers: Vec<SocketAddr> = keepers.map(|m| m.addr).collect();
                     send(&others.sender, &[word], &keepers);
                 }
-                sleep(TELL_EVERY).await;
+                sleep(UPDATE_INTERVAL).await;
             }
         }
     }
 
     /// Tells one other instance after the other what all should know.
-    async fn tell_in_turn(self, others: Others) {
+    async fn tell_in_turn(self, others: PeerNetwork) {
         let mut turn: usize = rand::random::<u32>() as usize;
         loop {
-            sleep(PAGE_EVERY).await;
-            let page = self.page(PAGE_MOST);
+            sleep(PAGE_INTERVAL).await;
+            let page = self.page(PAGE_SIZE);
             let listed = others.fleet.peers();
             if page.is_empty() || listed.is_empty() {
                 continue;
@@ -85,10 +85,10 @@
     }
 
     /// Asks others what all should know: this instance has started a moment ago.
-    async fn ask(self, others: Others) {
+    async fn ask(self, others: PeerNetwork) {
         let mut startup_peers = StartupPeers::new();
         while let Some(addr) = startup_peers.next(&others.fleet).await {
-            if let Ok(words) = others.peers.suspects(addr).await {
+            if let Ok(words) = others.peers.fetch_suspects(addr).await {
                 startup_peers.record_answer();
                 if !words.is_empty() {
                     self.learnt(addr, words.len());
@@ -109,7 +109,7 @@
 impl StartupPeers {
     pub(crate) fn new() -> StartupPeers {
         StartupPeers {
-            until: Instant::now() + ASK_FOR,
+            until: Instant::now() + QUERY_TIMEOUT,
             asked: Vec::new(),
             answers: 0,
         }
@@ -122,21 +122,21 @@
 
     /// Returns the next peer to query; none after enough answers or the timeout.
     pub(crate) async fn next(&mut self, fleet: &Fleet) -> Option<SocketAddr> {
-        while self.answers < ASKED && Instant::now() < self.until {
+        while self.answers < REQUIRED_ANSWERS && Instant::now() < self.until {
             let listed = fleet.peers();
             let next = listed.iter().find(|m| !self.asked.contains(&m.addr));
             if let Some(next) = next {
                 self.asked.push(next.addr);
                 return Some(next.addr);
             }
-            sleep(ASK_AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
         None
     }
 }
 
 fn send(sender: &Sender, words: &[SuspectRecord], to: &[SocketAddr]) {
-    for words in words.chunks(WORDS_MOST) {
+    for words in words.chunks(MAX_RECORDS_PER_DATAGRAM) {
         sender.send(&Datagram::Suspects(words.to_vec()), to.iter().copied());
     }
 }
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -22,11 +22,11 @@
 use crate::suspects::Suspects;
 
 /// New upstreams of one change that are logged one by one.
-const LINES_MOST: usize = 16;
+const MAX_LOGGED_UPSTREAMS: usize = 16;
 
 /// A handle on the list of upstreams.
 #[derive(Clone)]
-pub(crate) struct Listing(Arc<Inner>);
+pub(crate) struct UpstreamList(Arc<Inner>);
 
 struct Inner {
     dialect: Arc<dyn Dialect>,
@@ -34,38 +34,38 @@
     dialer: Dialer,
     suspects: Suspects,
     notices: Notices,
-    reach: Arc<StoreHealth>,
+    store_health: Arc<StoreHealth>,
     log: Arc<Log>,
     clock: Clock,
-    seen: Mutex<Seen>,
+    state: Mutex<ListState>,
     /// Wakes the task that checks deferred missing entries again.
-    deferred: Notify,
+    entries_deferred: Notify,
 }
 
 #[derive(Default)]
-struct Seen {
+struct ListState {
     revision: i64,
-    entries: BTreeMap<String, Entry>,
+    entries: BTreeMap<String, ListedEntry>,
     missing: MissingEntries,
 }
 
 /// An entry as it was read.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Entry {
+struct ListedEntry {
     value: Bytes,
     /// The store's revision of it, or a later one at which it was there.
     revision: i64,
 }
 
-impl Seen {
+impl ListState {
     /// Returns whether an entry that is missing is taken for gone.
-    fn is_gone(&mut self, now: u64, back_at: u64) -> bool {
+    fn accept_removal(&mut self, now: u64, back_at: u64) -> bool {
         let listed = self.entries.len();
         self.missing.accept_removal(now, back_at, listed)
     }
 }
 
-impl Listing {
+impl UpstreamList {
     pub(crate) fn open(
         dialect: Arc<dyn Dialect>,
         pool: Arc<Mutex<Pool>>,
@@ -75,29 +75,29 @@
         reach: Arc<StoreHealth>,
         log: Arc<Log>,
         clock: Clock,
-    ) -> Listing {
-        Listing(Arc::new(Inner {
+    ) -> UpstreamList {
+        UpstreamList(Arc::new(Inner {
             dialect,
             pool,
             dialer,
             suspects,
             notices,
-            reach,
+            store_health: reach,
             log,
             clock,
-            seen: Mutex::default(),
-            deferred: Notify::new(),
+            state: Mutex::default(),
+            entries_deferred: Notify::new(),
         }))
     }
 
     /// Returns whether the list was ever read, or a part of it.
-    pub(crate) fn is_known(&self) -> bool {
-        let seen = self.seen();
+    pub(crate) fn is_loaded(&self) -> bool {
+        let seen = self.state();
         seen.revision > 0 || !seen.entries.is_empty()
     }
 
     /// Returns the incarnations of upstreams that some source said are leaving.
-    pub(crate) fn all_leaving(&self) -> Vec<String> {
+    pub(crate) fn leaving_incarnations(&self) -> Vec<String> {
         let leaving = self
             .0
             .pool
@@ -108,7 +108,7 @@
     }
 
     /// Notes that an incarnation of an upstream is leaving, by whatever source.
-    pub(crate) fn leaving(&self, incarnation: &str, source: &str) {
+    pub(crate) fn mark_leaving(&self, incarnation: &str, source: &str) {
         let news = self
             .0
             .pool
@@ -120,12 +120,12 @@
             let detail = format_args!("upstream={incarnation} source={source}");
             self.0.log.note(Event::UpstreamLeaving, detail);
         }
-        self.spread_leaving(incarnation);
+        self.publish_leaving(incarnation);
     }
 
-    fn spread_leaving(&self, incarnation: &str) {
+    fn publish_leaving(&self, incarnation: &str) {
         let upstream = incarnation.to_string();
-        self.0.notices.learn(Notice::Leaving { upstream });
+        self.0.notices.publish(Notice::Leaving { upstream });
     }
 
     /// Merges a peer's state of an incarnation's request rate limit and logs a change.
@@ -142,7 +142,7 @@
     }
 
     /// Returns a notice for each request rate limit of a listed upstream.
-    pub(crate) fn all_limits(&self) -> Vec<Notice> {
+    pub(crate) fn limit_notices(&self) -> Vec<Notice> {
         let limits = self
             .0
             .pool
@@ -165,14 +165,14 @@
         let changed = pool.set_limit(now, key, sent_at, limit)?;
         let incarnation = pool.incarnation(key);
         drop(pool);
-        self.0.notices.learn(limit_notice(incarnation, changed));
+        self.0.notices.publish(limit_notice(incarnation, changed));
         Some(changed)
     }
 
     /// Takes a peer's report that an upstream's entry was removed at a revision.
-    pub(crate) fn gone(&self, id: &str, revision: i64) {
+    pub(crate) fn record_removal(&self, id: &str, revision: i64) {
         let key = format!("{}{id}", self.0.dialect.upstream_prefix());
-        self.missing_unless_rewritten(&key, revision);
+        self.handle_missing_unless_rewritten(&key, revision);
     }
 
     /// Returns whether a peer has said that an entry was removed later than it was written.
@@ -180,7 +180,7 @@
         let id = self.0.dialect.upstream_id(key);
         self.0
             .notices
-            .gone_at(id)
+            .removed_at(id)
             .is_some_and(|gone| gone > revision)
     }
 
@@ -199,28 +199,28 @@
                 WATCH_TIMEOUT_MS,
             );
             loop {
-                listing.update(follow.next().await);
+                listing.apply(follow.next().await);
             }
         });
     }
 
     /// Takes what was read of the store, here or by a peer.
-    pub(crate) fn update(&self, update: Update) {
+    pub(crate) fn apply(&self, update: Update) {
         match update {
             Update::Snapshot(items, revision) => {
-                let items = items.into_iter().map(row).collect();
-                self.listed(items, revision);
+                let items = items.into_iter().map(to_listed_entry).collect();
+                self.apply_snapshot(items, revision);
             }
-            Update::Changes(changes, revision) => self.changed(changes, revision),
-            Update::Partial(changes) => self.changed(changes, 0),
+            Update::Changes(changes, revision) => self.apply_changes(changes, revision),
+            Update::Partial(changes) => self.apply_changes(changes, 0),
             Update::Unavailable => {}
         }
     }
 
-    fn listed(&self, mut items: BTreeMap<String, Entry>, revision: i64) {
+    fn apply_snapshot(&self, mut items: BTreeMap<String, ListedEntry>, revision: i64) {
         items.retain(|key, entry| !self.is_removed(key, entry.revision));
         let known = {
-            let seen = self.seen();
+            let seen = self.state();
             if revision < seen.revision {
                 return;
             }
@@ -230,92 +230,92 @@
         for (key, entry) in &items {
             let value = &entry.value;
             if known.get(key).map(|e| &e.value) != Some(value) {
-                new.extend(self.entry(key, value));
+                new.extend(self.apply_entry(key, value));
             }
         }
         self.log_new(&new);
         for key in known.keys().filter(|k| !items.contains_key(*k)) {
-            self.missing(key, revision);
+            self.handle_missing(key, revision);
         }
-        let mut seen = self.seen();
+        let mut seen = self.state();
         seen.entries.extend(items);
         seen.revision = revision;
-        self.0.notices.set_upstreams(seen.entries.len());
+        self.0.notices.set_upstream_count(seen.entries.len());
     }
 
-    fn changed(&self, changes: Vec<Change>, revision: i64) {
+    fn apply_changes(&self, changes: Vec<Change>, revision: i64) {
         let mut new = Vec::new();
         for change in changes {
             match change.now {
                 Some(found) if self.is_removed(&found.key, found.revision) => {}
                 Some(found) => {
-                    new.extend(self.entry(&found.key, &found.value));
-                    let (key, entry) = row(found);
-                    let mut seen = self.seen();
+                    new.extend(self.apply_entry(&found.key, &found.value));
+                    let (key, entry) = to_listed_entry(found);
+                    let mut seen = self.state();
                     seen.entries.insert(key, entry);
                 }
-                None => self.missing(&change.key, change.revision),
+                None => self.handle_missing(&change.key, change.revision),
             }
         }
         self.log_new(&new);
-        let mut seen = self.seen();
+        let mut seen = self.state();
         seen.revision = seen.revision.max(revision);
-        self.0.notices.set_upstreams(seen.entries.len());
+        self.0.notices.set_upstream_count(seen.entries.len());
     }
 
     /// Takes that an entry is missing at a revision.
-    fn missing(&self, key: &str, revision: i64) {
-        let (now, back_at) = (self.0.clock.now(), self.0.reach.recovered_at());
+    fn handle_missing(&self, key: &str, revision: i64) {
+        let (now, back_at) = (self.0.clock.now(), self.0.store_health.recovered_at());
         let gone = {
-            let mut seen = self.seen();
+            let mut seen = self.state();
             let listed = seen.entries.contains_key(key);
-            let gone = listed && seen.is_gone(now, back_at);
+            let gone = listed && seen.accept_removal(now, back_at);
             if gone {
                 seen.entries.remove(key);
             } else if listed {
                 seen.missing.defer(key, revision);
-                self.0.deferred.notify_one();
+                self.0.entries_deferred.notify_one();
             }
             gone
         };
         if gone {
             self.delist(key);
             let upstream = self.0.dialect.upstream_id(key).to_string();
-            self.0.notices.learn(Notice::Gone { upstream, revision });
+            self.0.notices.publish(Notice::Gone { upstream, revision });
         }
     }
 
     /// Checks deferred missing entries again once upstreams have had time to write expired entries again.
     async fn recheck_deferred(self) {
         loop {
-            let at = self.seen().missing.recheck_at();
+            let at = self.state().missing.recheck_at();
             let Some(at) = at else {
-                self.0.deferred.notified().await;
+                self.0.entries_deferred.notified().await;
                 continue;
             };
             sleep_until(self.0.clock.at(at)).await;
-            let due = self.seen().missing.take_due(self.0.clock.now());
+            let due = self.state().missing.take_due(self.0.clock.now());
             for (key, revision) in due {
-                self.missing_unless_rewritten(&key, revision);
+                self.handle_missing_unless_rewritten(&key, revision);
             }
         }
     }
 
     /// Treats a listed entry as missing at a revision, unless it was written at that revision or later.
-    fn missing_unless_rewritten(&self, key: &str, revision: i64) {
-        let entry = self.seen().entries.get(key).cloned();
+    fn handle_missing_unless_rewritten(&self, key: &str, revision: i64) {
+        let entry = self.state().entries.get(key).cloned();
         if entry.is_some_and(|e| e.revision < revision) {
-            self.missing(key, revision);
+            self.handle_missing(key, revision);
         }
     }
 
-    fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.0.seen.lock().expect("no panic inside")
+    fn state(&self) -> MutexGuard<'_, ListState> {
+        self.0.state.lock().expect("no panic inside")
     }
 
     /// Takes an entry; returns the detail of the log line where it names a new upstream. One that can't be read, for others write there
     /// too, names no upstream to use.
-    fn entry(&self, key: &str, value: &[u8]) -> Option<String> {
+    fn apply_entry(&self, key: &str, value: &[u8]) -> Option<String> {
         let spec = match self.0.dialect.upstream(key, value) {
             Ok(spec) => spec,
             Err(why) => {
@@ -332,7 +332,7 @@
         );
         let leaving = spec.leaving;
         if leaving {
-            self.spread_leaving(&incarnation);
+            self.publish_leaving(&incarnation);
         }
         let now = self.0.clock.now();
         let listed = self
@@ -360,7 +360,7 @@
 
     /// Logs new upstreams: of many that come together only how many, for their lines would crowd out all others.
     fn log_new(&self, details: &[String]) {
-        if details.len() > LINES_MOST {
+        if details.len() > MAX_LOGGED_UPSTREAMS {
             let count = format_args!("count={}", details.len());
             return self.0.log.note(Event::UpstreamNew, count);
         }
@@ -390,8 +390,8 @@
 }
 
 /// Returns the entry that was found under a key.
-fn row(found: Found) -> (String, Entry) {
+fn to_listed_entry(found: Found) -> (String, ListedEntry) {
     let value = Bytes::from(found.value);
     let revision = found.revision;
-    (found.key, Entry { value, revision })
+    (found.key, ListedEntry { value, revision })
 }
--- a/crates/proxy/tests/encoding/mod.rs
+++ b/crates/proxy/tests/encoding/mod.rs
@@ -5,7 +5,7 @@
 use crate::bank::{Draw, Drawn};
 use crate::datagram::Datagram;
 use crate::fleet::Member;
-use crate::peers::{Gift, Want};
+use crate::peers::{TokenHandover, TokenRequest};
 use crate::replication::{DeltaRequest, DeltaResponse};
 use crate::suspects::{AskTrial, Trial};
 use serde::de::DeserializeOwned;
@@ -19,8 +19,8 @@
 
 #[test]
 fn instance_messages_keep_their_encoding() {
-    assert_kept::<Want>(include_str!("../data/outer/wants.json"));
-    assert_kept::<Gift>(include_str!("../data/outer/gifts.json"));
+    assert_kept::<TokenRequest>(include_str!("../data/outer/wants.json"));
+    assert_kept::<TokenHandover>(include_str!("../data/outer/gifts.json"));
     assert_kept::<Draw>(include_str!("../data/outer/draws.json"));
     assert_kept::<Drawn>(include_str!("../data/outer/drawn.json"));
     assert_kept::<DeltaRequest>(include_str!("../data/outer/asks.json"));
