--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -79,11 +79,12 @@
         pool.end(self.router.clock.now(), key, ticket, self.outcome);
         drop(pool);
         match self.outcome {
-            Outcome::InvalidResponse if stays => {
-                self.router.suspects.broke(&self.choice.spec, self.digest)
-            }
+            Outcome::InvalidResponse if stays => self
+                .router
+                .suspects
+                .connection_broke(&self.choice.spec, self.digest),
             // An error may be one that the upstream answers with before it runs anything.
-            Outcome::Success => self.router.suspects.answered(self.digest),
+            Outcome::Success => self.router.suspects.request_answered(self.digest),
             _ => {}
         }
     }
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -21,7 +21,7 @@
 use crate::fleet::Fleet;
 use crate::peers::PeerService;
 use crate::relay::Relay;
-use crate::tell::PeerNetwork;
+use crate::suspect_gossip::PeerNetwork;
 use crate::traffic::Traffic;
 
 /// Pause between two rounds of a small fleet: a long prompt is read in some hundred milliseconds.
@@ -184,7 +184,7 @@
                     self.service.notice_handler.relay.receive_head(from, head)
                 }
                 Ok(Datagram::Suspects(words)) => {
-                    let lacks = self.service.suspects.hear(fleet, &words);
+                    let lacks = self.service.suspects.merge(fleet, &words);
                     if !lacks.is_empty() {
                         self.sender.send(&Datagram::Suspects(lacks), [from]);
                     }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -24,7 +24,6 @@
 use crate::event::Event;
 use crate::fleet::{Fleet, Member};
 use crate::follower::FollowContext;
-use crate::kept::Kept;
 use crate::listen::{self, Phase};
 use crate::log::Log;
 use crate::metric::Metrics;
@@ -34,8 +33,9 @@
 use crate::relay::Relay;
 use crate::router::Router;
 use crate::store_health::StoreHealth;
+use crate::suspect_gossip::PeerNetwork;
+use crate::suspect_store::SuspectStore;
 use crate::suspects::Suspects;
-use crate::tell::PeerNetwork;
 use crate::traffic::Traffic;
 use crate::upstream_list::UpstreamList;
 
@@ -209,13 +209,13 @@
             },
             traffic: traffic.clone(),
         };
-        suspects.spawn_tell(&others);
+        suspects.spawn_gossip(&others);
         desk.notice_handler.spawn_limit_query(&others);
-        let kept = Kept {
+        let kept = SuspectStore {
             suspects,
             fleet: fleet.clone(),
             store: calls.store("suspects", &store),
-            reach: Arc::clone(&reach),
+            store_health: Arc::clone(&reach),
             log: Arc::clone(&log),
             revisions: HashMap::new(),
         };
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -111,7 +111,7 @@
             return false;
         }
         // One that ends upstreams must not take the next one with it in the same try.
-        if !self.router.suspects.may_repeat(self.digest) {
+        if !self.router.suspects.may_retry(self.digest) {
             return false;
         }
         let (now, sharers) = (self.router.clock.now(), self.router.fleet.instance_count());
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -22,7 +22,6 @@
 mod follower;
 mod instance;
 mod job;
-mod kept;
 mod listen;
 mod log;
 mod metric;
@@ -38,8 +37,9 @@
 mod router;
 mod store_health;
 mod stream;
+mod suspect_gossip;
+mod suspect_store;
 mod suspects;
-mod tell;
 mod traffic;
 mod upstream_list;
 
--- a/crates/proxy/src/notices.rs
+++ b/crates/proxy/src/notices.rs
@@ -15,7 +15,7 @@
 use crate::datagram::Datagram;
 use crate::evacuation::Evacuations;
 use crate::relay::Relay;
-use crate::tell::{PeerNetwork, StartupPeers};
+use crate::suspect_gossip::{PeerNetwork, StartupPeers};
 use crate::upstream_list::UpstreamList;
 
 /// Pause between two rounds in which news are sent: what is learnt meanwhile goes with them.
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -27,7 +27,7 @@
 use crate::relay::Relay;
 use crate::replication::{DeltaRequest, DeltaResponse, Topic};
 use crate::store_health::StoreHealth;
-use crate::suspects::{AskTrial, Suspects, Trial};
+use crate::suspects::{Suspects, TrialRequest, TrialResponse};
 use crate::traffic::Traffic;
 
 /// An instance answers within a few milliseconds, or is not there: a request waits for it.
@@ -179,9 +179,9 @@
         Ok(desk.notice_handler.upstreams.limit_notices())
     });
     limits.expect("a new name");
-    let trial = module.register_method("trial", |params, desk, _| -> RpcResult<Trial> {
-        let ask: AskTrial = params.one()?;
-        Ok(desk.suspects.try_for(&ask))
+    let trial = module.register_method("trial", |params, desk, _| -> RpcResult<TrialResponse> {
+        let ask: TrialRequest = params.one()?;
+        Ok(desk.suspects.answer_trial_request(&ask))
     });
     trial.expect("a new name");
     server.start(module)
@@ -339,8 +339,8 @@
     pub(crate) async fn request_trial(
         &self,
         addr: SocketAddr,
-        ask: &AskTrial,
-    ) -> Result<Trial, String> {
+        ask: &TrialRequest,
+    ) -> Result<TrialResponse, String> {
         self.call_with_timeout(addr, "trial", ask).await
     }
 
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -16,8 +16,8 @@
 use crate::log::Log;
 use crate::metric::Metrics;
 use crate::store_health::StoreHealth;
+use crate::suspect_gossip::PeerNetwork;
 use crate::suspects::Suspects;
-use crate::tell::PeerNetwork;
 use crate::upstream_list::UpstreamList;
 
 /// What the filters work with.
--- a/crates/proxy/src/tell.rs
+++ b/crates/proxy/src/suspect_gossip.rs
@@ -37,18 +37,18 @@
 
 impl Suspects {
     /// Tells the others, and asks them.
-    pub(crate) fn spawn_tell(&self, others: &PeerNetwork) {
-        tokio::spawn(self.clone().tell(others.clone()));
-        tokio::spawn(self.clone().tell_in_turn(others.clone()));
-        tokio::spawn(self.clone().ask(others.clone()));
+    pub(crate) fn spawn_gossip(&self, others: &PeerNetwork) {
+        tokio::spawn(self.clone().send_updates(others.clone()));
+        tokio::spawn(self.clone().send_pages(others.clone()));
+        tokio::spawn(self.clone().query_startup_peers(others.clone()));
     }
 
     /// Tells what is new.
-    async fn tell(self, others: PeerNetwork) {
+    async fn send_updates(self, others: PeerNetwork) {
         loop {
-            self.wait_changed().await;
+            self.wait_for_updates().await;
             loop {
-                let due = self.due();
+                let due = self.updates_to_send();
                 if due.is_empty() {
                     break;
                 }
@@ -70,11 +70,11 @@
     }
 
     /// Tells one other instance after the other what all should know.
-    async fn tell_in_turn(self, others: PeerNetwork) {
+    async fn send_pages(self, others: PeerNetwork) {
         let mut turn: usize = rand::random::<u32>() as usize;
         loop {
             sleep(PAGE_INTERVAL).await;
-            let page = self.page(PAGE_SIZE);
+            let page = self.next_page(PAGE_SIZE);
             let listed = others.fleet.peers();
             if page.is_empty() || listed.is_empty() {
                 continue;
@@ -85,15 +85,15 @@
     }
 
     /// Asks others what all should know: this instance has started a moment ago.
-    async fn ask(self, others: PeerNetwork) {
+    async fn query_startup_peers(self, others: PeerNetwork) {
         let mut startup_peers = StartupPeers::new();
         while let Some(addr) = startup_peers.next(&others.fleet).await {
             if let Ok(words) = others.peers.fetch_suspects(addr).await {
                 startup_peers.record_answer();
                 if !words.is_empty() {
-                    self.learnt(addr, words.len());
+                    self.log_received(addr, words.len());
                 }
-                self.hear(&others.fleet, &words);
+                self.merge(&others.fleet, &words);
             }
         }
     }
@@ -101,16 +101,16 @@
 
 /// The peers that an instance queries when it starts, one after another, until enough of them have answered.
 pub(crate) struct StartupPeers {
-    until: Instant,
-    asked: Vec<SocketAddr>,
+    deadline: Instant,
+    queried: Vec<SocketAddr>,
     answers: usize,
 }
 
 impl StartupPeers {
     pub(crate) fn new() -> StartupPeers {
         StartupPeers {
-            until: Instant::now() + QUERY_TIMEOUT,
-            asked: Vec::new(),
+            deadline: Instant::now() + QUERY_TIMEOUT,
+            queried: Vec::new(),
             answers: 0,
         }
     }
@@ -122,11 +122,11 @@
 
     /// Returns the next peer to query; none after enough answers or the timeout.
     pub(crate) async fn next(&mut self, fleet: &Fleet) -> Option<SocketAddr> {
-        while self.answers < REQUIRED_ANSWERS && Instant::now() < self.until {
+        while self.answers < REQUIRED_ANSWERS && Instant::now() < self.deadline {
             let listed = fleet.peers();
-            let next = listed.iter().find(|m| !self.asked.contains(&m.addr));
+            let next = listed.iter().find(|m| !self.queried.contains(&m.addr));
             if let Some(next) = next {
-                self.asked.push(next.addr);
+                self.queried.push(next.addr);
                 return Some(next.addr);
             }
             sleep(RETRY_DELAY).await;
--- a/crates/proxy/src/kept.rs
+++ b/crates/proxy/src/suspect_store.rs
@@ -20,35 +20,35 @@
 /// Keys of requests.
 const PREFIX: &str = "oriolehitch/suspects/";
 /// The instances that keep this read the store for all when they start.
-const READERS_OF: u64 = 0;
+const READER_PLACEMENT_KEY: u64 = 0;
 /// An instance knows by then whether it is one of them: it is listed when it has registered.
-const LISTED_WITHIN: Duration = Duration::from_secs(3);
+const REGISTRATION_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause before it looks again.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Pause after a call that failed.
-const AGAIN_AFTER: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Keeps the table in the store.
-pub(crate) struct Kept {
+pub(crate) struct SuspectStore {
     pub(crate) suspects: Suspects,
     pub(crate) fleet: Fleet,
     pub(crate) store: Arc<dyn Store>,
-    pub(crate) reach: Arc<StoreHealth>,
+    pub(crate) store_health: Arc<StoreHealth>,
     pub(crate) log: Arc<Log>,
     /// Revisions of the keys that were read or written here.
     pub(crate) revisions: HashMap<Digest, i64>,
 }
 
-impl Kept {
+impl SuspectStore {
     /// Reads what the store has, then writes what changes.
     pub(crate) async fn run(mut self) {
-        if self.reads().await {
-            self.read().await;
+        if self.is_reader().await {
+            self.load().await;
         }
         loop {
-            self.suspects.wait_unsaved().await;
+            self.suspects.wait_for_unsaved().await;
             for digest in self.suspects.unsaved() {
-                if self.decides(digest) {
+                if self.is_first_owner(digest) {
                     self.save(digest).await;
                 }
             }
@@ -56,23 +56,23 @@
     }
 
     /// Returns whether this instance reads for all.
-    async fn reads(&self) -> bool {
-        let until = Instant::now() + LISTED_WITHIN;
+    async fn is_reader(&self) -> bool {
+        let until = Instant::now() + REGISTRATION_TIMEOUT;
         while Instant::now() < until {
-            let keepers = self.fleet.roster().owners(READERS_OF);
+            let keepers = self.fleet.roster().owners(READER_PLACEMENT_KEY);
             if keepers.iter().any(|m| m.id == self.fleet.incarnation()) {
                 return true;
             }
-            sleep(LOOK_AGAIN).await;
+            sleep(ROSTER_POLL_INTERVAL).await;
         }
         false
     }
 
-    async fn read(&mut self) {
+    async fn load(&mut self) {
         let items = loop {
             match self.store.list(PREFIX, Reading::Linearizable).await {
                 Ok(listing) => break listing.items,
-                Err(_) => self.wait().await,
+                Err(_) => self.wait_for_retry().await,
             }
         };
         for item in items {
@@ -89,13 +89,13 @@
         }
     }
 
-    async fn wait(&self) {
-        sleep(AGAIN_AFTER).await;
-        self.reach.wait_until_available().await;
+    async fn wait_for_retry(&self) {
+        sleep(RETRY_DELAY).await;
+        self.store_health.wait_until_available().await;
     }
 
     /// Returns whether this instance decides about a request.
-    fn decides(&self, digest: Digest) -> bool {
+    fn is_first_owner(&self, digest: Digest) -> bool {
         let keepers = self.fleet.roster().owners(digest.placement_key());
         keepers
             .first()
@@ -107,13 +107,13 @@
         loop {
             let word = self.suspects.to_save(digest);
             match self.write(digest, word.as_ref()).await {
-                Ok(true) => return self.suspects.saved(digest, word.as_ref()),
+                Ok(true) => return self.suspects.mark_saved(digest, word.as_ref()),
                 // Another instance wrote it before: its revision is known now.
                 Ok(false) => {}
                 Err(failure) => {
                     let detail = format!("what=suspect why={failure:?}");
                     self.log.note(Event::WriteFailed, detail);
-                    self.wait().await;
+                    self.wait_for_retry().await;
                 }
             }
         }
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -19,31 +19,34 @@
 use crate::fleet::{Fleet, Member};
 use crate::log::Log;
 use crate::refusal::Refusal;
-use crate::tell::PeerNetwork;
+use crate::suspect_gossip::PeerNetwork;
 
 /// After a connection broke, it is found out so much later whether the upstream has ended: by then the port of a process
 /// that ended is closed.
-const CHECK_AFTER: Duration = Duration::from_millis(30);
+const CRASH_CHECK_DELAY: Duration = Duration::from_millis(30);
 /// Pause before that is tried again where no answer came.
-const CHECK_AGAIN: Duration = Duration::from_secs(1);
+const CRASH_CHECK_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// When to come back with a request that will not be tried again, in milliseconds: the longest time before a trial.
-const RETRY_NEVER_MS: u64 = 600_000;
+const RETRY_NO_TRIAL_LEFT_MS: u64 = 600_000;
 
 /// A question whether a request may be tried.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct AskTrial {
+pub(crate) struct TrialRequest {
     /// What the asker knows of the request.
-    word: SuspectRecord,
+    #[serde(rename = "word")]
+    record: SuspectRecord,
     /// Whether the one that is asked decides; else it only tells what it knows.
-    decides: bool,
+    #[serde(rename = "decides")]
+    may_grant: bool,
 }
 
 /// The answer of the instance that decides whether a request is tried.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Trial {
+pub(crate) struct TrialResponse {
     pub(crate) granted: bool,
     /// What that instance knows of the request.
-    pub(crate) word: Option<SuspectRecord>,
+    #[serde(rename = "word")]
+    pub(crate) record: Option<SuspectRecord>,
 }
 
 /// A handle on the requests under which upstreams have ended.
@@ -59,8 +62,8 @@
     changed: Notify,
     /// Wakes the one that writes to the store.
     unsaved: Notify,
-    ends: Counter,
-    refused: Gauge,
+    crash_counter: Counter,
+    refused_gauge: Gauge,
 }
 
 impl Suspects {
@@ -72,14 +75,14 @@
             table: Mutex::new(Table::new(name)),
             changed: Notify::new(),
             unsaved: Notify::new(),
-            ends: Counter::default(),
-            refused: Gauge::default(),
+            crash_counter: Counter::default(),
+            refused_gauge: Gauge::default(),
         }))
     }
 
     /// Returns how many ends were laid to requests, and how many requests are refused.
     pub(crate) fn metrics(&self) -> (Counter, Gauge) {
-        (self.0.ends.clone(), self.0.refused.clone())
+        (self.0.crash_counter.clone(), self.0.refused_gauge.clone())
     }
 
     fn table(&self) -> MutexGuard<'_, Table> {
@@ -87,11 +90,11 @@
     }
 
     /// Does something with the table, and has the others told what came of it.
-    fn change<T>(&self, f: impl FnOnce(&mut Table, u64) -> T) -> T {
+    fn update<T>(&self, f: impl FnOnce(&mut Table, u64) -> T) -> T {
         let now = self.0.clock.now();
         let mut table = self.table();
         let done = f(&mut table, now);
-        self.0.refused.set(table.refused_count() as i64);
+        self.0.refused_gauge.set(table.refused_count() as i64);
         if table.has_unsaved() {
             self.0.unsaved.notify_one();
         }
@@ -101,50 +104,50 @@
     }
 
     /// Notes that a request's connection broke at an upstream of which nothing said that it leaves.
-    pub(crate) fn broke(&self, spec: &Spec, digest: Digest) {
+    pub(crate) fn connection_broke(&self, spec: &Spec, digest: Digest) {
         let incarnation = spec.incarnation();
-        let first = self.change(|table, now| table.connection_broke(now, &incarnation, digest));
+        let first = self.update(|table, now| table.connection_broke(now, &incarnation, digest));
         if first {
-            tokio::spawn(self.clone().find_out(incarnation, spec.addr));
+            tokio::spawn(self.clone().check_for_crash(incarnation, spec.addr));
         }
     }
 
     /// Finds out whether an upstream has ended.
-    async fn find_out(self, incarnation: String, addr: SocketAddr) {
+    async fn check_for_crash(self, incarnation: String, addr: SocketAddr) {
         let target = Target {
             upstream: &incarnation,
             addr,
             most: usize::MAX,
         };
-        let mut pause = CHECK_AFTER;
+        let mut pause = CRASH_CHECK_DELAY;
         loop {
             sleep(pause).await;
-            if !self.change(|table, now| table.is_unresolved(now, &incarnation)) {
+            if !self.update(|table, now| table.is_unresolved(now, &incarnation)) {
                 return;
             }
-            let until = Instant::now() + CHECK_AGAIN;
+            let until = Instant::now() + CRASH_CHECK_RETRY_DELAY;
             match self.0.dialer.open(target, until).await {
                 Ok(conn) => {
-                    self.change(|table, _| table.upstream_alive(&incarnation));
+                    self.update(|table, _| table.upstream_alive(&incarnation));
                     return self.0.dialer.keep(conn, None);
                 }
-                Err(ConnectError::Refused(_)) => return self.ended(&incarnation),
+                Err(ConnectError::Refused(_)) => return self.upstream_crashed(&incarnation),
                 // The way to it may be cut: its list tells, or it answers later.
-                Err(_) => pause = CHECK_AGAIN,
+                Err(_) => pause = CRASH_CHECK_RETRY_DELAY,
             }
         }
     }
 
     /// Takes that an incarnation of an upstream has ended without having said that it leaves.
-    pub(crate) fn ended(&self, incarnation: &str) {
-        let there = self.change(|table, now| table.upstream_crashed(now, incarnation));
+    pub(crate) fn upstream_crashed(&self, incarnation: &str) {
+        let there = self.update(|table, now| table.upstream_crashed(now, incarnation));
         if there.is_empty() {
             return;
         }
         let detail = format_args!("upstream={incarnation} requests={}", there.len());
         self.0.log.note(Event::UpstreamEnded, detail);
         for digest in there {
-            self.0.ends.inc();
+            self.0.crash_counter.inc();
             let now = self.0.clock.now();
             let word = self.table().record(now, digest);
             let ends = word.map_or(0, |w| w.crashes.len());
@@ -157,18 +160,18 @@
     }
 
     /// Notes a whole answer to a request.
-    pub(crate) fn answered(&self, digest: Digest) {
+    pub(crate) fn request_answered(&self, digest: Digest) {
         let now = self.0.clock.now();
         let cleared = self.table().request_answered(now, digest);
         if cleared {
             let detail = format_args!("request={digest}");
             self.0.log.note(Event::Cleared, detail);
-            self.change(|_, _| ());
+            self.update(|_, _| ());
         }
     }
 
     /// Returns whether a request may be sent to another upstream in the same try.
-    pub(crate) fn may_repeat(&self, digest: Digest) -> bool {
+    pub(crate) fn may_retry(&self, digest: Digest) -> bool {
         self.table().may_retry(digest)
     }
 
@@ -186,7 +189,7 @@
             Admission::Allowed => return Ok(()),
             Admission::Refused(blame) => blame,
             Admission::TrialDue(blame) => {
-                if self.ask_trial(others, digest).await {
+                if self.request_trial(others, digest).await {
                     let detail = format_args!("request={digest} {blame}");
                     self.0.log.note(Event::Tried, detail);
                     return Ok(());
@@ -198,27 +201,28 @@
     }
 
     /// Asks the instances that keep a request whether it may be tried: the first of them that answers decides.
-    async fn ask_trial(&self, others: &PeerNetwork, digest: Digest) -> bool {
+    async fn request_trial(&self, others: &PeerNetwork, digest: Digest) -> bool {
         let keepers = others.fleet.roster().owners(digest.placement_key());
         let me = others.fleet.incarnation();
         let silent = |m: &&Arc<Member>| m.id != me && others.peers.is_unresponsive(m.addr);
         let mut keepers = keepers.iter().filter(|m| !silent(m));
         let Some(first) = keepers.next() else {
-            return self.grant(digest);
+            return self.grant_trial(digest);
         };
         // What the other one knows comes first: the one that decides may have stood still while there was a trial.
         for keeper in keepers.filter(|m| m.id != me) {
-            self.ask_keeper(others, digest, keeper, false).await;
+            self.exchange_with_owner(others, digest, keeper, false)
+                .await;
         }
         if first.id == me {
-            self.grant(digest)
+            self.grant_trial(digest)
         } else {
-            self.ask_keeper(others, digest, first, true).await
+            self.exchange_with_owner(others, digest, first, true).await
         }
     }
 
     /// Exchanges with an instance what is known of a request; returns whether that one has granted a trial.
-    async fn ask_keeper(
+    async fn exchange_with_owner(
         &self,
         others: &PeerNetwork,
         digest: Digest,
@@ -229,7 +233,10 @@
         let Some(word) = self.table().record(now, digest) else {
             return false;
         };
-        let ask = AskTrial { word, decides };
+        let ask = TrialRequest {
+            record: word,
+            may_grant: decides,
+        };
         let trial = match others.peers.request_trial(keeper.addr, &ask).await {
             Ok(trial) => trial,
             Err(why) => {
@@ -238,30 +245,30 @@
                 return false;
             }
         };
-        if let Some(word) = &trial.word {
-            self.change(|table, now| table.merge(now, word, false));
+        if let Some(word) = &trial.record {
+            self.update(|table, now| table.merge(now, word, false));
         }
         trial.granted
     }
 
-    fn grant(&self, digest: Digest) -> bool {
-        self.change(|table, now| table.grant_trial(now, digest))
+    fn grant_trial(&self, digest: Digest) -> bool {
+        self.update(|table, now| table.grant_trial(now, digest))
     }
 
     /// Answers an instance that asks whether a request may be tried.
-    pub(crate) fn try_for(&self, ask: &AskTrial) -> Trial {
-        let digest = ask.word.digest;
-        self.change(|table, now| table.merge(now, &ask.word, true));
-        let granted = ask.decides && self.grant(digest);
+    pub(crate) fn answer_trial_request(&self, ask: &TrialRequest) -> TrialResponse {
+        let digest = ask.record.digest;
+        self.update(|table, now| table.merge(now, &ask.record, true));
+        let granted = ask.may_grant && self.grant_trial(digest);
         let now = self.0.clock.now();
-        Trial {
+        TrialResponse {
             granted,
-            word: self.table().record(now, digest),
+            record: self.table().record(now, digest),
         }
     }
 
     /// Takes the words of another instance; returns what that one lacks.
-    pub(crate) fn hear(&self, fleet: &Fleet, words: &[SuspectRecord]) -> Vec<SuspectRecord> {
+    pub(crate) fn merge(&self, fleet: &Fleet, words: &[SuspectRecord]) -> Vec<SuspectRecord> {
         let me = fleet.incarnation();
         let keeps = |word: &SuspectRecord| {
             let keepers = fleet.roster().owners(word.digest.placement_key());
@@ -269,7 +276,7 @@
         };
         let heard = words.iter().map(|word| (word, keeps(word)));
         let heard: Vec<(&SuspectRecord, bool)> = heard.collect();
-        self.change(|table, now| {
+        self.update(|table, now| {
             let lacks = heard.into_iter();
             let lacks = lacks.filter_map(|(word, keeps)| table.merge(now, word, keeps));
             lacks.collect()
@@ -283,30 +290,30 @@
     }
 
     /// Logs what another instance told when it was asked.
-    pub(crate) fn learnt(&self, from: SocketAddr, words: usize) {
+    pub(crate) fn log_received(&self, from: SocketAddr, words: usize) {
         let detail = format_args!("from={from} what=suspects words={words}");
         self.0.log.note(Event::NewsFromPeer, detail);
     }
 
     /// Waits until something may have to be told.
-    pub(crate) async fn wait_changed(&self) {
+    pub(crate) async fn wait_for_updates(&self) {
         self.0.changed.notified().await;
     }
 
     /// Returns what is to be told now, each with whether all instances are told, or those that keep it.
-    pub(crate) fn due(&self) -> Vec<(SuspectRecord, bool)> {
+    pub(crate) fn updates_to_send(&self) -> Vec<(SuspectRecord, bool)> {
         let now = self.0.clock.now();
         self.table().updates_to_send(now)
     }
 
     /// Returns the next words in turn of those that all instances should know.
-    pub(crate) fn page(&self, most: usize) -> Vec<SuspectRecord> {
+    pub(crate) fn next_page(&self, most: usize) -> Vec<SuspectRecord> {
         let now = self.0.clock.now();
         self.table().next_page(now, most)
     }
 
     /// Waits until something may have to be written to the store.
-    pub(crate) async fn wait_unsaved(&self) {
+    pub(crate) async fn wait_for_unsaved(&self) {
         self.0.unsaved.notified().await;
     }
 
@@ -322,17 +329,17 @@
     }
 
     /// Notes what the store has of a request.
-    pub(crate) fn saved(&self, digest: Digest, word: Option<&SuspectRecord>) {
+    pub(crate) fn mark_saved(&self, digest: Digest, word: Option<&SuspectRecord>) {
         self.table().mark_saved(digest, word);
     }
 
     /// Takes what the store has of a request.
     pub(crate) fn load(&self, word: SuspectRecord) {
-        self.change(|table, now| table.load(now, word));
+        self.update(|table, now| table.load(now, word));
     }
 }
 
 fn refusal(blame: &CrashHistory) -> Refusal {
-    let retry_ms = blame.retry_ms.unwrap_or(RETRY_NEVER_MS);
+    let retry_ms = blame.retry_ms.unwrap_or(RETRY_NO_TRIAL_LEFT_MS);
     Refusal::new(Kind::EndsUpstreams, blame.to_string()).back_at(retry_ms)
 }
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -345,7 +345,7 @@
             EntryChange::Unchanged => return None,
             EntryChange::Restarted { ended } => {
                 self.0.dialer.cut(&ended);
-                self.0.suspects.ended(&ended);
+                self.0.suspects.upstream_crashed(&ended);
                 Event::UpstreamReborn
             }
             EntryChange::New | EntryChange::Leaving if leaving => {
@@ -376,7 +376,7 @@
             self.0.dialer.forget(&incarnation);
             let detail = format_args!("upstream={incarnation}");
             self.0.log.note(Event::UpstreamGone, detail);
-            self.0.suspects.ended(&incarnation);
+            self.0.suspects.upstream_crashed(&incarnation);
         }
     }
 }
--- a/crates/proxy/tests/encoding/mod.rs
+++ b/crates/proxy/tests/encoding/mod.rs
@@ -7,7 +7,7 @@
 use crate::fleet::Member;
 use crate::peers::{TokenHandover, TokenRequest};
 use crate::replication::{DeltaRequest, DeltaResponse};
-use crate::suspects::{AskTrial, Trial};
+use crate::suspects::{TrialRequest, TrialResponse};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -25,8 +25,8 @@
     assert_kept::<Drawn>(include_str!("../data/outer/drawn.json"));
     assert_kept::<DeltaRequest>(include_str!("../data/outer/asks.json"));
     assert_kept::<DeltaResponse>(include_str!("../data/outer/passed.json"));
-    assert_kept::<AskTrial>(include_str!("../data/outer/ask_trials.json"));
-    assert_kept::<Trial>(include_str!("../data/outer/trials.json"));
+    assert_kept::<TrialRequest>(include_str!("../data/outer/ask_trials.json"));
+    assert_kept::<TrialResponse>(include_str!("../data/outer/trials.json"));
 }
 
 /// Guards what an instance of an earlier version sends, which lacks these fields.
