--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -79,11 +79,12 @@
         pool.end(self.router.clock.now(), key, ticket, self.outcome);
         drop(pool);
         match self.outcome {
-            Outcome::InvalidResponse if stays => {
-                self.router.suspects.broke(&self.choice.spec, self.digest)
-            }
+            Outcome::InvalidResponse if stays => self
+                .router
+                .suspects
+                .connection_broke(&self.choice.spec, self.digest),
             // An error may be one that the upstream answers with before it runs anything.
-            Outcome::Success => self.router.suspects.answered(self.digest),
+            Outcome::Success => self.router.suspects.request_answered(self.digest),
             _ => {}
         }
     }
@@ -242,7 +243,7 @@
         if let Some(conn) = job.router.dialer.kept(&incarnation) {
             return Ok((slot, conn));
         }
-        let sharers = job.router.fleet.sharers();
+        let sharers = job.router.fleet.instance_count();
         let most = max_connections(job.traits.connections as usize, sharers);
         let target = Target {
             upstream: &incarnation,
@@ -373,7 +374,7 @@
         pool.incarnation(slot.choice.key)
     };
     if reading.leaving {
-        job.router.listing.leaving(&incarnation, "answer");
+        job.router.listing.mark_leaving(&incarnation, "answer");
     }
     update_limit(job, slot, reading, status, &incarnation);
     let Some(rest) = reading.rest else {
--- a/crates/proxy/src/bank/draw.rs
+++ b/crates/proxy/src/bank/draw.rs
@@ -12,7 +12,7 @@
 use crate::event::Event;
 use crate::fleet::Member;
 use crate::peers::CALL_TIMEOUT;
-use crate::roster::Area;
+use crate::roster::HomeScope;
 
 /// A home waits so long for the store and for other homes: less than the instance that draws waits for
 /// the home.
@@ -105,10 +105,10 @@
         let draw = self.draw(home, customer, tokens, size);
         let bytes = serde_json::to_vec(&draw).map_or(0, |d| d.len());
         let Sender { fleet, traffic, .. } = &self.means().sender;
-        traffic.count("draws", fleet.roster().is_near(home.addr), bytes);
+        traffic.count("draws", fleet.roster().is_same_zone(home.addr), bytes);
         let (bank, addr) = (self.clone(), home.addr);
         let call = async move {
-            let drawn = bank.means().peers.draw(addr, &draw).await?;
+            let drawn = bank.means().peers.draw_tokens(addr, &draw).await?;
             if let Drawn::Tokens(given) = &drawn {
                 bank.with(&draw.customer, |h| {
                     h.receive_tokens(&draw.spent.from, given);
@@ -133,14 +133,14 @@
         match timeout(CALL_TIMEOUT, tokio::spawn(call)).await {
             Ok(ended) => ended.expect("a call does not panic"),
             Err(_) => {
-                self.means().peers.rest(peer.addr);
+                self.means().peers.back_off(peer.addr);
                 Err("no answer in time".to_string())
             }
         }
     }
 
     fn draw(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> Draw {
-        let zone = self.area(customer) == Area::Zone;
+        let zone = self.area(customer) == HomeScope::Zone;
         self.open_holding(customer, |h| Draw {
             customer: customer.to_string(),
             tokens,
--- a/crates/proxy/src/bank/handover.rs
+++ b/crates/proxy/src/bank/handover.rs
@@ -13,8 +13,8 @@
 use super::{Bank, TRIES};
 use crate::event::Event;
 use crate::fleet::Member;
-use crate::peers::{Gift, Want};
-use crate::roster::Area;
+use crate::peers::{TokenHandover, TokenRequest};
+use crate::roster::HomeScope;
 
 /// A stopping instance tries the store for so long before it gives its tokens to others.
 const LEAVE_STORE: Duration = Duration::from_millis(250);
@@ -30,7 +30,7 @@
             };
             let (bank, from) = (self.clone(), peer.clone());
             let call = async move {
-                let given = bank.means().peers.take(from.addr, &want).await?;
+                let given = bank.means().peers.request_tokens(from.addr, &want).await?;
                 bank.receive(&want.customer, &given);
                 Ok(())
             };
@@ -45,19 +45,19 @@
     /// the own zone, and among them each time others, since no one knows who has tokens.
     fn askable(&self, customer: &str) -> Vec<Arc<Member>> {
         let fleet = &self.means().fleet;
-        let homes = fleet.homes_besides(customer, Area::Fleet);
-        let mut others = fleet.others();
+        let homes = fleet.other_homes(customer, HomeScope::Fleet);
+        let mut others = fleet.peers();
         others.shuffle(&mut rand::rng());
         let is_home = |m: &Member| homes.iter().any(|h| h.id == m.id);
         others.sort_by_key(|m| (!is_home(m), m.zone != fleet.zone()));
         others
     }
 
-    fn want(&self, customer: &str) -> Option<Want> {
+    fn want(&self, customer: &str) -> Option<TokenRequest> {
         let accounts = self.0.accounts.lock().expect("no panic inside");
         let holding = &accounts.get(customer)?.holding;
         let tokens = holding.shortfall();
-        (tokens > 0).then(|| Want {
+        (tokens > 0).then(|| TokenRequest {
             from: self.me(),
             customer: customer.to_string(),
             tokens,
@@ -85,7 +85,7 @@
     }
 
     /// Takes tokens from an instance that leaves; returns whether this one serves their customer.
-    pub(crate) fn accept(&self, gift: &Gift) -> bool {
+    pub(crate) fn accept(&self, gift: &TokenHandover) -> bool {
         let me = self.me();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let Some(account) = accounts.get_mut(&gift.customer) else {
@@ -143,7 +143,7 @@
                 return false;
             };
             let gift = self.gift(peer, customer);
-            let given = means.peers.give(peer.addr, &gift).await;
+            let given = means.peers.hand_over_tokens(peer.addr, &gift).await;
             all &= given == Ok(true);
             let detail = format_args!("to={} gift={gift:?} given={given:?}", peer.id);
             self.0.log.note(Event::Transfer, detail);
@@ -155,7 +155,7 @@
     async fn staying(&self) -> Vec<Member> {
         let means = self.means();
         let mut pings = JoinSet::new();
-        for peer in means.fleet.others() {
+        for peer in means.fleet.peers() {
             let peers = means.peers.clone();
             pings.spawn(async move {
                 // The list may show one that was there before.
@@ -179,8 +179,8 @@
     }
 
     /// Debits all that is left of a customer's tokens, for another instance, and passes on what was spent.
-    fn gift(&self, peer: &Member, customer: &str) -> Gift {
-        self.open_holding(customer, |h| Gift {
+    fn gift(&self, peer: &Member, customer: &str) -> TokenHandover {
+        self.open_holding(customer, |h| TokenHandover {
             customer: customer.to_string(),
             given: self.tell(&peer.id, h.transfer_all(&peer.id)),
             spent: self.tell(&peer.id, h.forward_spending(&peer.id)),
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -17,27 +17,27 @@
 
 use crate::bank::{Bank, Means};
 use crate::calls::Calls;
-use crate::config::{ColdBounds, Config, Works};
+use crate::config::{ColdStartTolerance, Config, ConfigDeps};
 use crate::datagram::{self, Sender};
 use crate::dialect::Dialect;
 use crate::evacuation::Evacuations;
 use crate::event::Event;
 use crate::fleet::{Fleet, Member};
-use crate::follow::Feed;
-use crate::kept::Kept;
+use crate::follower::FollowContext;
 use crate::listen::{self, Phase};
-use crate::listing::Listing;
 use crate::log::Log;
 use crate::metric::Metrics;
-use crate::notices::{Effects, Notices};
+use crate::notices::{NoticeHandler, Notices};
 use crate::ops::{Ops, Ready};
-use crate::peers::{self, Desk, Peers};
-use crate::reach::Reach;
+use crate::peers::{self, PeerService, Peers};
 use crate::relay::Relay;
 use crate::router::Router;
+use crate::store_health::StoreHealth;
+use crate::suspect_gossip::PeerNetwork;
+use crate::suspect_store::SuspectStore;
 use crate::suspects::Suspects;
-use crate::tell::Others;
 use crate::traffic::Traffic;
+use crate::upstream_list::UpstreamList;
 
 /// Largest body that the readiness and operators' listeners take, in bytes.
 const OPS_BODY_LIMIT: usize = 1 << 16;
@@ -99,12 +99,12 @@
         let bound = listen::bind(settings.listen()).await;
         let (listener, addr) = bound.map_err(|e| anyhow!("callers' listener: {e}"))?;
 
-        let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
+        let reach = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
         let calls = Calls::open(clock, Arc::clone(&reach));
         let relay = Relay::open(clock, Arc::clone(&reach));
         let peers = Peers::default();
-        let feed = Feed {
-            reach: Arc::clone(&reach),
+        let feed = FollowContext {
+            store_health: Arc::clone(&reach),
             relay: relay.clone(),
             peers: peers.clone(),
         };
@@ -112,14 +112,14 @@
         let pool = Arc::new(Mutex::new(pool(&fleet_settings)));
         let dialer = Dialer::default();
         let notices = Notices::default();
-        let config = Config::open(Works {
+        let config = Config::open(ConfigDeps {
             dialect: Arc::clone(&dialect),
             bank: bank.clone(),
             log: Arc::clone(&log),
             notices: notices.clone(),
             relay: relay.clone(),
             pool: Arc::clone(&pool),
-            bounds: cold_bounds(&fleet_settings),
+            cold_start_tolerance: cold_bounds(&fleet_settings),
         });
         let evacuations = Evacuations::open(
             Arc::clone(&dialect),
@@ -129,7 +129,7 @@
             clock,
         );
         let suspects = Suspects::open(&settings.name, clock, Arc::clone(&log), dialer.clone());
-        let listing = Listing::open(
+        let listing = UpstreamList::open(
             Arc::clone(&dialect),
             Arc::clone(&pool),
             dialer.clone(),
@@ -157,7 +157,7 @@
             clock,
         );
         let traffic = Traffic::default();
-        let others = Others {
+        let others = PeerNetwork {
             fleet: fleet.clone(),
             peers: peers.clone(),
             sender: Sender {
@@ -197,32 +197,32 @@
         listing.spawn(calls.store("upstreams", &store), feed);
         fleet.spawn();
         notices.spawn(&others, &config);
-        let desk = Desk {
+        let desk = PeerService {
             bank: bank.clone(),
             suspects: suspects.clone(),
-            effects: Effects {
+            notice_handler: NoticeHandler {
                 notices,
                 config,
-                listing,
+                upstreams: listing,
                 evacuations,
                 relay,
             },
             traffic: traffic.clone(),
         };
-        suspects.spawn_tell(&others);
-        desk.effects.spawn_limit_query(&others);
-        let kept = Kept {
+        suspects.spawn_gossip(&others);
+        desk.notice_handler.spawn_limit_query(&others);
+        let kept = SuspectStore {
             suspects,
             fleet: fleet.clone(),
             store: calls.store("suspects", &store),
-            reach: Arc::clone(&reach),
+            store_health: Arc::clone(&reach),
             log: Arc::clone(&log),
             revisions: HashMap::new(),
         };
         tokio::spawn(kept.run());
         datagram::spawn(&others, Arc::clone(&router.pool), desk.clone(), clock);
         let peer = peers::serve(server, desk.clone());
-        peers.spawn_news(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
+        peers.spawn_sync(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
         bank.spawn(Means {
             store: calls.store("budgets", &store),
             reach,
@@ -249,7 +249,7 @@
         };
         let detail = format_args!(
             "id={} zone={} callers={addr} peers={peer_addr} ready={} metrics={}",
-            router.fleet.me(),
+            router.fleet.incarnation(),
             settings.zone,
             ready.addr(),
             ops.as_ref()
@@ -314,7 +314,7 @@
         }
         let said = timeout(LAST_WORDS / 2, router.bank.leave()).await == Ok(true);
         // What is not ended by then ends by itself.
-        let _ = timeout(LAST_WORDS / 4, router.fleet.leave()).await;
+        let _ = timeout(LAST_WORDS / 4, router.fleet.deregister()).await;
         self.calls.log(&router.log);
         let detail = format_args!("cut={} handed_back={said}", self.inflight());
         router.log.note(Event::Stopped, detail);
@@ -345,9 +345,9 @@
     }
 }
 
-fn cold_bounds(fleet: &conf::Fleet) -> ColdBounds {
-    ColdBounds {
-        over: fleet.cold_over.unwrap_or(1.0),
+fn cold_bounds(fleet: &conf::Fleet) -> ColdStartTolerance {
+    ColdStartTolerance {
+        factor: fleet.cold_over.unwrap_or(1.0),
         slack: fleet.cold_slack.unwrap_or_default(),
     }
 }
