--- a/crates/oriolehitch/src/fleet.rs
+++ b/crates/oriolehitch/src/fleet.rs
@@ -23,7 +23,7 @@
 /// Returns why the instance can't start.
 pub async fn run(file: &Path, settings: Settings) -> Result<Outcome> {
     log::start_plain(settings.log.as_deref());
-    proxy::end_on_panic();
+    proxy::exit_on_panic();
     let mut signals = Signals::open()?;
     let mut hangup = signal(SignalKind::hangup())?;
     let mut look = interval(LOOK_EVERY);
--- a/crates/oriolehitch/src/load.rs
+++ b/crates/oriolehitch/src/load.rs
@@ -35,7 +35,7 @@
                 let ended = ended.entry(what).or_default();
                 add(ended.entry(source).or_default(), what, sum);
             }
-        } else if line.event == Event::Load.row().id {
+        } else if line.event == Event::ResourceUsage.row().id {
             for (what, value) in line.detail.split(' ').filter_map(parse) {
                 let known = newest.entry(what).or_default().entry(source).or_default();
                 *known = value.max(*known);
--- a/crates/oriolehitch/src/tokens.rs
+++ b/crates/oriolehitch/src/tokens.rs
@@ -97,9 +97,9 @@
         let detail = line.detail.as_str();
         if line.event == Event::Started.row().id {
             *self.incarnations.entry(source.to_string()).or_default() += 1;
-        } else if line.event == Event::Grant.row().id {
+        } else if line.event == Event::GrantChanged.row().id {
             self.granted(source, detail);
-        } else if line.event == Event::LeftBehind.row().id {
+        } else if line.event == Event::PreviousIncarnationTokens.row().id {
             // What an instance found in the store of its predecessor, whose own last lines may be lost.
             self.take_part(source, 1, detail);
         } else if line.event == Event::Answered.row().id {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -218,7 +218,7 @@
             job.attempts, job.digest
         );
         let log = &job.router.log;
-        log.request(Event::AttemptFailed, &job.ask.id, detail);
+        log.request_event(Event::AttemptFailed, &job.ask.id, detail);
         if let Some(charge) = job.charge.as_mut().filter(|_| !job.may_be_answered) {
             charge.nothing_came();
         }
@@ -258,7 +258,7 @@
             Err(e) => {
                 let detail = format_args!("upstream={} connect={e:?}", spec.id);
                 let log = &job.router.log;
-                log.request(Event::AttemptFailed, &job.ask.id, detail);
+                log.request_event(Event::AttemptFailed, &job.ask.id, detail);
                 let outcome = match e {
                     ConnectError::Full => Outcome::Refused,
                     ConnectError::Refused(_) | ConnectError::Unreachable(_) => {
@@ -395,7 +395,7 @@
     if longer {
         let detail = format_args!("upstream={incarnation} rests_ms={ms}");
         let log = &job.router.log;
-        log.request(Event::UpstreamSaid, &job.ask.id, detail);
+        log.request_event(Event::UpstreamPaused, &job.ask.id, detail);
     }
 }
 
@@ -414,7 +414,7 @@
         let per_sec = limit.map(RateLimit::as_per_sec);
         let detail = format_args!("upstream={incarnation} per_sec={per_sec:?} source=answer");
         let log = &job.router.log;
-        log.request(Event::UpstreamLimit, &job.ask.id, detail);
+        log.request_event(Event::UpstreamLimitChanged, &job.ask.id, detail);
     }
 }
 
--- a/crates/proxy/src/bank/charge.rs
+++ b/crates/proxy/src/bank/charge.rs
@@ -55,7 +55,7 @@
         if spent > reserved {
             let customer = &self.customer;
             let detail = format_args!("customer={customer} spent={spent} reserved={reserved}");
-            self.bank.0.log.note(Event::Excess, detail);
+            self.bank.0.log.event(Event::TokensExceeded, detail);
         }
         let spent = spent.min(reserved);
         let mut accounts = self.bank.0.accounts.lock().expect("no panic inside");
--- a/crates/proxy/src/bank/draw.rs
+++ b/crates/proxy/src/bank/draw.rs
@@ -118,7 +118,7 @@
         };
         self.debiting(home, call).await.unwrap_or_else(|why| {
             let detail = format_args!("customer={customer} from={} failed={why}", home.id);
-            self.0.log.note(Event::Transfer, detail);
+            self.0.log.event(Event::TokenTransfer, detail);
             Drawn::NotHere
         })
     }
--- a/crates/proxy/src/bank/handover.rs
+++ b/crates/proxy/src/bank/handover.rs
@@ -36,7 +36,7 @@
             };
             if let Err(why) = self.debiting(peer, call).await {
                 let detail = format_args!("customer={customer} from={} failed={why}", peer.id);
-                self.0.log.note(Event::Transfer, detail);
+                self.0.log.event(Event::TokenTransfer, detail);
             }
         }
     }
@@ -76,7 +76,7 @@
             return;
         }
         let detail = format_args!("customer={customer} from={from} tokens={tokens}");
-        self.0.log.note(Event::Transfer, detail);
+        self.0.log.event(Event::TokenTransfer, detail);
     }
 
     /// Returns whether a stop has begun to hand back tokens.
@@ -146,7 +146,7 @@
             let given = means.peers.give(peer.addr, &gift).await;
             all &= given == Ok(true);
             let detail = format_args!("to={} gift={gift:?} given={given:?}", peer.id);
-            self.0.log.note(Event::Transfer, detail);
+            self.0.log.event(Event::TokenTransfer, detail);
         }
         all
     }
--- a/crates/proxy/src/bank/records.rs
+++ b/crates/proxy/src/bank/records.rs
@@ -177,7 +177,7 @@
 
     fn broken(&self, key: &str, why: &str) {
         let detail = format_args!("key={key} why={why}");
-        self.0.log.note(Event::RecordBroken, detail);
+        self.0.log.event(Event::BudgetRecordInvalid, detail);
     }
 
     /// Returns whether the store has a newer own book than is known.
@@ -209,7 +209,7 @@
             shown(known.map(|r| r.spent)),
             holding.prepaid(),
         );
-        self.0.log.note(Event::Grant, detail);
+        self.0.log.event(Event::GrantChanged, detail);
     }
 
     /// Logs what the incarnation before this one left charged.
@@ -217,6 +217,6 @@
         let (granted, returned, spent) = (line.granted, line.returned, line.spent);
         let detail =
             format_args!("customer={customer} granted={granted} returned={returned} spent={spent}");
-        self.0.log.note(Event::LeftBehind, detail);
+        self.0.log.event(Event::PreviousIncarnationTokens, detail);
     }
 }
--- a/crates/proxy/src/bank/refill.rs
+++ b/crates/proxy/src/bank/refill.rs
@@ -196,7 +196,7 @@
             Ok(Commit::LeaseEnded) => Wrote::Failed,
             Err(failure) => {
                 let detail = format_args!("what=budgets why={failure:?}");
-                self.0.log.note(Event::WriteFailed, detail);
+                self.0.log.event(Event::StoreWriteFailed, detail);
                 Wrote::Failed
             }
         }
--- a/crates/proxy/src/calls.rs
+++ b/crates/proxy/src/calls.rs
@@ -97,7 +97,7 @@
         let word = |(call, count): (&Call, &Counter)| format!("{call}={}", count.get());
         let text: Vec<String> = counts.iter().map(word).collect();
         drop(counts);
-        log.note(Event::StoreCalls, text.join(" "));
+        log.event(Event::StoreCalls, text.join(" "));
     }
 
     fn count(&self, call: Call) {
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -91,7 +91,7 @@
             Ok(routing) => routing,
             Err(why) => {
                 let detail = format_args!("source={source} why={why}");
-                self.0.works.log.note(Event::ConfigBroken, detail);
+                self.0.works.log.event(Event::ConfigInvalid, detail);
                 return;
             }
         };
@@ -114,7 +114,7 @@
         });
         let previous = active.replace(Arc::clone(&next));
         drop(active);
-        self.0.works.log.note(Event::ConfigInForce, detail);
+        self.0.works.log.event(Event::ConfigApplied, detail);
         self.spread(previous.as_deref(), &next);
     }
 
@@ -161,7 +161,7 @@
         }
         drop(revoked);
         let detail = format_args!("what=revoked version={version}");
-        self.0.works.log.note(Event::NewsFromPeer, detail);
+        self.0.works.log.event(Event::PeerUpdate, detail);
     }
 
     fn forget_revoked(&self, version: u64) {
--- a/crates/proxy/src/evacuation.rs
+++ b/crates/proxy/src/evacuation.rs
@@ -96,9 +96,9 @@
         let event = if evacuated {
             Event::ZoneEvacuated
         } else {
-            Event::ZoneBack
+            Event::ZoneRestored
         };
         let detail = format_args!("zone={zone} source={source}");
-        self.0.log.note(event, detail);
+        self.0.log.event(event, detail);
     }
 }
--- a/crates/proxy/src/event.rs
+++ b/crates/proxy/src/event.rs
@@ -13,53 +13,53 @@
     /// A planned stop has ended.
     Stopped,
     /// Log lines were left out.
-    LogCut,
+    LogLinesDropped,
     /// The settings file changed, or a signal said so.
-    Reloaded,
+    SettingsReloaded,
     /// An invariant failed: the process ends at once.
-    Broken,
+    InvariantFailed,
     /// The own link is full: new connections are wanted elsewhere.
-    LinkFull,
+    LinkCongested,
     /// The own link is free again.
-    LinkFree,
+    LinkRecovered,
     /// Another configuration is in force.
-    ConfigInForce,
+    ConfigApplied,
     /// A configuration can't be read; the one before stays in force.
-    ConfigBroken,
+    ConfigInvalid,
     /// The store does not answer.
-    StoreLost,
+    StoreUnavailable,
     /// The store answers again.
-    StoreBack,
+    StoreRecovered,
     /// A write to the store was not carried out, or it is not known whether.
-    WriteFailed,
+    StoreWriteFailed,
     /// How many calls of the store were made, by task, call, end and state of the store.
     StoreCalls,
     /// News came from another instance.
-    NewsFromPeer,
+    PeerUpdate,
     /// The list of instances changed.
-    Members,
+    MembershipChanged,
     /// What this instance has sent to others so far, and what it keeps.
-    Load,
+    ResourceUsage,
     /// An upstream is new; of more than 16 that come together only `count`.
-    UpstreamNew,
+    UpstreamAdded,
     /// An upstream started again under its name.
-    UpstreamReborn,
+    UpstreamRestarted,
     /// An upstream is leaving.
     UpstreamLeaving,
     /// An upstream is no longer listed.
-    UpstreamGone,
+    UpstreamRemoved,
     /// An upstream's entry can't be read.
-    UpstreamBroken,
+    UpstreamEntryInvalid,
     /// An upstream ended without having said that it leaves, while requests ran there.
-    UpstreamEnded,
+    UpstreamCrashed,
     /// An upstream's answer says that it leaves, or wants nothing for a while.
-    UpstreamSaid,
+    UpstreamPaused,
     /// The request rate limit that an upstream advertises in its answers changed.
-    UpstreamLimit,
+    UpstreamLimitChanged,
     /// A zone is evacuated: its upstreams get nothing.
     ZoneEvacuated,
     /// A zone is no longer evacuated: its upstreams get requests again, few while they are cold.
-    ZoneBack,
+    ZoneRestored,
     /// A request was answered.
     Answered,
     /// A request was refused, or failed.
@@ -67,29 +67,29 @@
     /// An attempt at an upstream failed.
     AttemptFailed,
     /// An answer broke off.
-    Cut,
+    ResponseAborted,
     /// A caller left before its answer.
-    CallerLeft,
+    CallerDisconnected,
     /// A stream was taken up at another upstream.
-    Resumed,
+    StreamResumed,
     /// Upstreams have ended under a request.
-    Suspected,
+    RequestSuspected,
     /// A request is tried under which upstreams have ended.
-    Tried,
+    SuspectTrial,
     /// A request under which upstreams have ended was answered.
-    Cleared,
+    SuspectCleared,
     /// What the store has of a suspected request can't be read.
-    SuspectBroken,
+    SuspectRecordInvalid,
     /// An upstream made more than was asked for.
-    Excess,
+    TokensExceeded,
     /// Tokens were taken from, or handed back to, a budget.
-    Grant,
+    GrantChanged,
     /// Tokens came from another instance.
-    Transfer,
+    TokenTransfer,
     /// A budget's record can't be read.
-    RecordBroken,
+    BudgetRecordInvalid,
     /// The incarnation before this one left tokens charged.
-    LeftBehind,
+    PreviousIncarnationTokens,
 }
 
 /// Every event of the proxy.
@@ -97,71 +97,106 @@
     row(Event::Started, 2001, Level::INFO, "started"),
     row(Event::Stopping, 2002, Level::INFO, "stopping"),
     row(Event::Stopped, 2003, Level::INFO, "stopped"),
-    row(Event::LogCut, 2004, Level::WARN, "log lines left out"),
-    row(Event::Reloaded, 2005, Level::INFO, "settings read again"),
     row(
-        Event::Broken,
+        Event::LogLinesDropped,
+        2004,
+        Level::WARN,
+        "log lines left out",
+    ),
+    row(
+        Event::SettingsReloaded,
+        2005,
+        Level::INFO,
+        "settings read again",
+    ),
+    row(
+        Event::InvariantFailed,
         2006,
         Level::ERROR,
         "invariant failed, process ends",
     ),
-    row(Event::LinkFull, 2007, Level::WARN, "own link is full"),
-    row(Event::LinkFree, 2008, Level::INFO, "own link is free again"),
+    row(Event::LinkCongested, 2007, Level::WARN, "own link is full"),
     row(
-        Event::ConfigInForce,
+        Event::LinkRecovered,
+        2008,
+        Level::INFO,
+        "own link is free again",
+    ),
+    row(
+        Event::ConfigApplied,
         2101,
         Level::INFO,
         "configuration in force",
     ),
     row(
-        Event::ConfigBroken,
+        Event::ConfigInvalid,
         2102,
         Level::ERROR,
         "configuration can't be read",
     ),
-    row(Event::StoreLost, 2201, Level::WARN, "store does not answer"),
-    row(Event::StoreBack, 2202, Level::INFO, "store answers again"),
-    row(Event::WriteFailed, 2203, Level::WARN, "write failed"),
+    row(
+        Event::StoreUnavailable,
+        2201,
+        Level::WARN,
+        "store does not answer",
+    ),
+    row(
+        Event::StoreRecovered,
+        2202,
+        Level::INFO,
+        "store answers again",
+    ),
+    row(Event::StoreWriteFailed, 2203, Level::WARN, "write failed"),
     row(Event::StoreCalls, 2204, Level::INFO, "calls of the store"),
     row(
-        Event::NewsFromPeer,
+        Event::PeerUpdate,
         2301,
         Level::INFO,
         "news from another instance",
     ),
-    row(Event::Members, 2302, Level::INFO, "instances changed"),
-    row(Event::Load, 2303, Level::INFO, "traffic between instances"),
-    row(Event::UpstreamNew, 2401, Level::INFO, "upstream listed"),
+    row(
+        Event::MembershipChanged,
+        2302,
+        Level::INFO,
+        "instances changed",
+    ),
+    row(
+        Event::ResourceUsage,
+        2303,
+        Level::INFO,
+        "traffic between instances",
+    ),
+    row(Event::UpstreamAdded, 2401, Level::INFO, "upstream listed"),
     row(
         Event::UpstreamLeaving,
         2402,
         Level::INFO,
         "upstream leaving",
     ),
-    row(Event::UpstreamGone, 2403, Level::INFO, "upstream gone"),
+    row(Event::UpstreamRemoved, 2403, Level::INFO, "upstream gone"),
     row(
-        Event::UpstreamBroken,
+        Event::UpstreamEntryInvalid,
         2404,
         Level::ERROR,
         "upstream's entry can't be read",
     ),
     row(
-        Event::UpstreamReborn,
+        Event::UpstreamRestarted,
         2405,
         Level::INFO,
         "upstream started again under its name",
     ),
-    row(Event::UpstreamEnded, 2406, Level::WARN, "upstream ended"),
+    row(Event::UpstreamCrashed, 2406, Level::WARN, "upstream ended"),
     row(
-        Event::UpstreamSaid,
+        Event::UpstreamPaused,
         2407,
         Level::INFO,
         "upstream's word in an answer",
     ),
     row(Event::ZoneEvacuated, 2408, Level::WARN, "zone evacuated"),
-    row(Event::ZoneBack, 2409, Level::INFO, "zone in use again"),
+    row(Event::ZoneRestored, 2409, Level::INFO, "zone in use again"),
     row(
-        Event::UpstreamLimit,
+        Event::UpstreamLimitChanged,
         2410,
         Level::INFO,
         "upstream's request rate limit changed",
@@ -169,54 +204,59 @@
     row(Event::Answered, 2501, Level::INFO, "answered"),
     row(Event::Refused, 2502, Level::INFO, "refused"),
     row(Event::AttemptFailed, 2503, Level::INFO, "attempt failed"),
-    row(Event::Cut, 2504, Level::WARN, "answer broke off"),
-    row(Event::CallerLeft, 2505, Level::INFO, "caller left"),
-    row(Event::Resumed, 2506, Level::INFO, "stream resumed"),
     row(
-        Event::Suspected,
+        Event::ResponseAborted,
+        2504,
+        Level::WARN,
+        "answer broke off",
+    ),
+    row(Event::CallerDisconnected, 2505, Level::INFO, "caller left"),
+    row(Event::StreamResumed, 2506, Level::INFO, "stream resumed"),
+    row(
+        Event::RequestSuspected,
         2508,
         Level::WARN,
         "upstreams end under a request",
     ),
     row(
-        Event::Tried,
+        Event::SuspectTrial,
         2509,
         Level::WARN,
         "suspected request is tried",
     ),
     row(
-        Event::Cleared,
+        Event::SuspectCleared,
         2510,
         Level::INFO,
         "suspected request answered",
     ),
     row(
-        Event::SuspectBroken,
+        Event::SuspectRecordInvalid,
         2511,
         Level::ERROR,
         "suspected request can't be read",
     ),
     row(
-        Event::Excess,
+        Event::TokensExceeded,
         2507,
         Level::WARN,
         "more tokens than asked for",
     ),
-    row(Event::Grant, 2601, Level::INFO, "grant changed"),
+    row(Event::GrantChanged, 2601, Level::INFO, "grant changed"),
     row(
-        Event::Transfer,
+        Event::TokenTransfer,
         2602,
         Level::INFO,
         "tokens from another instance",
     ),
     row(
-        Event::RecordBroken,
+        Event::BudgetRecordInvalid,
         2603,
         Level::ERROR,
         "budget record can't be read",
     ),
     row(
-        Event::LeftBehind,
+        Event::PreviousIncarnationTokens,
         2604,
         Level::INFO,
         "tokens of the incarnation before",
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -310,7 +310,7 @@
         drop(members);
         if before != after {
             let detail = format_args!("before={before} now={after}");
-            self.0.log.note(Event::Members, detail);
+            self.0.log.event(Event::MembershipChanged, detail);
         }
     }
 
@@ -360,7 +360,7 @@
         if let Err(failure) = self.0.store.end_lease(lease).await {
             // It ends by itself later.
             let detail = format_args!("what=lease why={failure:?}");
-            self.0.log.note(Event::WriteFailed, detail);
+            self.0.log.event(Event::StoreWriteFailed, detail);
         }
     }
 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -91,7 +91,7 @@
         } = parts;
         let fleet_settings = settings.fleet.clone().unwrap_or_default();
         let clock = Clock::start();
-        let log = Arc::new(Log::open(clock));
+        let log = Arc::new(Log::new(clock));
         let bound = peers::bind(settings.peer_listen()).await;
         let (server, peer_addr) = bound.map_err(|e| anyhow!("peer listener: {e}"))?;
         let bound = datagram::bind(peer_addr).await;
@@ -255,7 +255,7 @@
             ops.as_ref()
                 .map_or("-".to_string(), |o| o.addr().to_string()),
         );
-        log.note(Event::Started, detail);
+        log.event(Event::Started, detail);
         let stop_by = fleet_settings.stop_secs.map(Duration::from_secs_f64);
         Ok(Instance {
             router,
@@ -270,7 +270,7 @@
 
     /// Logs that the settings were read again.
     pub fn reloaded(&self, what: &str) {
-        self.router.log.note(Event::Reloaded, what);
+        self.router.log.event(Event::SettingsReloaded, what);
     }
 
     /// Returns the requests under way.
@@ -297,7 +297,7 @@
         let inflight = self.inflight();
         router
             .log
-            .note(Event::Stopping, format_args!("inflight={inflight}"));
+            .event(Event::Stopping, format_args!("inflight={inflight}"));
         sleep(NOTICE.min(self.stop_by / 2)).await;
         // Idle connections close; there may be none.
         let _ = self.phase.send(Phase::Closing);
@@ -317,7 +317,7 @@
         let _ = timeout(LAST_WORDS / 4, router.fleet.leave()).await;
         self.calls.log(&router.log);
         let detail = format_args!("cut={} handed_back={said}", self.inflight());
-        router.log.note(Event::Stopped, detail);
+        router.log.event(Event::Stopped, detail);
         self.ready.stop(CLOSE_GRACE);
         if let Some(ops) = &self.ops {
             ops.stop(CLOSE_GRACE);
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -154,6 +154,6 @@
         );
         self.router
             .log
-            .request(Event::Answered, &self.ask.id, detail);
+            .request_event(Event::Answered, &self.ask.id, detail);
     }
 }
--- a/crates/proxy/src/kept.rs
+++ b/crates/proxy/src/kept.rs
@@ -83,7 +83,7 @@
                 }
                 Err(why) => {
                     let detail = format_args!("key={} why={why}", item.key);
-                    self.log.note(Event::SuspectBroken, detail);
+                    self.log.event(Event::SuspectRecordInvalid, detail);
                 }
             }
         }
@@ -110,7 +110,7 @@
                 Ok(false) => {}
                 Err(failure) => {
                     let detail = format!("what=suspect why={failure:?}");
-                    self.log.note(Event::WriteFailed, detail);
+                    self.log.event(Event::StoreWriteFailed, detail);
                     self.wait().await;
                 }
             }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -47,5 +47,5 @@
 pub use dialect::{AdvertisedLimit, Dialect, Reading, Rest, Word};
 pub use events::Events;
 pub use instance::{Instance, Parts};
-pub use log::end_on_panic;
+pub use log::exit_on_panic;
 pub use refusal::Refusal;
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -118,7 +118,7 @@
         if news {
             self.0.dialer.forget(incarnation);
             let detail = format_args!("upstream={incarnation} source={source}");
-            self.0.log.note(Event::UpstreamLeaving, detail);
+            self.0.log.event(Event::UpstreamLeaving, detail);
         }
         self.spread_leaving(incarnation);
     }
@@ -137,7 +137,7 @@
         if changed {
             let per_sec = limit.rate.map(RateLimit::as_per_sec);
             let detail = format_args!("upstream={incarnation} per_sec={per_sec:?} source=peer");
-            self.0.log.note(Event::UpstreamLimit, detail);
+            self.0.log.event(Event::UpstreamLimitChanged, detail);
         }
     }
 
@@ -313,7 +313,7 @@
             Ok(spec) => spec,
             Err(why) => {
                 let detail = format_args!("key={key} why={why}");
-                self.0.log.note(Event::UpstreamBroken, detail);
+                self.0.log.event(Event::UpstreamEntryInvalid, detail);
                 self.delist(key);
                 return None;
             }
@@ -339,7 +339,7 @@
             EntryChange::Restarted { ended } => {
                 self.0.dialer.cut(&ended);
                 self.0.suspects.ended(&ended);
-                Event::UpstreamReborn
+                Event::UpstreamRestarted
             }
             EntryChange::New | EntryChange::Leaving if leaving => {
                 self.0.dialer.forget(&incarnation);
@@ -347,7 +347,7 @@
             }
             EntryChange::New | EntryChange::Leaving => return Some(detail),
         };
-        self.0.log.note(event, detail);
+        self.0.log.event(event, detail);
         None
     }
 
@@ -355,10 +355,10 @@
     fn log_new(&self, details: &[String]) {
         if details.len() > LINES_MOST {
             let count = format_args!("count={}", details.len());
-            return self.0.log.note(Event::UpstreamNew, count);
+            return self.0.log.event(Event::UpstreamAdded, count);
         }
         for detail in details {
-            self.0.log.note(Event::UpstreamNew, detail);
+            self.0.log.event(Event::UpstreamAdded, detail);
         }
     }
 
@@ -368,7 +368,7 @@
         if let Some(incarnation) = ended {
             self.0.dialer.forget(&incarnation);
             let detail = format_args!("upstream={incarnation}");
-            self.0.log.note(Event::UpstreamGone, detail);
+            self.0.log.event(Event::UpstreamRemoved, detail);
             self.0.suspects.ended(&incarnation);
         }
     }
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -22,7 +22,7 @@
 
 impl Log {
     /// Returns a log whose lines bear the time of a clock.
-    pub(crate) fn open(clock: clock::Clock) -> Log {
+    pub(crate) fn new(clock: clock::Clock) -> Log {
         Log {
             clock,
             ..Log::default()
@@ -30,17 +30,17 @@
     }
 
     /// Writes a line about something besides requests.
-    pub(crate) fn note(&self, event: Event, detail: impl Display) {
+    pub(crate) fn event(&self, event: Event, detail: impl Display) {
         self.line(event, "", detail);
     }
 
     /// Writes a line about a request.
-    pub(crate) fn request(&self, event: Event, id: &str, detail: impl Display) {
+    pub(crate) fn request_event(&self, event: Event, id: &str, detail: impl Display) {
         self.line(event, id, detail);
     }
 
     /// Returns how many lines were left out so far.
-    pub(crate) fn cut(&self) -> u64 {
+    pub(crate) fn dropped_lines(&self) -> u64 {
         self.cut.load(Ordering::Relaxed)
     }
 
@@ -60,7 +60,7 @@
             *window = (now / 1000, 0);
             let cut = before.saturating_sub(LINES_PER_SEC);
             if cut > 0 {
-                write(Event::LogCut, now, "", format_args!("lines={cut}"));
+                write(Event::LogLinesDropped, now, "", format_args!("lines={cut}"));
             }
         }
         window.1 += 1;
@@ -75,11 +75,11 @@
 ///
 /// A failed invariant ends its own task only, and leaves locks that nobody can take any more: the instance
 /// would say that it is ready and answer nothing. A process that has ended is started again.
-pub fn end_on_panic() {
+pub fn exit_on_panic() {
     let print = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         print(info);
-        write(Event::Broken, 0, "", info);
+        write(Event::InvariantFailed, 0, "", info);
         std::process::exit(EXIT_BROKEN);
     }));
 }
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -69,7 +69,7 @@
             "instances": router.fleet.live(),
             "inflight": *router.busy.borrow(),
             "connections": router.dialer.count(),
-            "log_lines_cut": router.log.cut(),
+            "log_lines_cut": router.log.dropped_lines(),
             "budgets": router.bank.dump(),
             "upstreams": upstreams,
             "evacuated": evacuated,
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -370,10 +370,7 @@
             Ok(news) => news,
             Err(why) => {
                 desk.effects.relay.forget(addr);
-                log.note(
-                    Event::NewsFromPeer,
-                    format_args!("from={addr} failed={why}"),
-                );
+                log.event(Event::PeerUpdate, format_args!("from={addr} failed={why}"));
                 return;
             }
         };
@@ -381,7 +378,7 @@
         desk.effects.take(news.evacuations);
         desk.effects.take(news.limits);
         if let Some(config) = news.config {
-            log.note(Event::NewsFromPeer, format_args!("from={addr} what=config"));
+            log.event(Event::PeerUpdate, format_args!("from={addr} what=config"));
             desk.effects.config.offer(config.as_bytes(), "peer");
         }
         for upstream in &news.leaving {
--- a/crates/proxy/src/pipe.rs
+++ b/crates/proxy/src/pipe.rs
@@ -71,7 +71,7 @@
             refusal.error.ran, refusal.retry_ms, refusal.error.message
         );
         let id = ask.map_or("", |a| a.id.as_str());
-        self.log.request(Event::Refused, id, detail);
+        self.log.request_event(Event::Refused, id, detail);
     }
 
     async fn run(
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/plain.rs
@@ -171,12 +171,12 @@
             }
             Ok(Err(why)) => {
                 open.slot.end(Outcome::InvalidResponse);
-                log.request(Event::Cut, &id, why);
+                log.request_event(Event::ResponseAborted, &id, why);
                 // A caller that left needs no end.
                 let _ = tx.send(Err(Cut)).await;
             }
             Err(_) => {
-                log.request(Event::Cut, &id, "deadline");
+                log.request_event(Event::ResponseAborted, &id, "deadline");
                 let _ = tx.try_send(Err(Cut));
             }
         }
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -67,7 +67,7 @@
         self.silent_since.store(0, Ordering::Relaxed);
         if self.out.swap(false, Ordering::Relaxed) {
             self.back_at.store(now, Ordering::Relaxed);
-            self.log.note(Event::StoreBack, "");
+            self.log.event(Event::StoreRecovered, "");
             self.back.notify_waiters();
         }
     }
@@ -112,7 +112,7 @@
         let lost = silent >= OUT_AFTER_MS && !self.out.swap(true, Ordering::Relaxed);
         if lost {
             let detail = format_args!("silent_ms={silent} last={why}");
-            self.log.note(Event::StoreLost, detail);
+            self.log.event(Event::StoreUnavailable, detail);
         }
         lost
     }
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -69,12 +69,12 @@
         drop(link);
         if let Some((full, waits_ms)) = turned {
             let event = if full {
-                Event::LinkFull
+                Event::LinkCongested
             } else {
-                Event::LinkFree
+                Event::LinkRecovered
             };
             let detail = format_args!("outward_ms={waits_ms:.0}");
-            self.log.note(event, detail);
+            self.log.event(event, detail);
         }
         seen
     }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -197,7 +197,7 @@
                 End::CallerLeft => {
                     let detail = format_args!("upstream={upstream} events={}", self.count);
                     let log = &self.job.router.log;
-                    log.request(Event::CallerLeft, &self.job.ask.id, detail);
+                    log.request_event(Event::CallerDisconnected, &self.job.ask.id, detail);
                     return;
                 }
                 End::Late => return self.cut("deadline").await,
@@ -276,7 +276,7 @@
             self.last, open.slot.choice.spec.id, self.job.digest
         );
         let log = &self.job.router.log;
-        log.request(Event::Resumed, &self.job.ask.id, detail);
+        log.request_event(Event::StreamResumed, &self.job.ask.id, detail);
         let (link, _) = Link::over(open);
         Ok(link)
     }
@@ -288,7 +288,7 @@
             "events={} request={} why={why}",
             self.count, self.job.digest
         );
-        log.request(Event::Cut, &self.job.ask.id, detail);
+        log.request_event(Event::ResponseAborted, &self.job.ask.id, detail);
         self.job.router.metrics.ended(&self.job.route.name, "cut");
         // A caller that left needs no end.
         let _ = self.tx.send(Err(Cut)).await;
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -142,7 +142,7 @@
             return;
         }
         let detail = format_args!("upstream={incarnation} requests={}", there.len());
-        self.0.log.note(Event::UpstreamEnded, detail);
+        self.0.log.event(Event::UpstreamCrashed, detail);
         for digest in there {
             self.0.ends.inc();
             let now = self.0.clock.now();
@@ -151,7 +151,7 @@
             // Each end leaves many requests with one end, nearly all of them innocent.
             if ends > 1 {
                 let detail = format_args!("request={digest} upstream={incarnation} ends={ends}");
-                self.0.log.note(Event::Suspected, detail);
+                self.0.log.event(Event::RequestSuspected, detail);
             }
         }
     }
@@ -162,7 +162,7 @@
         let cleared = self.table().request_answered(now, digest);
         if cleared {
             let detail = format_args!("request={digest}");
-            self.0.log.note(Event::Cleared, detail);
+            self.0.log.event(Event::SuspectCleared, detail);
             self.change(|_, _| ());
         }
     }
@@ -188,7 +188,7 @@
             Admission::TrialDue(blame) => {
                 if self.ask_trial(others, digest).await {
                     let detail = format_args!("request={digest} {blame}");
-                    self.0.log.note(Event::Tried, detail);
+                    self.0.log.event(Event::SuspectTrial, detail);
                     return Ok(());
                 }
                 blame
@@ -234,7 +234,7 @@
             Ok(trial) => trial,
             Err(why) => {
                 let detail = format!("request={digest} failed={why}");
-                self.0.log.note(Event::Tried, detail);
+                self.0.log.event(Event::SuspectTrial, detail);
                 return false;
             }
         };
@@ -285,7 +285,7 @@
     /// Logs what another instance told when it was asked.
     pub(crate) fn learnt(&self, from: SocketAddr, words: usize) {
         let detail = format_args!("from={from} what=suspects words={words}");
-        self.0.log.note(Event::NewsFromPeer, detail);
+        self.0.log.event(Event::PeerUpdate, detail);
     }
 
     /// Waits until something may have to be told.
--- a/crates/proxy/src/traffic.rs
+++ b/crates/proxy/src/traffic.rs
@@ -60,7 +60,7 @@
                     dialer.count(),
                 );
                 traffic.describe(&mut detail);
-                log.note(Event::Load, detail);
+                log.event(Event::ResourceUsage, detail);
             }
         });
     }
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -28,7 +28,7 @@
 #[test]
 fn metrics_keep_their_names_and_labels() {
     let clock = Clock::start();
-    let log = Arc::new(Log::open(clock));
+    let log = Arc::new(Log::new(clock));
     let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
     let calls = Calls::open(clock, reach);
     let suspects = Suspects::open("r1", clock, log, Dialer::default());
