--- a/crates/oriolehitch/src/fleet.rs
+++ b/crates/oriolehitch/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use conf::Settings;
-use proxy::{Instance, Parts};
+use proxy::{Dependencies, Instance};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{interval, MissedTickBehavior};
 
@@ -29,7 +29,7 @@
     let mut look = interval(LOOK_EVERY);
     look.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut current = settings.clone();
-    let instance = Instance::spawn(Parts {
+    let instance = Instance::spawn(Dependencies {
         store: Arc::new(platform::Client::open(&settings.platform)),
         dialect: Arc::new(platform::Platform),
         settings,
@@ -57,9 +57,9 @@
         Ok(Ok(settings)) if settings == *current => {}
         Ok(Ok(settings)) => {
             *current = settings;
-            instance.reloaded("changed; in force from the next start");
+            instance.log_settings_reload("changed; in force from the next start");
         }
-        Ok(Err(faults)) => instance.reloaded(&format!("faulty, unchanged: {faults}")),
-        Err(e) => instance.reloaded(&format!("unreadable, unchanged: {e:#}")),
+        Ok(Err(faults)) => instance.log_settings_reload(&format!("faulty, unchanged: {faults}")),
+        Err(e) => instance.log_settings_reload(&format!("unreadable, unchanged: {e:#}")),
     }
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -14,11 +14,11 @@
 use suspect::Digest;
 use tokio::time::timeout_at;
 
-use crate::ask::Sending;
-use crate::dialect::{AdvertisedLimit, Reading, Rest, Word};
+use crate::dialect::{AdvertisedLimit, Disposition, Pause, ResponseInfo};
 use crate::event::Event;
-use crate::job::Job;
 use crate::refusal::Refusal;
+use crate::request_context::Job;
+use crate::request_info::AttemptContext;
 use crate::router::Router;
 
 /// A request that may be repeated is given up at an upstream that is silent for so many times its
@@ -95,7 +95,7 @@
     pub(crate) conn: dial::Conn,
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
-    pub(crate) reading: Reading,
+    pub(crate) reading: ResponseInfo,
 }
 
 /// Why an attempt has no answer.
@@ -120,34 +120,34 @@
         match self {
             Failed::Denied(ChooseError::Busy { retry_ms }) => {
                 let message = format!("the upstreams of {} are busy", job.service);
-                Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
+                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
             }
             Failed::Denied(ChooseError::Resting { retry_ms }) => {
                 let message = format!("the upstreams of {} want nothing for now", job.service);
-                Refusal::new(Kind::NoUpstream, message).back_at(retry_ms)
+                Refusal::new(Kind::NoUpstream, message).retry_after(retry_ms)
             }
             Failed::Denied(ChooseError::Limited { retry_ms }) => {
                 let message = format!("the request rate limits of {} are reached", job.service);
-                Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
+                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
             }
             Failed::Denied(ChooseError::Cold { retry_ms }) => {
                 let message = format!("the upstreams of {} have just started", job.service);
-                Refusal::new(Kind::Overloaded, message).back_in(retry_ms, left)
+                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
             }
             Failed::Denied(ChooseError::Evacuated) => {
                 let message = format!("all zones of {} are evacuated", job.service);
-                Refusal::new(Kind::NoUpstream, message).back_in(RETRY_EVACUATED_MS, left)
+                Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_EVACUATED_MS, left)
             }
             Failed::Denied(ChooseError::Outside) => {
                 let message = format!("no upstream of {} is in an allowed region", job.service);
-                Refusal::new(Kind::NoUpstream, message).back_in(RETRY_EVACUATED_MS, left)
+                Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_EVACUATED_MS, left)
             }
             Failed::Denied(ChooseError::Unknown | ChooseError::NoneLeft) => {
                 let message = format!("no upstream of {} is left", job.service);
-                Refusal::new(Kind::NoUpstream, message).back_in(RETRY_NO_UPSTREAM_MS, left)
+                Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_NO_UPSTREAM_MS, left)
             }
             Failed::NotRun(why) => {
-                Refusal::new(Kind::NoUpstream, why).back_in(RETRY_NO_UPSTREAM_MS, left)
+                Refusal::new(Kind::NoUpstream, why).retry_within(RETRY_NO_UPSTREAM_MS, left)
             }
             Failed::Late => Refusal::new(Kind::DeadlinePassed, "not sent in time").ran(Ran::No),
             Failed::Unanswered(why) | Failed::Unknown(why) => {
@@ -205,7 +205,7 @@
     if job.attempts > 1 {
         job.router.metrics.repeats.inc();
     }
-    let prompt = u64::from(job.ask.prompt);
+    let prompt = u64::from(job.ask.prompt_tokens);
     if let Some(charge) = &mut job.charge {
         charge.sent(prompt);
     }
@@ -277,8 +277,8 @@
     let want = Criteria {
         service: &job.service,
         zone: &job.router.zone,
-        segments: &job.ask.parts,
-        prompt_tokens: job.ask.prompt,
+        segments: &job.ask.prompt_segments,
+        prompt_tokens: job.ask.prompt_tokens,
         regions: &job.regions,
         tried: &job.tried,
         deadline: job.deadline,
@@ -289,7 +289,7 @@
     let choice = pool.choose(now, &want)?;
     let metrics = &job.router.metrics;
     metrics.unread.inc_by(u64::from(choice.uncached_tokens));
-    metrics.prompt.inc_by(u64::from(job.ask.prompt));
+    metrics.prompt.inc_by(u64::from(job.ask.prompt_tokens));
     Ok(choice)
 }
 
@@ -327,7 +327,7 @@
         }
     };
     let (head, body) = res.into_parts();
-    let reading = job.router.dialect.read(&job.ask, &head);
+    let reading = job.router.dialect.parse_response(&job.ask, &head);
     if let Some(load) = reading.load {
         let now = job.router.clock.now();
         let mut pool = job.router.pool.lock().expect("no panic inside");
@@ -335,26 +335,26 @@
     }
     let status = head.status.as_u16();
     heed(job, &slot, &reading, head.status);
-    match reading.word {
-        Word::Ran => Ok(Open {
+    match reading.disposition {
+        Disposition::Executed => Ok(Open {
             slot,
             conn,
             head,
             body,
             reading,
         }),
-        Word::NotRun => {
+        Disposition::NotExecuted => {
             slot.end(Outcome::Refused);
             Err(Failed::NotRun(format!(
                 "upstream={upstream} status={status}"
             )))
         }
-        Word::Misdirected => {
+        Disposition::Misdirected => {
             slot.end(Outcome::Unresponsive);
             let why = format!("upstream={upstream} is not at its address");
             Err(Failed::NotRun(why))
         }
-        Word::NotOurs(why) => {
+        Disposition::Invalid(why) => {
             slot.end(Outcome::InvalidResponse);
             let why = format!("upstream={upstream} status={status} {why}");
             Err(Failed::Unknown(why))
@@ -363,9 +363,9 @@
 }
 
 /// Takes an upstream's word that it leaves, or wants nothing for a while: its answer is the nearest source there is.
-fn heed(job: &Job, slot: &Slot, reading: &Reading, status: StatusCode) {
+fn heed(job: &Job, slot: &Slot, reading: &ResponseInfo, status: StatusCode) {
     // That would be the word of another upstream, which has the address now.
-    if reading.word == Word::Misdirected {
+    if reading.disposition == Disposition::Misdirected {
         return;
     }
     let incarnation = {
@@ -376,12 +376,12 @@
         job.router.listing.leaving(&incarnation, "answer");
     }
     update_limit(job, slot, reading, status, &incarnation);
-    let Some(rest) = reading.rest else {
+    let Some(rest) = reading.pause else {
         return;
     };
     let ms = match rest {
-        Rest::For(time) => time.as_millis(),
-        Rest::Until(date) => {
+        Pause::For(time) => time.as_millis(),
+        Pause::Until(date) => {
             let since = date.duration_since(SystemTime::UNIX_EPOCH);
             let date_ms = since.unwrap_or_default().as_millis();
             date_ms.saturating_sub(u128::from(wall_ms()))
@@ -401,10 +401,18 @@
 
 /// Updates the request rate limit from an upstream's answer and logs a change. Only a successful answer without a limit removes
 /// it: refusals and errors may lack the header. An invalid value, or an answer not to this request, leaves the limit unchanged.
-fn update_limit(job: &Job, slot: &Slot, reading: &Reading, status: StatusCode, incarnation: &str) {
-    let success = reading.word == Word::Ran && status.is_success();
-    let limit = match (reading.limit, &reading.word) {
-        (AdvertisedLimit::Valid(limit), Word::Ran | Word::NotRun) => Some(limit),
+fn update_limit(
+    job: &Job,
+    slot: &Slot,
+    reading: &ResponseInfo,
+    status: StatusCode,
+    incarnation: &str,
+) {
+    let success = reading.disposition == Disposition::Executed && status.is_success();
+    let limit = match (reading.limit, &reading.disposition) {
+        (AdvertisedLimit::Valid(limit), Disposition::Executed | Disposition::NotExecuted) => {
+            Some(limit)
+        }
         (AdvertisedLimit::Absent, _) if success => None,
         _ => return,
     };
@@ -440,11 +448,11 @@
 }
 
 fn request(job: &Job, slot: &Slot, after_event: Option<u64>) -> Request<Full<bytes::Bytes>> {
-    let sending = Sending {
+    let sending = AttemptContext {
         upstream: &slot.choice.spec.id,
         customer: job.customer.as_deref(),
-        left_ms: job.left_ms().max(1),
-        after_event,
+        remaining_ms: job.left_ms().max(1),
+        last_event_id: after_event,
     };
     let mut req = Request::new(Full::new(job.body.clone()));
     *req.method_mut() = job.head.method.clone();
--- a/crates/proxy/src/plain.rs
+++ b/crates/proxy/src/buffered.rs
@@ -13,8 +13,8 @@
 use crate::attempt::{attempt, Attempts, Failed, Open};
 use crate::body::{Cut, Out};
 use crate::event::Event;
-use crate::job::Job;
 use crate::refusal::Refusal;
+use crate::request_context::Job;
 use crate::router::Router;
 
 /// An answer up to this size is read whole, in bytes; a larger one goes on as it comes.
@@ -38,7 +38,7 @@
     let mut attempts = Attempts::none();
     // An error that an upstream answered with is better than none of ours.
     let mut second_best = None;
-    let after_event = job.ask.after_event;
+    let after_event = job.ask.last_event_id;
     loop {
         let failed = match attempt(&mut job, after_event).await {
             Ok(open) => match finish(&mut job, open).await {
@@ -131,7 +131,7 @@
 fn whole(job: &Job, head: &response::Parts, bytes: Bytes) -> Response<Out> {
     let mut res = Response::new(Out::Whole(bytes));
     *res.status_mut() = head.status;
-    *res.headers_mut() = job.router.dialect.answer_headers(head);
+    *res.headers_mut() = job.router.dialect.response_headers(head);
     res
 }
 
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -87,7 +87,7 @@
         if same {
             return;
         }
-        let routing = match self.0.works.dialect.routing(raw) {
+        let routing = match self.0.works.dialect.parse_config(raw) {
             Ok(routing) => routing,
             Err(why) => {
                 let detail = format_args!("source={source} why={why}");
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -9,25 +9,25 @@
 use hyper::Response;
 use place::{Load, RateLimit, Spec};
 
-use crate::ask::{Ask, Sending};
 use crate::refusal::Refusal;
+use crate::request_info::{AttemptContext, RequestInfo};
 
 /// What an upstream's answer says of the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum Disposition {
     /// It ran, and this is its answer, be it a success or not.
-    Ran,
+    Executed,
     /// It did not run, and will not.
-    NotRun,
+    NotExecuted,
     /// It did not run: another upstream is at the address.
     Misdirected,
     /// This is no answer to this request.
-    NotOurs(&'static str),
+    Invalid(&'static str),
 }
 
 /// For how long an upstream wants nothing more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rest {
+pub enum Pause {
     /// From its answer on.
     For(Duration),
     /// Until a time of day.
@@ -47,9 +47,9 @@
 
 /// The head of an upstream's answer.
 #[derive(Clone, Debug)]
-pub struct Reading {
+pub struct ResponseInfo {
     /// What it says of the request.
-    pub word: Word,
+    pub disposition: Disposition,
     /// The upstream's word on its load.
     pub load: Option<Load>,
     /// How long the upstream keeps the connection when it is idle.
@@ -57,7 +57,7 @@
     /// Whether the upstream says that it leaves.
     pub leaving: bool,
     /// For how long it wants nothing more; none where it does not say, or not so that it can be understood.
-    pub rest: Option<Rest>,
+    pub pause: Option<Pause>,
     /// The request rate limit that it advertises.
     pub limit: AdvertisedLimit,
 }
@@ -77,14 +77,14 @@
     fn upstream_prefix(&self) -> &str;
 
     /// Returns the path under which balancers ask whether connections are wanted.
-    fn ready_path(&self) -> &str;
+    fn readiness_path(&self) -> &str;
 
     /// Reads the operators' configuration.
     ///
     /// # Errors
     ///
     /// Returns the field at fault and what is wrong with it.
-    fn routing(&self, value: &[u8]) -> Result<Routing, String>;
+    fn parse_config(&self, value: &[u8]) -> Result<Routing, String>;
 
     /// Returns the id of the upstream that a key names.
     fn upstream_id<'a>(&self, key: &'a str) -> &'a str;
@@ -94,24 +94,24 @@
     /// # Errors
     ///
     /// Returns the field at fault and what is wrong with it.
-    fn upstream(&self, key: &str, value: &[u8]) -> Result<Spec, String>;
+    fn parse_upstream(&self, key: &str, value: &[u8]) -> Result<Spec, String>;
 
     /// Reads a request's head.
     ///
     /// # Errors
     ///
     /// Returns why the request is malformed.
-    fn ask(&self, head: &request::Parts) -> Result<Ask, Refusal>;
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestInfo, Refusal>;
 
     /// Returns the headers of an attempt: the caller's, less those that are not its to set.
-    fn request_headers(&self, head: &request::Parts, sending: &Sending<'_>) -> HeaderMap;
+    fn request_headers(&self, head: &request::Parts, sending: &AttemptContext<'_>) -> HeaderMap;
 
     /// Reads the head of an upstream's answer to a request.
-    fn read(&self, ask: &Ask, head: &response::Parts) -> Reading;
+    fn parse_response(&self, ask: &RequestInfo, head: &response::Parts) -> ResponseInfo;
 
     /// Returns the headers of an upstream's answer that its caller gets.
-    fn answer_headers(&self, head: &response::Parts) -> HeaderMap;
+    fn response_headers(&self, head: &response::Parts) -> HeaderMap;
 
     /// Returns the answer to a request that failed here.
-    fn refuse(&self, ask: Option<&Ask>, refusal: &Refusal) -> Response<Bytes>;
+    fn refusal_response(&self, ask: Option<&RequestInfo>, refusal: &Refusal) -> Response<Bytes>;
 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -16,7 +16,6 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use crate::bank::{Bank, Means};
-use crate::calls::Calls;
 use crate::config::{ColdBounds, Config, Works};
 use crate::datagram::{self, Sender};
 use crate::dialect::Dialect;
@@ -28,13 +27,14 @@
 use crate::listen::{self, Phase};
 use crate::listing::Listing;
 use crate::log::Log;
-use crate::metric::Metrics;
+use crate::metrics::Metrics;
 use crate::notices::{Effects, Notices};
 use crate::ops::{Ops, Ready};
 use crate::peers::{self, Desk, Peers};
 use crate::reach::Reach;
 use crate::relay::Relay;
 use crate::router::Router;
+use crate::store_calls::Calls;
 use crate::suspects::Suspects;
 use crate::tell::Others;
 use crate::traffic::Traffic;
@@ -57,7 +57,7 @@
 const CLOSE_GRACE: Duration = Duration::from_millis(100);
 
 /// What an instance is made of besides its settings.
-pub struct Parts {
+pub struct Dependencies {
     /// The settings.
     pub settings: Settings,
     /// The store.
@@ -83,8 +83,8 @@
     /// # Errors
     ///
     /// Returns which address can't be bound, and why.
-    pub async fn spawn(parts: Parts) -> Result<Instance> {
-        let Parts {
+    pub async fn spawn(parts: Dependencies) -> Result<Instance> {
+        let Dependencies {
             settings,
             store,
             dialect,
@@ -269,7 +269,7 @@
     }
 
     /// Logs that the settings were read again.
-    pub fn reloaded(&self, what: &str) {
+    pub fn log_settings_reload(&self, what: &str) {
         self.router.log.event(Event::SettingsReloaded, what);
     }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,11 +4,10 @@
 //! upstreams and the store speak is a [`Dialect`]; decisions are those of `escrow` and `place`; each
 //! task here owns its state and hands out a handle.
 
-mod ask;
 mod attempt;
 mod bank;
 mod body;
-mod calls;
+mod buffered;
 mod config;
 mod datagram;
 mod dialect;
@@ -17,35 +16,36 @@
 mod encoding;
 mod evacuation;
 pub mod event;
-mod events;
 mod fleet;
 mod follow;
 mod instance;
-mod job;
 mod kept;
 mod listen;
 mod listing;
 mod log;
-mod metric;
+mod metrics;
 mod notices;
 mod ops;
 mod passed;
 mod peers;
-mod pipe;
-mod plain;
+mod pipeline;
 mod reach;
 mod refusal;
 mod relay;
+mod request_context;
+mod request_info;
 mod roster;
 mod router;
+mod sse;
+mod store_calls;
 mod stream;
 mod suspects;
 mod tell;
 mod traffic;
 
-pub use ask::{Ask, Sending};
-pub use dialect::{AdvertisedLimit, Dialect, Reading, Rest, Word};
-pub use events::Events;
-pub use instance::{Instance, Parts};
+pub use dialect::{AdvertisedLimit, Dialect, Disposition, Pause, ResponseInfo};
+pub use instance::{Dependencies, Instance};
 pub use log::exit_on_panic;
 pub use refusal::Refusal;
+pub use request_info::{AttemptContext, RequestInfo};
+pub use sse::SseParser;
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -309,7 +309,7 @@
     /// Takes an entry; returns the detail of the log line where it names a new upstream. One that can't be read, for others write there
     /// too, names no upstream to use.
     fn entry(&self, key: &str, value: &[u8]) -> Option<String> {
-        let spec = match self.0.dialect.upstream(key, value) {
+        let spec = match self.0.dialect.parse_upstream(key, value) {
             Ok(spec) => spec,
             Err(why) => {
                 let detail = format_args!("key={key} why={why}");
--- a/crates/proxy/src/metric.rs
+++ b/crates/proxy/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-use crate::calls::Calls;
+use crate::store_calls::Calls;
 use crate::suspects::Suspects;
 
 /// Upper bounds of the buckets of times, in seconds: from a relay's own time to the longest request.
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -13,7 +13,7 @@
 
 impl web::Service for Ready {
     async fn call(self: Arc<Self>, req: Req) -> Res {
-        if req.path != self.0.dialect.ready_path() {
+        if req.path != self.0.dialect.readiness_path() {
             return Res::new(404, "text/plain", "not found");
         }
         let status = if self.0.is_ready() { 200 } else { 503 };
--- a/crates/proxy/src/pipe.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -16,15 +16,15 @@
 use suspect::Digest;
 use tokio::time::timeout_at;
 
-use crate::ask::Ask;
 use crate::bank::Charge;
 use crate::body::Out;
 use crate::config::Active;
 use crate::event::Event;
-use crate::job::{Busy, Expected, Job};
 use crate::refusal::Refusal;
+use crate::request_context::{Busy, Expected, Job};
+use crate::request_info::RequestInfo;
 use crate::router::Router;
-use crate::{plain, stream};
+use crate::{buffered, stream};
 
 /// When to come back to an instance that knows no configuration yet, in milliseconds: it is read
 /// within a few calls of the store.
@@ -53,7 +53,9 @@
             Ok(res) => res,
             Err(refusal) => {
                 self.log_refusal(ask.as_ref(), &refusal);
-                self.dialect.refuse(ask.as_ref(), &refusal).map(Out::Whole)
+                self.dialect
+                    .refusal_response(ask.as_ref(), &refusal)
+                    .map(Out::Whole)
             }
         };
         if chunked || self.is_stopping() || self.is_crowded() {
@@ -63,7 +65,7 @@
         res
     }
 
-    fn log_refusal(&self, ask: Option<&Ask>, refusal: &Refusal) {
+    fn log_refusal(&self, ask: Option<&RequestInfo>, refusal: &Refusal) {
         let code = refusal.error.kind.answer().code;
         self.metrics.ended("", code);
         let detail = format_args!(
@@ -78,27 +80,27 @@
         self: &Arc<Self>,
         head: request::Parts,
         body: Incoming,
-        known: &mut Option<Ask>,
+        known: &mut Option<RequestInfo>,
     ) -> Result<Response<Out>, Refusal> {
         let arrived = self.clock.now();
         let mut busy = Busy::open(self);
-        let ask = self.dialect.ask(&head)?;
+        let ask = self.dialect.parse_request(&head)?;
         *known = Some(ask.clone());
-        let wait_ms = ask.wait_ms.unwrap_or(WAIT_DEFAULT_MS);
+        let wait_ms = ask.timeout_ms.unwrap_or(WAIT_DEFAULT_MS);
         if self.refusing.load(Ordering::Relaxed) {
             let refusal = Refusal::new(Kind::Draining, "this instance is about to end");
-            return Err(refusal.back_in(RETRY_ELSEWHERE_MS, wait_ms));
+            return Err(refusal.retry_within(RETRY_ELSEWHERE_MS, wait_ms));
         }
         let Some(active) = self.config.get() else {
             let refusal = Refusal::new(Kind::NotConfigured, "no configuration yet");
-            return Err(refusal.back_in(RETRY_UNKNOWN_MS, wait_ms));
+            return Err(refusal.retry_within(RETRY_UNKNOWN_MS, wait_ms));
         };
         let route = self.route(&active, &ask, &head)?.clone();
         let customer = self.customer(&active, &ask, &route)?;
         let deadline = arrived + wait_ms.min(route.timeout_ms);
         let body = self.body(&active, &head, body, deadline).await?;
         self.room_for(&mut busy, body.len())
-            .map_err(|full| full.back_in(RETRY_ELSEWHERE_MS, wait_ms))?;
+            .map_err(|full| full.retry_within(RETRY_ELSEWHERE_MS, wait_ms))?;
         let service = route.service(rand::random());
         let service = service.map(str::to_string).ok_or_else(|| {
             let message = format!("route {} has no service", route.name);
@@ -109,7 +111,7 @@
             let mut retries = self.retries.lock().expect("no panic inside");
             retries.record_request(arrived, &service);
         }
-        let regions = active.routing.regions(&route, ask.key.as_deref());
+        let regions = active.routing.regions(&route, ask.api_key.as_deref());
         let regions = regions.ok_or_else(|| {
             let message = format!("route {} and its customer share no region", route.name);
             Refusal::new(Kind::NoUpstream, message)
@@ -139,7 +141,7 @@
         if job.route.streamed {
             stream::answer(job).await
         } else {
-            plain::answer(job).await
+            buffered::answer(job).await
         }
     }
 
@@ -162,7 +164,7 @@
     fn route<'a>(
         &self,
         active: &'a Active,
-        ask: &Ask,
+        ask: &RequestInfo,
         head: &request::Parts,
     ) -> Result<&'a Route, Refusal> {
         let path = head.uri.path();
@@ -177,13 +179,13 @@
     fn customer(
         &self,
         active: &Active,
-        ask: &Ask,
+        ask: &RequestInfo,
         route: &Route,
     ) -> Result<Option<String>, Refusal> {
         if route.public || active.routing.accounts.is_empty() {
             return Ok(None);
         }
-        let key = ask.key.as_deref().unwrap_or_default();
+        let key = ask.api_key.as_deref().unwrap_or_default();
         let unknown = |version: u64| {
             let message = format!("the key belongs to no customer in version {version}");
             Refusal::new(Kind::UnknownKey, message)
@@ -232,7 +234,7 @@
 
     /// Reserves the most that a request can cost.
     async fn charge(&self, active: &Active, job: &Job) -> Result<Option<Charge>, Refusal> {
-        let tokens = job.ask.tokens();
+        let tokens = job.ask.max_tokens();
         let Some(customer) = &job.customer else {
             return Ok(None);
         };
@@ -262,14 +264,19 @@
         let message = format!("{why} {tokens} tokens of {customer}, waited_ms={waited}");
         let refusal = Refusal::new(kind, message);
         Err(match back_ms {
-            Some(back_ms) => refusal.back_in(back_ms, job.left_ms()),
+            Some(back_ms) => refusal.retry_within(back_ms, job.left_ms()),
             None => refusal,
         })
     }
 }
 
 /// Returns what a request is, by what its caller sent.
-fn digest(ask: &Ask, customer: Option<&str>, head: &request::Parts, body: &Bytes) -> Digest {
+fn digest(
+    ask: &RequestInfo,
+    customer: Option<&str>,
+    head: &request::Parts,
+    body: &Bytes,
+) -> Digest {
     let target = head.uri.path_and_query().map_or("", |t| t.as_str());
     Digest::of([
         customer.unwrap_or_default().as_bytes(),
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -24,13 +24,13 @@
     }
 
     /// Says when to come back: within the time that the caller has left, or not at all.
-    pub fn back_in(mut self, retry_ms: u64, left_ms: u64) -> Refusal {
+    pub fn retry_within(mut self, retry_ms: u64, left_ms: u64) -> Refusal {
         self.retry_ms = Some(retry_ms.min(left_ms / BACK_WITHIN));
         self
     }
 
     /// Says when to come back, also where the caller does not wait for so long: coming sooner would be for nothing.
-    pub fn back_at(mut self, retry_ms: u64) -> Refusal {
+    pub fn retry_after(mut self, retry_ms: u64) -> Refusal {
         self.retry_ms = Some(retry_ms.max(1));
         self
     }
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/request_context.rs
@@ -9,9 +9,9 @@
 use smallvec::SmallVec;
 use suspect::Digest;
 
-use crate::ask::Ask;
 use crate::bank::Charge;
 use crate::event::Event;
+use crate::request_info::RequestInfo;
 use crate::router::Router;
 
 /// Counts one request under way, until it is dropped.
@@ -67,7 +67,7 @@
 /// One request on its way through the filters.
 pub(crate) struct Job {
     pub(crate) router: Arc<Router>,
-    pub(crate) ask: Ask,
+    pub(crate) ask: RequestInfo,
     /// What the request is, whatever its id: its caller may send it again.
     pub(crate) digest: Digest,
     pub(crate) head: request::Parts,
@@ -148,7 +148,7 @@
             self.expected.came_ms,
             self.expected.first_ms,
             self.expected.unread,
-            self.ask.prompt,
+            self.ask.prompt_tokens,
             self.charge.as_ref().map_or(0, Charge::spent),
             self.digest,
         );
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -15,7 +15,7 @@
 use crate::fleet::Fleet;
 use crate::listing::Listing;
 use crate::log::Log;
-use crate::metric::Metrics;
+use crate::metrics::Metrics;
 use crate::reach::Reach;
 use crate::suspects::Suspects;
 use crate::tell::Others;
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/sse.rs
@@ -7,7 +7,7 @@
 
 /// One whole event, with the blank line that ends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Event {
+pub struct SseEvent {
     /// Its bytes as they came.
     pub bytes: Bytes,
     /// Its id, when it has a number for one.
@@ -16,13 +16,13 @@
 
 /// Bytes of a stream that are not yet whole events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct SseParser {
     buf: BytesMut,
     /// Bytes that were searched for an end before.
     searched: usize,
 }
 
-impl Events {
+impl SseParser {
     /// Takes bytes as they came; returns whether a whole event may still come of them.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
@@ -30,16 +30,16 @@
     }
 
     /// Returns the next whole event.
-    pub fn next_event(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<SseEvent> {
         let end = self.end()?;
         let bytes = self.buf.split_to(end).freeze();
         self.searched = 0;
         let id = id_of(&bytes);
-        Some(Event { bytes, id })
+        Some(SseEvent { bytes, id })
     }
 
     /// Returns whether the rest is no part of an event.
-    pub fn is_clean(&self) -> bool {
+    pub fn is_at_event_boundary(&self) -> bool {
         self.buf.iter().all(|b| b"\r\n".contains(b))
     }
 
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -13,12 +13,12 @@
 
 use crate::attempt::{attempt, Attempts, Failed, Open, Slot};
 use crate::body::{Cut, Out};
-use crate::dialect::Reading;
+use crate::buffered;
+use crate::dialect::ResponseInfo;
 use crate::event::Event;
-use crate::events::{self, Events};
-use crate::job::Job;
-use crate::plain;
 use crate::refusal::Refusal;
+use crate::request_context::Job;
+use crate::sse::{SseEvent, SseParser};
 
 /// Events that may wait for a slow caller.
 const EVENTS_DEPTH: usize = 16;
@@ -28,13 +28,13 @@
     slot: Slot,
     conn: dial::Conn,
     body: Incoming,
-    reading: Reading,
-    events: Events,
+    reading: ResponseInfo,
+    events: SseParser,
 }
 
 /// What a stream brings next.
 enum Next {
-    Event(events::Event),
+    Event(SseEvent),
     /// It is whole.
     End,
     Broken(String),
@@ -48,7 +48,7 @@
             conn: open.conn,
             body: open.body,
             reading: open.reading,
-            events: Events::default(),
+            events: SseParser::default(),
         };
         (link, open.head)
     }
@@ -63,7 +63,7 @@
                 return Next::Event(event);
             }
             match self.body.frame().await {
-                None if self.events.is_clean() => return Next::End,
+                None if self.events.is_at_event_boundary() => return Next::End,
                 None => return Next::Broken("it ends within an event".to_string()),
                 Some(Err(e)) => return Next::Broken(e.to_string()),
                 Some(Ok(frame)) => {
@@ -87,7 +87,7 @@
     Stream {
         link: Link,
         head: response::Parts,
-        first: Option<events::Event>,
+        first: Option<SseEvent>,
     },
     Whole(Response<Out>),
 }
@@ -113,9 +113,9 @@
     let (tx, rx) = mpsc::channel(EVENTS_DEPTH);
     let mut res = Response::new(Out::Parts(rx));
     *res.status_mut() = head.status;
-    *res.headers_mut() = job.router.dialect.answer_headers(&head);
+    *res.headers_mut() = job.router.dialect.response_headers(&head);
     let relay = Relay {
-        last: job.ask.after_event,
+        last: job.ask.last_event_id,
         count: 0,
         job,
         tx,
@@ -126,13 +126,13 @@
 
 /// Sends the request and waits for the first event.
 async fn begin(job: &mut Job) -> Result<Begun, Failed> {
-    let after_event = job.ask.after_event;
+    let after_event = job.ask.last_event_id;
     let open = attempt(job, after_event).await?;
     let media = open.head.headers.get(CONTENT_TYPE);
     let media = media.and_then(|v| v.to_str().ok()).unwrap_or_default();
     let streams = open.head.status.is_success() && media.starts_with("text/event-stream");
     if !streams {
-        let whole = plain::finish_any(job, open).await;
+        let whole = buffered::finish_any(job, open).await;
         return whole.map(Begun::Whole).map_err(Failed::Unknown);
     }
     let (mut link, head) = Link::over(open);
@@ -184,7 +184,7 @@
 }
 
 impl Relay {
-    async fn run(mut self, mut link: Link, mut first: Option<events::Event>) {
+    async fn run(mut self, mut link: Link, mut first: Option<SseEvent>) {
         loop {
             let end = self.relay(&mut link, first.take()).await;
             let upstream = link.upstream().to_string();
@@ -213,7 +213,7 @@
         }
     }
 
-    async fn relay(&mut self, link: &mut Link, first: Option<events::Event>) -> End {
+    async fn relay(&mut self, link: &mut Link, first: Option<SseEvent>) -> End {
         if let Some(event) = first {
             if let Some(end) = self.pass(event).await {
                 return end;
@@ -238,7 +238,7 @@
     }
 
     /// Passes an event on, unless the caller has it.
-    async fn pass(&mut self, event: events::Event) -> Option<End> {
+    async fn pass(&mut self, event: SseEvent) -> Option<End> {
         if let (Some(id), Some(last)) = (event.id, self.last) {
             if id <= last {
                 return None;
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -334,5 +334,5 @@
 
 fn refusal(blame: &CrashHistory) -> Refusal {
     let retry_ms = blame.retry_ms.unwrap_or(RETRY_NEVER_MS);
-    Refusal::new(Kind::EndsUpstreams, blame.to_string()).back_at(retry_ms)
+    Refusal::new(Kind::EndsUpstreams, blame.to_string()).retry_after(retry_ms)
 }
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -7,7 +7,7 @@
 
 use super::{Call, Calls};
 use crate::log::Log;
-use crate::metric::Metrics;
+use crate::metrics::Metrics;
 use crate::reach::Reach;
 use crate::suspects::Suspects;
 
