--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -3,21 +3,21 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, RwLock};
 
+use crate::bank::Bank;
+use crate::dialect::Dialect;
+use crate::evacuation::Evacuations;
+use crate::event::Event;
+use crate::log::Log;
+use crate::relay::Relay;
+use crate::replication::Topic;
 use bytes::Bytes;
 use conf::Routing;
 use kv::{Change, Store};
 use notice::Notice;
 use place::{ColdStart, Pool};
 
-use crate::bank::Bank;
-use crate::dialect::Dialect;
-use crate::evacuation::Evacuations;
-use crate::event::Event;
 use crate::follower::{FollowContext, Follower, Update, WATCH_TIMEOUT_MS};
-use crate::log::Log;
 use crate::notices::{key_hash, Notices};
-use crate::relay::Relay;
-use crate::replication::Topic;
 
 /// Revoked keys that are remembered until the version that revokes them is in force, bounding memory.
 const MAX_REVOKED_KEYS: usize = 1_024;
@@ -87,11 +87,11 @@
         if same {
             return;
         }
-        let routing = match self.0.deps.dialect.routing(raw) {
+        let routing = match self.0.deps.dialect.parse_config(raw) {
             Ok(routing) => routing,
             Err(why) => {
                 let detail = format_args!("source={source} why={why}");
-                self.0.deps.log.note(Event::ConfigBroken, detail);
+                self.0.deps.log.event(Event::ConfigInvalid, detail);
                 return;
             }
         };
@@ -114,7 +114,7 @@
         });
         let previous = active.replace(Arc::clone(&next));
         drop(active);
-        self.0.deps.log.note(Event::ConfigInForce, detail);
+        self.0.deps.log.event(Event::ConfigApplied, detail);
         self.publish_change(previous.as_deref(), &next);
     }
 
@@ -164,7 +164,7 @@
         }
         drop(revoked);
         let detail = format_args!("what=revoked version={version}");
-        self.0.deps.log.note(Event::NewsFromPeer, detail);
+        self.0.deps.log.event(Event::PeerUpdate, detail);
     }
 
     fn forget_revoked_keys(&self, version: u64) {
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -1,43 +1,43 @@
 //! One running instance: its start and its planned stop.
 
+use crate::dialect::Dialect;
+use crate::evacuation::Evacuations;
+use crate::event::Event;
+use crate::follower::FollowContext;
+use crate::log::Log;
+use crate::metrics::Metrics;
+use crate::relay::Relay;
+use crate::router::Router;
+use crate::store_calls::Calls;
+use crate::store_health::StoreHealth;
+use crate::suspect_gossip::PeerNetwork;
+use crate::suspect_store::SuspectStore;
+use crate::suspects::Suspects;
+use crate::traffic::Traffic;
+use crate::upstream_list::UpstreamList;
+use conf::Settings;
+use dial::Dialer;
+use kv::Store;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use tokio::sync::watch;
 
 use anyhow::{anyhow, Result};
 use clock::{wall_ms, Clock};
-use conf::Settings;
-use dial::Dialer;
-use kv::Store;
 use place::{Link, Pool, RequestMemory, RetryBudget, RetryLimits};
-use tokio::sync::watch;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use crate::bank::{Bank, Means};
-use crate::calls::Calls;
 use crate::config::{ColdStartTolerance, Config, ConfigDeps};
 use crate::datagram::{self, Sender};
-use crate::dialect::Dialect;
-use crate::evacuation::Evacuations;
-use crate::event::Event;
 use crate::fleet::{Fleet, Member};
-use crate::follower::FollowContext;
 use crate::listen::{self, Phase};
-use crate::log::Log;
-use crate::metric::Metrics;
 use crate::notices::{NoticeHandler, Notices};
 use crate::ops::{Ops, Ready};
 use crate::peers::{self, PeerService, Peers};
-use crate::relay::Relay;
-use crate::router::Router;
-use crate::store_health::StoreHealth;
-use crate::suspect_gossip::PeerNetwork;
-use crate::suspect_store::SuspectStore;
-use crate::suspects::Suspects;
-use crate::traffic::Traffic;
-use crate::upstream_list::UpstreamList;
 
 /// Largest body that the readiness and operators' listeners take, in bytes.
 const OPS_BODY_LIMIT: usize = 1 << 16;
@@ -57,7 +57,7 @@
 const CLOSE_GRACE: Duration = Duration::from_millis(100);
 
 /// What an instance is made of besides its settings.
-pub struct Parts {
+pub struct Dependencies {
     /// The settings.
     pub settings: Settings,
     /// The store.
@@ -83,15 +83,15 @@
     /// # Errors
     ///
     /// Returns which address can't be bound, and why.
-    pub async fn spawn(parts: Parts) -> Result<Instance> {
-        let Parts {
+    pub async fn spawn(parts: Dependencies) -> Result<Instance> {
+        let Dependencies {
             settings,
             store,
             dialect,
         } = parts;
         let fleet_settings = settings.fleet.clone().unwrap_or_default();
         let clock = Clock::start();
-        let log = Arc::new(Log::open(clock));
+        let log = Arc::new(Log::new(clock));
         let bound = peers::bind(settings.peer_listen()).await;
         let (server, peer_addr) = bound.map_err(|e| anyhow!("peer listener: {e}"))?;
         let bound = datagram::bind(peer_addr).await;
@@ -255,7 +255,7 @@
             ops.as_ref()
                 .map_or("-".to_string(), |o| o.addr().to_string()),
         );
-        log.note(Event::Started, detail);
+        log.event(Event::Started, detail);
         let stop_by = fleet_settings.stop_secs.map(Duration::from_secs_f64);
         Ok(Instance {
             router,
@@ -269,8 +269,8 @@
     }
 
     /// Logs that the settings were read again.
-    pub fn reloaded(&self, what: &str) {
-        self.router.log.note(Event::Reloaded, what);
+    pub fn log_settings_reload(&self, what: &str) {
+        self.router.log.event(Event::SettingsReloaded, what);
     }
 
     /// Returns the requests under way.
@@ -297,7 +297,7 @@
         let inflight = self.inflight();
         router
             .log
-            .note(Event::Stopping, format_args!("inflight={inflight}"));
+            .event(Event::Stopping, format_args!("inflight={inflight}"));
         sleep(NOTICE.min(self.stop_by / 2)).await;
         // Idle connections close; there may be none.
         let _ = self.phase.send(Phase::Closing);
@@ -317,7 +317,7 @@
         let _ = timeout(LAST_WORDS / 4, router.fleet.deregister()).await;
         self.calls.log(&router.log);
         let detail = format_args!("cut={} handed_back={said}", self.inflight());
-        router.log.note(Event::Stopped, detail);
+        router.log.event(Event::Stopped, detail);
         self.ready.stop(CLOSE_GRACE);
         if let Some(ops) = &self.ops {
             ops.stop(CLOSE_GRACE);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,11 +4,10 @@
 //! upstreams and the store speak is a [`Dialect`]; decisions are those of `escrow` and `place`; each
 //! task here owns its state and hands out a handle.
 
-mod ask;
 mod attempt;
 mod bank;
 mod body;
-mod calls;
+mod buffered;
 mod config;
 mod datagram;
 mod dialect;
@@ -17,24 +16,25 @@
 mod encoding;
 mod evacuation;
 pub mod event;
-mod events;
 mod fleet;
 mod follower;
 mod instance;
-mod job;
 mod listen;
 mod log;
-mod metric;
+mod metrics;
 mod notices;
 mod ops;
 mod peers;
-mod pipe;
-mod plain;
+mod pipeline;
 mod refusal;
 mod relay;
 mod replication;
+mod request_context;
+mod request_info;
 mod roster;
 mod router;
+mod sse;
+mod store_calls;
 mod store_health;
 mod stream;
 mod suspect_gossip;
@@ -43,9 +43,9 @@
 mod traffic;
 mod upstream_list;
 
-pub use ask::{Ask, Sending};
-pub use dialect::{AdvertisedLimit, Dialect, Reading, Rest, Word};
-pub use events::Events;
-pub use instance::{Instance, Parts};
-pub use log::end_on_panic;
+pub use dialect::{AdvertisedLimit, Dialect, Disposition, Pause, ResponseInfo};
+pub use instance::{Dependencies, Instance};
+pub use log::exit_on_panic;
 pub use refusal::Refusal;
+pub use request_info::{AttemptContext, RequestInfo};
+pub use sse::SseParser;
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,34 +1,34 @@
 //! Between instances, over jsonrpsee: tokens that one lacks, and news that one can't read itself.
 
+use crate::event::Event;
+use crate::fleet::Fleet;
+use crate::log::Log;
+use crate::notices::NoticeHandler;
+use crate::relay::Relay;
+use crate::store_health::StoreHealth;
+use crate::traffic::Traffic;
+use escrow::CumulativeTotal;
+use jsonrpsee_core::client::ClientT;
+use jsonrpsee_core::params::ArrayParams;
+use jsonrpsee_core::RpcResult;
+use notice::Notice;
+use rand::seq::IndexedRandom;
+use serde::de::DeserializeOwned;
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use suspect::SuspectRecord;
 
-use escrow::CumulativeTotal;
-use jsonrpsee_core::client::ClientT;
-use jsonrpsee_core::params::ArrayParams;
-use jsonrpsee_core::RpcResult;
 use jsonrpsee_http_client::{HttpClient, HttpClientBuilder};
 use jsonrpsee_server::{RpcModule, Server, ServerBuilder, ServerHandle};
-use notice::Notice;
-use rand::seq::IndexedRandom;
-use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use suspect::SuspectRecord;
 use tokio::time::{sleep, timeout, Instant};
 
 use crate::bank::{Bank, Draw, Drawn};
-use crate::event::Event;
-use crate::fleet::Fleet;
-use crate::log::Log;
-use crate::notices::NoticeHandler;
-use crate::relay::Relay;
 use crate::replication::{DeltaRequest, DeltaResponse, Topic};
-use crate::store_health::StoreHealth;
 use crate::suspects::{Suspects, TrialRequest, TrialResponse};
-use crate::traffic::Traffic;
 
 /// An instance answers within a few milliseconds, or is not there: a request waits for it.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(250);
@@ -407,10 +407,7 @@
             Ok(news) => news,
             Err(why) => {
                 desk.notice_handler.relay.forget_peer(addr);
-                log.note(
-                    Event::NewsFromPeer,
-                    format_args!("from={addr} failed={why}"),
-                );
+                log.event(Event::PeerUpdate, format_args!("from={addr} failed={why}"));
                 return;
             }
         };
@@ -418,7 +415,7 @@
         desk.notice_handler.apply(news.evacuations);
         desk.notice_handler.apply(news.limits);
         if let Some(config) = news.config {
-            log.note(Event::NewsFromPeer, format_args!("from={addr} what=config"));
+            log.event(Event::PeerUpdate, format_args!("from={addr} what=config"));
             desk.notice_handler
                 .config
                 .apply_if_newer(config.as_bytes(), "peer");
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -3,22 +3,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use clock::Clock;
-use dial::Dialer;
-use place::{Link, Pool, RequestMemory, RetryBudget};
-use tokio::sync::watch;
-
 use crate::bank::Bank;
 use crate::config::Config;
 use crate::dialect::Dialect;
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::log::Log;
-use crate::metric::Metrics;
+use crate::metrics::Metrics;
 use crate::store_health::StoreHealth;
 use crate::suspect_gossip::PeerNetwork;
 use crate::suspects::Suspects;
 use crate::upstream_list::UpstreamList;
+use clock::Clock;
+use dial::Dialer;
+use place::{Link, Pool, RequestMemory, RetryBudget};
+use tokio::sync::watch;
 
 /// What the filters work with.
 pub(crate) struct Router {
@@ -69,12 +68,12 @@
         drop(link);
         if let Some((full, waits_ms)) = turned {
             let event = if full {
-                Event::LinkFull
+                Event::LinkCongested
             } else {
-                Event::LinkFree
+                Event::LinkRecovered
             };
             let detail = format_args!("outward_ms={waits_ms:.0}");
-            self.log.note(event, detail);
+            self.log.event(event, detail);
         }
         seen
     }
--- a/crates/proxy/src/store_health.rs
+++ b/crates/proxy/src/store_health.rs
@@ -67,7 +67,7 @@
         self.failing_since.store(0, Ordering::Relaxed);
         if self.unavailable.swap(false, Ordering::Relaxed) {
             self.recovered_at.store(now, Ordering::Relaxed);
-            self.log.note(Event::StoreBack, "");
+            self.log.event(Event::StoreRecovered, "");
             self.recovered.notify_waiters();
         }
     }
@@ -113,7 +113,7 @@
             silent >= UNAVAILABLE_AFTER_MS && !self.unavailable.swap(true, Ordering::Relaxed);
         if lost {
             let detail = format_args!("silent_ms={silent} last={why}");
-            self.log.note(Event::StoreLost, detail);
+            self.log.event(Event::StoreUnavailable, detail);
         }
         lost
     }
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -1,25 +1,25 @@
 //! Requests under which upstreams end: found out here, told to the other instances, refused.
 
-use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard};
-use std::time::Duration;
-
+use crate::event::Event;
+use crate::log::Log;
+use crate::refusal::Refusal;
+use crate::suspect_gossip::PeerNetwork;
 use clock::Clock;
-use dial::{ConnectError, Dialer, Target};
 use err::Kind;
 use place::Spec;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
+use tokio::sync::Notify;
+
+use dial::{ConnectError, Dialer, Target};
 use serde::{Deserialize, Serialize};
 use suspect::{Admission, CrashHistory, Digest, SuspectRecord, SuspectTable as Table};
-use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
-use crate::event::Event;
 use crate::fleet::{Fleet, Member};
-use crate::log::Log;
-use crate::refusal::Refusal;
-use crate::suspect_gossip::PeerNetwork;
 
 /// After a connection broke, it is found out so much later whether the upstream has ended: by then the port of a process
 /// that ended is closed.
@@ -145,7 +145,7 @@
             return;
         }
         let detail = format_args!("upstream={incarnation} requests={}", there.len());
-        self.0.log.note(Event::UpstreamEnded, detail);
+        self.0.log.event(Event::UpstreamCrashed, detail);
         for digest in there {
             self.0.crash_counter.inc();
             let now = self.0.clock.now();
@@ -154,7 +154,7 @@
             // Each end leaves many requests with one end, nearly all of them innocent.
             if ends > 1 {
                 let detail = format_args!("request={digest} upstream={incarnation} ends={ends}");
-                self.0.log.note(Event::Suspected, detail);
+                self.0.log.event(Event::RequestSuspected, detail);
             }
         }
     }
@@ -165,7 +165,7 @@
         let cleared = self.table().request_answered(now, digest);
         if cleared {
             let detail = format_args!("request={digest}");
-            self.0.log.note(Event::Cleared, detail);
+            self.0.log.event(Event::SuspectCleared, detail);
             self.update(|_, _| ());
         }
     }
@@ -191,7 +191,7 @@
             Admission::TrialDue(blame) => {
                 if self.request_trial(others, digest).await {
                     let detail = format_args!("request={digest} {blame}");
-                    self.0.log.note(Event::Tried, detail);
+                    self.0.log.event(Event::SuspectTrial, detail);
                     return Ok(());
                 }
                 blame
@@ -241,7 +241,7 @@
             Ok(trial) => trial,
             Err(why) => {
                 let detail = format!("request={digest} failed={why}");
-                self.0.log.note(Event::Tried, detail);
+                self.0.log.event(Event::SuspectTrial, detail);
                 return false;
             }
         };
@@ -292,7 +292,7 @@
     /// Logs what another instance told when it was asked.
     pub(crate) fn log_received(&self, from: SocketAddr, words: usize) {
         let detail = format_args!("from={from} what=suspects words={words}");
-        self.0.log.note(Event::NewsFromPeer, detail);
+        self.0.log.event(Event::PeerUpdate, detail);
     }
 
     /// Waits until something may have to be told.
@@ -341,5 +341,5 @@
 
 fn refusal(blame: &CrashHistory) -> Refusal {
     let retry_ms = blame.retry_ms.unwrap_or(RETRY_NO_TRIAL_LEFT_MS);
-    Refusal::new(Kind::EndsUpstreams, blame.to_string()).back_at(retry_ms)
+    Refusal::new(Kind::EndsUpstreams, blame.to_string()).retry_after(retry_ms)
 }
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -1,25 +1,25 @@
 //! The list of upstreams, from the store or from an instance that reaches it.
 
-use std::collections::BTreeMap;
-use std::sync::{Arc, Mutex, MutexGuard};
-
+use crate::dialect::Dialect;
+use crate::event::Event;
+use crate::log::Log;
+use crate::notices::Notices;
+use crate::replication::Topic;
+use crate::store_health::StoreHealth;
+use crate::suspects::Suspects;
 use bytes::Bytes;
 use clock::Clock;
 use dial::Dialer;
-use kv::{Change, Found, Store};
 use notice::Notice;
-use place::{EntryChange, MissingEntries, Pool, RateLimit, UpstreamKey, VersionedLimit};
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex, MutexGuard};
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-use crate::dialect::Dialect;
-use crate::event::Event;
+use kv::{Change, Found, Store};
+use place::{EntryChange, MissingEntries, Pool, RateLimit, UpstreamKey, VersionedLimit};
+
 use crate::follower::{FollowContext, Follower, Update, WATCH_TIMEOUT_MS};
-use crate::log::Log;
-use crate::notices::Notices;
-use crate::replication::Topic;
-use crate::store_health::StoreHealth;
-use crate::suspects::Suspects;
 
 /// New upstreams of one change that are logged one by one.
 const MAX_LOGGED_UPSTREAMS: usize = 16;
@@ -118,7 +118,7 @@
         if news {
             self.0.dialer.forget(incarnation);
             let detail = format_args!("upstream={incarnation} source={source}");
-            self.0.log.note(Event::UpstreamLeaving, detail);
+            self.0.log.event(Event::UpstreamLeaving, detail);
         }
         self.publish_leaving(incarnation);
     }
@@ -137,7 +137,7 @@
         if changed {
             let per_sec = limit.rate.map(RateLimit::as_per_sec);
             let detail = format_args!("upstream={incarnation} per_sec={per_sec:?} source=peer");
-            self.0.log.note(Event::UpstreamLimit, detail);
+            self.0.log.event(Event::UpstreamLimitChanged, detail);
         }
     }
 
@@ -316,11 +316,11 @@
     /// Takes an entry; returns the detail of the log line where it names a new upstream. One that can't be read, for others write there
     /// too, names no upstream to use.
     fn apply_entry(&self, key: &str, value: &[u8]) -> Option<String> {
-        let spec = match self.0.dialect.upstream(key, value) {
+        let spec = match self.0.dialect.parse_upstream(key, value) {
             Ok(spec) => spec,
             Err(why) => {
                 let detail = format_args!("key={key} why={why}");
-                self.0.log.note(Event::UpstreamBroken, detail);
+                self.0.log.event(Event::UpstreamEntryInvalid, detail);
                 self.delist(key);
                 return None;
             }
@@ -346,7 +346,7 @@
             EntryChange::Restarted { ended } => {
                 self.0.dialer.cut(&ended);
                 self.0.suspects.upstream_crashed(&ended);
-                Event::UpstreamReborn
+                Event::UpstreamRestarted
             }
             EntryChange::New | EntryChange::Leaving if leaving => {
                 self.0.dialer.forget(&incarnation);
@@ -354,7 +354,7 @@
             }
             EntryChange::New | EntryChange::Leaving => return Some(detail),
         };
-        self.0.log.note(event, detail);
+        self.0.log.event(event, detail);
         None
     }
 
@@ -362,10 +362,10 @@
     fn log_new(&self, details: &[String]) {
         if details.len() > MAX_LOGGED_UPSTREAMS {
             let count = format_args!("count={}", details.len());
-            return self.0.log.note(Event::UpstreamNew, count);
+            return self.0.log.event(Event::UpstreamAdded, count);
         }
         for detail in details {
-            self.0.log.note(Event::UpstreamNew, detail);
+            self.0.log.event(Event::UpstreamAdded, detail);
         }
     }
 
@@ -375,7 +375,7 @@
         if let Some(incarnation) = ended {
             self.0.dialer.forget(&incarnation);
             let detail = format_args!("upstream={incarnation}");
-            self.0.log.note(Event::UpstreamGone, detail);
+            self.0.log.event(Event::UpstreamRemoved, detail);
             self.0.suspects.upstream_crashed(&incarnation);
         }
     }
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -1,15 +1,14 @@
 //! How calls of the store are named in the log, and all metrics: monitoring reads both, and they stay.
 
-use std::sync::Arc;
-
+use crate::log::Log;
+use crate::metrics::Metrics;
+use crate::store_health::StoreHealth;
+use crate::suspects::Suspects;
 use clock::Clock;
 use dial::Dialer;
+use std::sync::Arc;
 
 use super::{Call, Calls};
-use crate::log::Log;
-use crate::metric::Metrics;
-use crate::store_health::StoreHealth;
-use crate::suspects::Suspects;
 
 fn call() -> Call {
     Call {
@@ -28,7 +27,7 @@
 #[test]
 fn metrics_keep_their_names_and_labels() {
     let clock = Clock::start();
-    let log = Arc::new(Log::open(clock));
+    let log = Arc::new(Log::new(clock));
     let reach = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
     let calls = Calls::open(clock, reach);
     let suspects = Suspects::open("r1", clock, log, Dialer::default());
