--- a/crates/proxy/src/bank/charge.rs
+++ b/crates/proxy/src/budgets/charge.rs
@@ -1,11 +1,11 @@
 //! Tokens that a request holds, or waits for.
 
-use super::Bank;
+use super::Budgets;
 use crate::event::Event;
 
 /// Tokens reserved for a request; dropping it settles.
-pub(crate) struct Charge {
-    pub(super) bank: Bank,
+pub(crate) struct Reservation {
+    pub(super) bank: Budgets,
     pub(super) customer: String,
     pub(super) reserved: u64,
     /// The prompt, once it was sent to an upstream that may answer it: counts once.
@@ -13,8 +13,8 @@
     pub(super) answer: u64,
 }
 
-impl Charge {
-    pub(super) fn of(mut self, tokens: u64) -> Charge {
+impl Reservation {
+    pub(super) fn of(mut self, tokens: u64) -> Reservation {
         self.reserved = tokens;
         self
     }
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Charge {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let (spent, reserved) = (self.spent(), self.reserved);
         if spent > reserved {
@@ -69,13 +69,13 @@
 
 /// Counts what a waiting request lacks, until it is dropped.
 pub(super) struct Lack<'a> {
-    bank: &'a Bank,
+    bank: &'a Budgets,
     customer: &'a str,
     tokens: u64,
 }
 
 impl<'a> Lack<'a> {
-    pub(super) fn open(bank: &'a Bank, customer: &'a str, tokens: u64) -> Lack<'a> {
+    pub(super) fn open(bank: &'a Budgets, customer: &'a str, tokens: u64) -> Lack<'a> {
         bank.with(customer, |h| h.begin_wait(tokens));
         Lack {
             bank,
--- a/crates/proxy/src/bank/draw.rs
+++ b/crates/proxy/src/budgets/draw.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::{timeout, Instant};
 
-use super::{Bank, Charge};
+use super::{Budgets, Reservation};
 use crate::datagram::Sender;
 use crate::event::Event;
 use crate::fleet::Member;
@@ -20,7 +20,7 @@
 
 /// A call for the tokens of one request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Draw {
+pub(crate) struct DrawRequest {
     customer: String,
     /// Tokens that the request needs beyond what the caller has.
     tokens: u64,
@@ -37,7 +37,7 @@
 
 /// A home's answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) enum Drawn {
+pub(crate) enum DrawResponse {
     /// The tokens are debited there.
     Tokens(CumulativeTotal),
     /// The budget does not cover them.
@@ -55,13 +55,13 @@
     Crowded,
 }
 
-impl Bank {
+impl Budgets {
     /// Reserves tokens with the help of the customer's homes; `None` when none of them is of help.
     pub(super) async fn reserve_at_home(
         &self,
         customer: &str,
         tokens: u64,
-    ) -> Option<Result<Charge, ReserveError>> {
+    ) -> Option<Result<Reservation, ReserveError>> {
         let mut homes = self.homes(customer);
         if homes.is_empty() {
             return None;
@@ -77,17 +77,19 @@
         while let Some(home) = homes.get(asked).cloned() {
             asked += 1;
             match self.draw_from(&home, customer, lacking, tokens).await {
-                Drawn::Tokens(_) if self.try_reserve(customer, lacking) => {
+                DrawResponse::Tokens(_) if self.try_reserve(customer, lacking) => {
                     charge.reserved = tokens;
                     return Some(Ok(charge));
                 }
                 // Another request was quicker.
-                Drawn::Tokens(_) => return None,
-                Drawn::Exhausted => return Some(Err(ReserveError::Exhausted)),
-                Drawn::OutOfReach { free } => return Some(Err(ReserveError::OutOfReach { free })),
-                Drawn::CutOff => cut_off += 1,
-                Drawn::NotHere => {}
-                Drawn::Crowded => {
+                DrawResponse::Tokens(_) => return None,
+                DrawResponse::Exhausted => return Some(Err(ReserveError::Exhausted)),
+                DrawResponse::OutOfReach { free } => {
+                    return Some(Err(ReserveError::OutOfReach { free }))
+                }
+                DrawResponse::CutOff => cut_off += 1,
+                DrawResponse::NotHere => {}
+                DrawResponse::Crowded => {
                     self.crowded(customer);
                     homes = self.homes(customer);
                     (asked, cut_off) = (0, 0);
@@ -101,7 +103,13 @@
     }
 
     /// Calls a home.
-    async fn draw_from(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> Drawn {
+    async fn draw_from(
+        &self,
+        home: &Member,
+        customer: &str,
+        tokens: u64,
+        size: u64,
+    ) -> DrawResponse {
         let draw = self.draw(home, customer, tokens, size);
         let bytes = serde_json::to_vec(&draw).map_or(0, |d| d.len());
         let Sender { fleet, traffic, .. } = &self.means().sender;
@@ -109,7 +117,7 @@
         let (bank, addr) = (self.clone(), home.addr);
         let call = async move {
             let drawn = bank.means().peers.draw(addr, &draw).await?;
-            if let Drawn::Tokens(given) = &drawn {
+            if let DrawResponse::Tokens(given) = &drawn {
                 bank.with(&draw.customer, |h| {
                     h.receive_tokens(&draw.spent.from, given);
                 });
@@ -119,7 +127,7 @@
         self.debiting(home, call).await.unwrap_or_else(|why| {
             let detail = format_args!("customer={customer} from={} failed={why}", home.id);
             self.0.log.note(Event::Transfer, detail);
-            Drawn::NotHere
+            DrawResponse::NotHere
         })
     }
 
@@ -139,9 +147,9 @@
         }
     }
 
-    fn draw(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> Draw {
+    fn draw(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> DrawRequest {
         let zone = self.area(customer) == Area::Zone;
-        self.open_holding(customer, |h| Draw {
+        self.open_holding(customer, |h| DrawRequest {
             customer: customer.to_string(),
             tokens,
             size,
@@ -152,14 +160,14 @@
     }
 
     /// Answers an instance that draws from this one.
-    pub(crate) async fn drawn(&self, draw: &Draw) -> Drawn {
+    pub(crate) async fn drawn(&self, draw: &DrawRequest) -> DrawResponse {
         let me = self.me();
         self.with(&draw.customer, |h| h.receive_spending(&me, &draw.spent));
         if draw.spent.to != me || self.is_leaving() || self.prepaid(&draw.customer) < draw.prepaid {
-            return Drawn::NotHere;
+            return DrawResponse::NotHere;
         }
         if self.count_draw(&draw.customer) && !draw.zone {
-            return Drawn::Crowded;
+            return DrawResponse::Crowded;
         }
         let until = Instant::now() + DRAW_WAIT;
         // Those that take a home's place are asked all at once while nobody reaches the store: were each to count
@@ -172,16 +180,16 @@
         match reserved.await {
             Ok(charge) => {
                 let total = charge.hand_over(&draw.spent.from);
-                Drawn::Tokens(self.tell(&draw.spent.from, total))
+                DrawResponse::Tokens(self.tell(&draw.spent.from, total))
             }
             // By an older configuration the caller may know better.
             Err(ReserveError::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => {
-                Drawn::NotHere
+                DrawResponse::NotHere
             }
-            Err(ReserveError::Exhausted) => Drawn::Exhausted,
+            Err(ReserveError::Exhausted) => DrawResponse::Exhausted,
             // The next one may reach the store.
-            Err(ReserveError::OutOfReach { .. }) if self.is_cut_off() => Drawn::CutOff,
-            Err(ReserveError::OutOfReach { free }) => Drawn::OutOfReach { free },
+            Err(ReserveError::OutOfReach { .. }) if self.is_cut_off() => DrawResponse::CutOff,
+            Err(ReserveError::OutOfReach { free }) => DrawResponse::OutOfReach { free },
         }
     }
 
--- a/crates/proxy/src/bank/handover.rs
+++ b/crates/proxy/src/budgets/handover.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use super::refill::{Scope, Wrote};
-use super::{Bank, TRIES};
+use super::{Budgets, TRIES};
 use crate::event::Event;
 use crate::fleet::Member;
 use crate::peers::{Gift, Want};
@@ -21,7 +21,7 @@
 /// Other instances that are asked in one look.
 const PEERS_ASKED: usize = 8;
 
-impl Bank {
+impl Budgets {
     /// Asks other instances for what a customer's requests lack.
     pub(super) async fn ask_peers(&self, customer: &str) {
         for peer in self.askable(customer).iter().take(PEERS_ASKED) {
--- a/crates/proxy/src/bank/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -39,10 +39,10 @@
 use crate::reach::Reach;
 use crate::roster::{Area, Homes};
 
-pub(crate) use charge::Charge;
 use charge::Lack;
-pub(crate) use draw::{Draw, Drawn};
-pub(crate) use settled::Settled;
+pub(crate) use charge::Reservation;
+pub(crate) use draw::{DrawRequest, DrawResponse};
+pub(crate) use settled::Settlement;
 
 /// Longest time that a request waits for tokens: a few calls of the store and of other instances.
 const WAIT_MOST: Duration = Duration::from_millis(600);
@@ -55,7 +55,7 @@
 const TRIES: usize = 6;
 
 /// What the task of the holdings works with.
-pub(crate) struct Means {
+pub(crate) struct Dependencies {
     pub(crate) store: Arc<dyn Store>,
     pub(crate) reach: Arc<Reach>,
     pub(crate) fleet: Fleet,
@@ -68,7 +68,7 @@
 
 /// A handle on the holdings.
 #[derive(Clone)]
-pub(crate) struct Bank(Arc<Inner>);
+pub(crate) struct Budgets(Arc<Inner>);
 
 struct Inner {
     clock: Clock,
@@ -83,7 +83,7 @@
     wake: Notify,
     /// Counts the looks that have ended.
     looks: watch::Sender<u64>,
-    means: OnceLock<Means>,
+    means: OnceLock<Dependencies>,
     /// Customers of whose ended requests their homes are to be told, with how many times.
     ended: Mutex<BTreeMap<String, u8>>,
     ended_wake: Notify,
@@ -101,9 +101,9 @@
     crowded_until: Option<Instant>,
 }
 
-impl Bank {
-    pub(crate) fn open(clock: Clock, log: Arc<Log>) -> Bank {
-        Bank(Arc::new(Inner {
+impl Budgets {
+    pub(crate) fn open(clock: Clock, log: Arc<Log>) -> Budgets {
+        Budgets(Arc::new(Inner {
             clock,
             log,
             accounts: Mutex::default(),
@@ -144,7 +144,7 @@
         customer: &str,
         tokens: u64,
         deadline: Instant,
-    ) -> Result<Charge, ReserveError> {
+    ) -> Result<Reservation, ReserveError> {
         let reserved = self.reserve_at_home(customer, tokens).await;
         if let Some(reserved) = reserved {
             return reserved;
@@ -217,8 +217,8 @@
         exceeds_home_capacity(account.draws.per_second(now))
     }
 
-    fn charge(&self, customer: &str) -> Charge {
-        Charge {
+    fn charge(&self, customer: &str) -> Reservation {
+        Reservation {
             bank: self.clone(),
             customer: customer.to_string(),
             reserved: 0,
@@ -235,7 +235,7 @@
         tokens: u64,
         size: u64,
         deadline: Instant,
-    ) -> Result<Charge, ReserveError> {
+    ) -> Result<Reservation, ReserveError> {
         let charge = self.charge(customer);
         match self.first_try(customer, tokens, size) {
             Tried::Reserved => return Ok(charge.of(tokens)),
--- a/crates/proxy/src/bank/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -7,7 +7,7 @@
 use escrow::{BudgetRecord, Ledger, LedgerEntry, LocalBudget, RecordSnapshot};
 use kv::{Found, Reading};
 
-use super::{Account, Bank};
+use super::{Account, Budgets};
 use crate::event::Event;
 use crate::roster::Area;
 
@@ -21,7 +21,7 @@
 /// Records that the store lists in one call, about: where fewer are wanted than that takes calls, each is read by itself.
 const RECORDS_A_CALL: usize = 200;
 
-impl Bank {
+impl Budgets {
     /// Returns the customers whose records are to be read: those that were never read and this instance has to do with, and those
     /// whose requests lack tokens that by an old record nobody has.
     ///
--- a/crates/proxy/src/bank/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use super::records::PREFIX;
-use super::{Bank, Means, TRIES};
+use super::{Budgets, Dependencies, TRIES};
 use crate::event::Event;
 use crate::roster::Area;
 
@@ -55,9 +55,9 @@
     Leaving,
 }
 
-impl Bank {
+impl Budgets {
     /// Keeps the holdings filled.
-    pub(crate) fn spawn(&self, means: Means) {
+    pub(crate) fn spawn(&self, means: Dependencies) {
         assert!(self.0.means.set(means).is_ok(), "spawned once");
         tokio::spawn(self.clone().settle());
         let bank = self.clone();
@@ -86,7 +86,7 @@
         pause.min(LOOK_MOST) + Duration::from_millis(spread)
     }
 
-    pub(super) fn means(&self) -> &Means {
+    pub(super) fn means(&self) -> &Dependencies {
         self.0.means.get().expect("set before anything runs")
     }
 
--- a/crates/proxy/src/bank/settled.rs
+++ b/crates/proxy/src/budgets/settled.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::Bank;
+use super::Budgets;
 use crate::datagram::Datagram;
 use crate::fleet::Member;
 
@@ -25,7 +25,7 @@
 
 /// One customer's word.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(crate) struct Settled {
+pub(crate) struct Settlement {
     customer: String,
     /// What the teller has given to the home.
     given: CumulativeTotal,
@@ -33,7 +33,7 @@
     spent: CumulativeTotal,
 }
 
-impl Bank {
+impl Budgets {
     /// Notes that a request of a customer has ended.
     pub(super) fn ended(&self, customer: &str) {
         let mut ended = self.0.ended.lock().expect("no panic inside");
@@ -56,7 +56,7 @@
     }
 
     /// Takes the customers of which something is to be told, by the address of their home.
-    fn untold(&self) -> BTreeMap<SocketAddr, Vec<Settled>> {
+    fn untold(&self) -> BTreeMap<SocketAddr, Vec<Settlement>> {
         let mut ended = self.0.ended.lock().expect("no panic inside");
         let customers: Vec<String> = ended.keys().cloned().collect();
         ended.retain(|_, times| {
@@ -67,7 +67,7 @@
             self.0.ended_wake.notify_one();
         }
         drop(ended);
-        let mut told: BTreeMap<SocketAddr, Vec<Settled>> = BTreeMap::new();
+        let mut told: BTreeMap<SocketAddr, Vec<Settlement>> = BTreeMap::new();
         for customer in customers {
             let homes = self.means().fleet.homes(&customer, self.area(&customer));
             // What is passed on to one that is gone is out of reach, and never on record: the own line tells of it.
@@ -81,11 +81,11 @@
         told
     }
 
-    fn settled_row(&self, home: &Member, customer: String) -> Option<Settled> {
+    fn settled_row(&self, home: &Member, customer: String) -> Option<Settlement> {
         let now = self.0.clock.now();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let holding = &mut accounts.get_mut(&customer)?.holding;
-        Some(Settled {
+        Some(Settlement {
             given: self.tell(&home.id, holding.transfer_idle(now, &home.id)),
             spent: self.tell(&home.id, holding.forward_spending(&home.id)),
             customer,
@@ -93,7 +93,7 @@
     }
 
     /// Takes the word of an instance that draws from this one.
-    pub(crate) fn take_settled(&self, told: &[Settled]) {
+    pub(crate) fn take_settled(&self, told: &[Settlement]) {
         let me = self.me();
         let mut awaited = false;
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -9,7 +9,7 @@
 use notice::Notice;
 use place::{ColdStart, Pool};
 
-use crate::bank::Bank;
+use crate::budgets::Budgets;
 use crate::dialect::Dialect;
 use crate::evacuation::Evacuations;
 use crate::event::Event;
@@ -54,7 +54,7 @@
 /// What a configuration is put in force with.
 pub(crate) struct Works {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) bank: Bank,
+    pub(crate) bank: Budgets,
     pub(crate) log: Arc<Log>,
     pub(crate) notices: Notices,
     pub(crate) relay: Relay,
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use crate::bank::Settled;
+use crate::budgets::Settlement;
 use crate::fleet::Fleet;
 use crate::peers::Desk;
 use crate::relay::Relay;
@@ -40,7 +40,7 @@
     /// What it has at the upstreams.
     Loads(LoadReport),
     /// What requests have spent and left of budgets.
-    Settled(Vec<Settled>),
+    Settled(Vec<Settlement>),
     /// How far it has read the store for its zone.
     Head(Head),
     /// Requests under which upstreams have ended.
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use crate::bank::{Bank, Means};
+use crate::budgets::{Budgets, Dependencies};
 use crate::calls::Calls;
 use crate::config::{ColdBounds, Config, Works};
 use crate::datagram::{self, Sender};
@@ -108,7 +108,7 @@
             relay: relay.clone(),
             peers: peers.clone(),
         };
-        let bank = Bank::open(clock, Arc::clone(&log));
+        let bank = Budgets::open(clock, Arc::clone(&log));
         let pool = Arc::new(Mutex::new(pool(&fleet_settings)));
         let dialer = Dialer::default();
         let notices = Notices::default();
@@ -223,7 +223,7 @@
         datagram::spawn(&others, Arc::clone(&router.pool), desk.clone(), clock);
         let peer = peers::serve(server, desk.clone());
         peers.spawn_news(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
-        bank.spawn(Means {
+        bank.spawn(Dependencies {
             store: calls.store("budgets", &store),
             reach,
             fleet,
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -10,7 +10,7 @@
 use suspect::Digest;
 
 use crate::ask::Ask;
-use crate::bank::Charge;
+use crate::budgets::Reservation;
 use crate::event::Event;
 use crate::router::Router;
 
@@ -86,7 +86,7 @@
     pub(crate) tried: SmallVec<[UpstreamKey; 4]>,
     /// How often it was sent.
     pub(crate) attempts: u32,
-    pub(crate) charge: Option<Charge>,
+    pub(crate) charge: Option<Reservation>,
     /// Whether something of an upstream's answer came, or may have been on its way.
     pub(crate) may_be_answered: bool,
     /// What was expected of the last upstream, for the log.
@@ -149,7 +149,7 @@
             self.expected.first_ms,
             self.expected.unread,
             self.ask.prompt,
-            self.charge.as_ref().map_or(0, Charge::spent),
+            self.charge.as_ref().map_or(0, Reservation::spent),
             self.digest,
         );
         self.router
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -6,8 +6,8 @@
 
 mod ask;
 mod attempt;
-mod bank;
 mod body;
+mod budgets;
 mod calls;
 mod config;
 mod datagram;
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -18,7 +18,7 @@
 use suspect::SuspectRecord;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::bank::{Bank, Draw, Drawn};
+use crate::budgets::{Budgets, DrawRequest, DrawResponse};
 use crate::event::Event;
 use crate::fleet::Fleet;
 use crate::log::Log;
@@ -88,7 +88,7 @@
 /// What the instance answers from.
 #[derive(Clone)]
 pub(crate) struct Desk {
-    pub(crate) bank: Bank,
+    pub(crate) bank: Budgets,
     pub(crate) suspects: Suspects,
     pub(crate) effects: Effects,
     pub(crate) traffic: Traffic,
@@ -136,7 +136,7 @@
     });
     gift.expect("a new name");
     let draw = module.register_async_method("draw", |params, desk, _| async move {
-        let draw: Draw = params.one()?;
+        let draw: DrawRequest = params.one()?;
         RpcResult::Ok(desk.bank.drawn(&draw).await)
     });
     draw.expect("a new name");
@@ -284,7 +284,11 @@
     /// # Errors
     ///
     /// Returns why there is no answer: tokens that it debited come with its next one.
-    pub(crate) async fn draw(&self, addr: SocketAddr, draw: &Draw) -> Result<Drawn, String> {
+    pub(crate) async fn draw(
+        &self,
+        addr: SocketAddr,
+        draw: &DrawRequest,
+    ) -> Result<DrawResponse, String> {
         self.call(addr, "draw", draw).await
     }
 
--- a/crates/proxy/src/pipe.rs
+++ b/crates/proxy/src/pipe.rs
@@ -17,8 +17,8 @@
 use tokio::time::timeout_at;
 
 use crate::ask::Ask;
-use crate::bank::Charge;
 use crate::body::Out;
+use crate::budgets::Reservation;
 use crate::config::Active;
 use crate::event::Event;
 use crate::job::{Busy, Expected, Job};
@@ -231,7 +231,7 @@
     }
 
     /// Reserves the most that a request can cost.
-    async fn charge(&self, active: &Active, job: &Job) -> Result<Option<Charge>, Refusal> {
+    async fn charge(&self, active: &Active, job: &Job) -> Result<Option<Reservation>, Refusal> {
         let tokens = job.ask.tokens();
         let Some(customer) = &job.customer else {
             return Ok(None);
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -8,7 +8,7 @@
 use place::{Link, Pool, RequestMemory, RetryBudget};
 use tokio::sync::watch;
 
-use crate::bank::Bank;
+use crate::budgets::Budgets;
 use crate::config::Config;
 use crate::dialect::Dialect;
 use crate::event::Event;
@@ -27,7 +27,7 @@
     pub(crate) log: Arc<Log>,
     pub(crate) metrics: Metrics,
     pub(crate) config: Config,
-    pub(crate) bank: Bank,
+    pub(crate) bank: Budgets,
     pub(crate) pool: Arc<Mutex<Pool>>,
     pub(crate) listing: Listing,
     pub(crate) dialer: Dialer,
--- a/crates/proxy/tests/encoding/mod.rs
+++ b/crates/proxy/tests/encoding/mod.rs
@@ -2,7 +2,7 @@
 
 mod texts;
 
-use crate::bank::{Draw, Drawn};
+use crate::budgets::{DrawRequest, DrawResponse};
 use crate::datagram::Datagram;
 use crate::fleet::Member;
 use crate::passed::{Ask, Passed};
@@ -21,8 +21,8 @@
 fn instance_messages_keep_their_encoding() {
     assert_kept::<Want>(include_str!("../data/outer/wants.json"));
     assert_kept::<Gift>(include_str!("../data/outer/gifts.json"));
-    assert_kept::<Draw>(include_str!("../data/outer/draws.json"));
-    assert_kept::<Drawn>(include_str!("../data/outer/drawn.json"));
+    assert_kept::<DrawRequest>(include_str!("../data/outer/draws.json"));
+    assert_kept::<DrawResponse>(include_str!("../data/outer/drawn.json"));
     assert_kept::<Ask>(include_str!("../data/outer/asks.json"));
     assert_kept::<Passed>(include_str!("../data/outer/passed.json"));
     assert_kept::<AskTrial>(include_str!("../data/outer/ask_trials.json"));
@@ -32,7 +32,7 @@
 /// Guards what an instance of an earlier version sends, which lacks these fields.
 #[test]
 fn short_instance_messages_are_read() {
-    assert_filled::<Draw>(
+    assert_filled::<DrawRequest>(
         r#"{"customer":"alpha","tokens":1,"size":2,"spent":{"from":"r1.6a","to":"r2.6b","total":4},"prepaid":3}"#,
         r#"{"customer":"alpha","tokens":1,"size":2,"spent":{"from":"r1.6a","to":"r2.6b","total":4},"prepaid":3,"zone":false}"#,
     );
