--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -207,7 +207,7 @@
     }
     let prompt = u64::from(job.ask.prompt);
     if let Some(charge) = &mut job.charge {
-        charge.sent(prompt);
+        charge.record_prompt_sent(prompt);
     }
     let sent = send(job, slot, conn, after_event).await;
     let nothing_came = matches!(sent, Err(Failed::NotRun(_) | Failed::Unanswered(_)));
@@ -220,7 +220,7 @@
         let log = &job.router.log;
         log.request(Event::AttemptFailed, &job.ask.id, detail);
         if let Some(charge) = job.charge.as_mut().filter(|_| !job.may_be_answered) {
-            charge.nothing_came();
+            charge.clear_prompt();
         }
     }
     sent
--- a/crates/proxy/src/budgets/charge.rs
+++ b/crates/proxy/src/budgets/charge.rs
@@ -20,19 +20,19 @@
     }
 
     /// Counts the prompt, which an upstream is about to get.
-    pub(crate) fn sent(&mut self, prompt: u64) {
+    pub(crate) fn record_prompt_sent(&mut self, prompt: u64) {
         self.prompt = prompt;
     }
 
     /// Takes back the counting of the prompt: the upstreams that got it did not run it, or closed before anything
     /// of an answer came. A customer pays for what it gets: counted, the prompts whose answers are lost
     /// would take several percent of a budget in seconds while upstreams fail.
-    pub(crate) fn nothing_came(&mut self) {
+    pub(crate) fn clear_prompt(&mut self) {
         self.prompt = 0;
     }
 
     /// Counts tokens of the answer that go to the caller.
-    pub(crate) fn delivered(&mut self, tokens: u64) {
+    pub(crate) fn record_delivered(&mut self, tokens: u64) {
         self.answer += tokens;
     }
 
--- a/crates/proxy/src/budgets/draw.rs
+++ b/crates/proxy/src/budgets/draw.rs
@@ -48,11 +48,14 @@
         free: bool,
     },
     /// There are none here, and the store is out of reach from here.
-    CutOff,
+    #[serde(rename = "CutOff")]
+    StoreUnreachable,
     /// This instance does not know the budget as the caller does, or stops.
-    NotHere,
+    #[serde(rename = "NotHere")]
+    Unavailable,
     /// The customer has more draws than one instance answers: the home of the caller's availability zone is to be asked.
-    Crowded,
+    #[serde(rename = "Crowded")]
+    OverCapacity,
 }
 
 impl Budgets {
@@ -87,9 +90,9 @@
                 DrawResponse::OutOfReach { free } => {
                     return Some(Err(ReserveError::OutOfReach { free }))
                 }
-                DrawResponse::CutOff => cut_off += 1,
-                DrawResponse::NotHere => {}
-                DrawResponse::Crowded => {
+                DrawResponse::StoreUnreachable => cut_off += 1,
+                DrawResponse::Unavailable => {}
+                DrawResponse::OverCapacity => {
                     self.crowded(customer);
                     homes = self.homes(customer);
                     (asked, cut_off) = (0, 0);
@@ -98,7 +101,7 @@
         }
         // The home has asked all others, unless that is this one: there is nothing to wait for.
         let all_cut_off = cut_off == homes.len() && !self.is_home(customer);
-        let nowhere = all_cut_off && self.is_cut_off();
+        let nowhere = all_cut_off && self.is_store_unreachable();
         nowhere.then_some(Err(ReserveError::OutOfReach { free: false }))
     }
 
@@ -127,7 +130,7 @@
         self.debiting(home, call).await.unwrap_or_else(|why| {
             let detail = format_args!("customer={customer} from={} failed={why}", home.id);
             self.0.log.note(Event::Transfer, detail);
-            DrawResponse::NotHere
+            DrawResponse::Unavailable
         })
     }
 
@@ -160,20 +163,23 @@
     }
 
     /// Answers an instance that draws from this one.
-    pub(crate) async fn drawn(&self, draw: &DrawRequest) -> DrawResponse {
-        let me = self.me();
+    pub(crate) async fn handle_draw(&self, draw: &DrawRequest) -> DrawResponse {
+        let me = self.own_id();
         self.with(&draw.customer, |h| h.receive_spending(&me, &draw.spent));
-        if draw.spent.to != me || self.is_leaving() || self.prepaid(&draw.customer) < draw.prepaid {
-            return DrawResponse::NotHere;
+        if draw.spent.to != me
+            || self.is_shutting_down()
+            || self.prepaid(&draw.customer) < draw.prepaid
+        {
+            return DrawResponse::Unavailable;
         }
         if self.count_draw(&draw.customer) && !draw.zone {
-            return DrawResponse::Crowded;
+            return DrawResponse::OverCapacity;
         }
         let until = Instant::now() + DRAW_WAIT;
         // Those that take a home's place are asked all at once while nobody reaches the store: were each to count
         // the demand, each would take tokens for all of it afterwards.
         let home = draw.zone || self.is_home(&draw.customer);
-        if home || !self.is_cut_off() {
+        if home || !self.is_store_unreachable() {
             self.ask(&draw.customer, draw.tokens, draw.size);
         }
         let reserved = self.reserve_here(&draw.customer, draw.tokens, draw.size, until);
@@ -184,11 +190,13 @@
             }
             // By an older configuration the caller may know better.
             Err(ReserveError::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => {
-                DrawResponse::NotHere
+                DrawResponse::Unavailable
             }
             Err(ReserveError::Exhausted) => DrawResponse::Exhausted,
             // The next one may reach the store.
-            Err(ReserveError::OutOfReach { .. }) if self.is_cut_off() => DrawResponse::CutOff,
+            Err(ReserveError::OutOfReach { .. }) if self.is_store_unreachable() => {
+                DrawResponse::StoreUnreachable
+            }
             Err(ReserveError::OutOfReach { free }) => DrawResponse::OutOfReach { free },
         }
     }
--- a/crates/proxy/src/budgets/handover.rs
+++ b/crates/proxy/src/budgets/handover.rs
@@ -58,7 +58,7 @@
         let holding = &accounts.get(customer)?.holding;
         let tokens = holding.shortfall();
         (tokens > 0).then(|| Want {
-            from: self.me(),
+            from: self.own_id(),
             customer: customer.to_string(),
             tokens,
             balance: holding.balance(),
@@ -67,7 +67,7 @@
     }
 
     fn receive(&self, customer: &str, given: &CumulativeTotal) {
-        let (me, from) = (self.me(), &given.from);
+        let (me, from) = (self.own_id(), &given.from);
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.get_mut(customer);
         let tokens = account.map_or(0, |a| a.holding.receive_tokens(&me, given));
@@ -80,13 +80,13 @@
     }
 
     /// Returns whether a stop has begun to hand back tokens.
-    pub(crate) fn is_leaving(&self) -> bool {
+    pub(crate) fn is_shutting_down(&self) -> bool {
         self.0.leaving.load(Ordering::Relaxed)
     }
 
     /// Takes tokens from an instance that leaves; returns whether this one serves their customer.
-    pub(crate) fn accept(&self, gift: &Gift) -> bool {
-        let me = self.me();
+    pub(crate) fn receive_transfer(&self, gift: &Gift) -> bool {
+        let me = self.own_id();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let Some(account) = accounts.get_mut(&gift.customer) else {
             return false;
@@ -98,7 +98,7 @@
 
     /// Hands back what is not reserved, to the store or to other instances: the last act of a planned
     /// stop. Returns whether all of it went.
-    pub(crate) async fn leave(&self) -> bool {
+    pub(crate) async fn release_all(&self) -> bool {
         self.0.leaving.store(true, Ordering::Relaxed);
         // A read first: tokens in a write that may yet land can't be given to anybody else.
         let answers = timeout(LEAVE_STORE, self.read(&self.holders())).await;
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -176,7 +176,7 @@
     fn homes(&self, customer: &str) -> Homes {
         let (fleet, area) = (&self.means().fleet, self.area(customer));
         let homes = fleet.homes(customer, area);
-        if homes.is_empty() && self.is_cut_off() {
+        if homes.is_empty() && self.is_store_unreachable() {
             return fleet.homes_besides(customer, area);
         }
         homes
@@ -295,7 +295,7 @@
 
     /// Returns why a holding has no tokens for a request: free ones can't be taken while the store is out.
     fn why(&self, holding: &LocalBudget, tokens: u64) -> ReserveError {
-        let out = self.is_cut_off();
+        let out = self.is_store_unreachable();
         match holding.reserve_error(tokens) {
             ReserveError::OutOfReach { free } => ReserveError::OutOfReach { free: free && !out },
             exhausted => exhausted,
@@ -303,24 +303,24 @@
     }
 
     /// Returns whether the store is out of reach from here.
-    pub(crate) fn is_cut_off(&self) -> bool {
+    pub(crate) fn is_store_unreachable(&self) -> bool {
         self.means().reach.is_out()
     }
 
-    pub(crate) fn me(&self) -> String {
+    pub(crate) fn own_id(&self) -> String {
         self.means().fleet.me().to_string()
     }
 
     fn tell(&self, to: &str, total: u64) -> CumulativeTotal {
         CumulativeTotal {
-            from: self.me(),
+            from: self.own_id(),
             to: to.to_string(),
             total,
         }
     }
 
     /// Debits tokens for another instance.
-    pub(crate) fn give(&self, want: &Want) -> CumulativeTotal {
+    pub(crate) fn transfer_share(&self, want: &Want) -> CumulativeTotal {
         let now = self.0.clock.now();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.get_mut(&want.customer);
--- a/crates/proxy/src/budgets/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -156,7 +156,7 @@
             return;
         }
         *known = Some(revision);
-        let me = self.me();
+        let me = self.own_id();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         for (name, account) in accounts.iter_mut() {
             let line = book.entry(name);
--- a/crates/proxy/src/budgets/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -92,10 +92,10 @@
 
     /// Looks through holdings once.
     async fn look(&self, scope: Scope) {
-        if self.is_leaving() {
+        if self.is_shutting_down() {
             return;
         }
-        if self.is_cut_off() {
+        if self.is_store_unreachable() {
             self.ask_for_missing().await;
             return;
         }
@@ -215,7 +215,7 @@
             return txn;
         };
         let mut book = Ledger {
-            owner: self.me(),
+            owner: self.own_id(),
             ..Ledger::default()
         };
         let checked = self.0.book_checked.load(Ordering::Relaxed);
--- a/crates/proxy/src/budgets/settled.rs
+++ b/crates/proxy/src/budgets/settled.rs
@@ -93,8 +93,8 @@
     }
 
     /// Takes the word of an instance that draws from this one.
-    pub(crate) fn take_settled(&self, told: &[Settlement]) {
-        let me = self.me();
+    pub(crate) fn receive_settlements(&self, told: &[Settlement]) {
+        let me = self.own_id();
         let mut awaited = false;
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         for word in told {
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -177,7 +177,7 @@
                 Ok(Datagram::Loads(report)) => {
                     receive_loads(&self.pool, &report, self.clock.now());
                 }
-                Ok(Datagram::Settled(told)) => self.desk.bank.take_settled(&told),
+                Ok(Datagram::Settled(told)) => self.desk.bank.receive_settlements(&told),
                 Ok(Datagram::Head(head)) => self.desk.effects.relay.hear(from, head),
                 Ok(Datagram::Suspects(words)) => {
                     let lacks = self.desk.suspects.hear(fleet, &words);
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -308,11 +308,11 @@
         let mut whole = timeout_at(last_new, self.idle()).await.is_ok();
         router.refusing.store(true, Ordering::Relaxed);
         // Most tokens go while the last requests end: at the end there is little time.
-        router.bank.leave().await;
+        router.bank.release_all().await;
         if !whole {
             whole = timeout_at(until, self.idle()).await.is_ok();
         }
-        let said = timeout(LAST_WORDS / 2, router.bank.leave()).await == Ok(true);
+        let said = timeout(LAST_WORDS / 2, router.bank.release_all()).await == Ok(true);
         // What is not ended by then ends by itself.
         let _ = timeout(LAST_WORDS / 4, router.fleet.leave()).await;
         self.calls.log(&router.log);
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -122,7 +122,7 @@
     /// Counts tokens of the answer that go to the caller.
     pub(crate) fn delivered(&mut self, tokens: u64) {
         if let Some(charge) = &mut self.charge {
-            charge.delivered(tokens);
+            charge.record_delivered(tokens);
         }
         self.router.metrics.tokens.inc_by(tokens);
     }
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -127,21 +127,21 @@
     let mut module = RpcModule::new(desk);
     let take = module.register_method("take", |params, desk, _| -> RpcResult<CumulativeTotal> {
         let want: Want = params.one()?;
-        Ok(desk.bank.give(&want))
+        Ok(desk.bank.transfer_share(&want))
     });
     take.expect("a new name");
     let gift = module.register_method("gift", |params, desk, _| -> RpcResult<bool> {
         let gift: Gift = params.one()?;
-        Ok(desk.bank.accept(&gift))
+        Ok(desk.bank.receive_transfer(&gift))
     });
     gift.expect("a new name");
     let draw = module.register_async_method("draw", |params, desk, _| async move {
         let draw: DrawRequest = params.one()?;
-        RpcResult::Ok(desk.bank.drawn(&draw).await)
+        RpcResult::Ok(desk.bank.handle_draw(&draw).await)
     });
     draw.expect("a new name");
     let ping = module.register_method("ping", |_, desk, _| -> RpcResult<Option<String>> {
-        Ok((!desk.bank.is_leaving()).then(|| desk.bank.me()))
+        Ok((!desk.bank.is_shutting_down()).then(|| desk.bank.own_id()))
     });
     ping.expect("a new name");
     let news = module.register_method("news", |params, desk, _| -> RpcResult<News> {
