--- a/crates/proxy/src/bank/charge.rs
+++ b/crates/proxy/src/budgets/charge.rs
@@ -1,11 +1,11 @@
 //! Tokens that a request holds, or waits for.
 
-use super::Bank;
+use super::Budgets;
 use crate::event::Event;
 
 /// Tokens reserved for a request; dropping it settles.
-pub(crate) struct Charge {
-    pub(super) bank: Bank,
+pub(crate) struct Reservation {
+    pub(super) bank: Budgets,
     pub(super) customer: String,
     pub(super) reserved: u64,
     /// The prompt, once it was sent to an upstream that may answer it: counts once.
@@ -13,26 +13,26 @@
     pub(super) answer: u64,
 }
 
-impl Charge {
-    pub(super) fn of(mut self, tokens: u64) -> Charge {
+impl Reservation {
+    pub(super) fn of(mut self, tokens: u64) -> Reservation {
         self.reserved = tokens;
         self
     }
 
     /// Counts the prompt, which an upstream is about to get.
-    pub(crate) fn sent(&mut self, prompt: u64) {
+    pub(crate) fn record_prompt_sent(&mut self, prompt: u64) {
         self.prompt = prompt;
     }
 
     /// Takes back the counting of the prompt: the upstreams that got it did not run it, or closed before anything
     /// of an answer came. A customer pays for what it gets: counted, the prompts whose answers are lost
     /// would take several percent of a budget in seconds while upstreams fail.
-    pub(crate) fn nothing_came(&mut self) {
+    pub(crate) fn clear_prompt(&mut self) {
         self.prompt = 0;
     }
 
     /// Counts tokens of the answer that go to the caller.
-    pub(crate) fn delivered(&mut self, tokens: u64) {
+    pub(crate) fn record_delivered(&mut self, tokens: u64) {
         self.answer += tokens;
     }
 
@@ -49,7 +49,7 @@
     }
 }
 
-impl Drop for Charge {
+impl Drop for Reservation {
     fn drop(&mut self) {
         let (spent, reserved) = (self.spent(), self.reserved);
         if spent > reserved {
@@ -69,13 +69,13 @@
 
 /// Counts what a waiting request lacks, until it is dropped.
 pub(super) struct Lack<'a> {
-    bank: &'a Bank,
+    bank: &'a Budgets,
     customer: &'a str,
     tokens: u64,
 }
 
 impl<'a> Lack<'a> {
-    pub(super) fn open(bank: &'a Bank, customer: &'a str, tokens: u64) -> Lack<'a> {
+    pub(super) fn open(bank: &'a Budgets, customer: &'a str, tokens: u64) -> Lack<'a> {
         bank.with(customer, |h| h.begin_wait(tokens));
         Lack {
             bank,
--- a/crates/proxy/src/bank/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -13,6 +13,20 @@
 //! Whoever gives debits first, and every message tells a total: what is lost on the way is charged to the budget until
 //! the next message, and never spent twice.
 
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use charge::Lack;
+use clock::Clock;
+use conf::Routing;
+use kv::Store;
+
+use crate::datagram::Sender;
+use crate::fleet::Fleet;
+use crate::log::Log;
+use crate::store_health::StoreHealth;
+pub(crate) use charge::Reservation;
+pub(crate) use settled::Settlement;
 mod charge;
 mod draw;
 mod handover;
@@ -20,29 +34,17 @@
 mod refill;
 mod settled;
 
-use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicI64};
 use std::sync::{Arc, Mutex, OnceLock};
-use std::time::Duration;
 
-use clock::Clock;
-use conf::Routing;
 use escrow::{exceeds_home_capacity, CumulativeTotal, LocalBudget, Rate, ReserveError};
-use kv::Store;
 use tokio::sync::{watch, Notify};
 use tokio::time::{timeout_at, Instant};
 
-use crate::datagram::Sender;
-use crate::fleet::Fleet;
-use crate::log::Log;
 use crate::peers::{Peers, TokenRequest};
 use crate::roster::{HomeScope, Homes};
-use crate::store_health::StoreHealth;
 
-pub(crate) use charge::Charge;
-use charge::Lack;
-pub(crate) use draw::{Draw, Drawn};
-pub(crate) use settled::Settled;
+pub(crate) use draw::{DrawRequest, DrawResponse};
 
 /// Longest time that a request waits for tokens: a few calls of the store and of other instances.
 const WAIT_MOST: Duration = Duration::from_millis(600);
@@ -55,7 +57,7 @@
 const TRIES: usize = 6;
 
 /// What the task of the holdings works with.
-pub(crate) struct Means {
+pub(crate) struct Dependencies {
     pub(crate) store: Arc<dyn Store>,
     pub(crate) reach: Arc<StoreHealth>,
     pub(crate) fleet: Fleet,
@@ -68,7 +70,7 @@
 
 /// A handle on the holdings.
 #[derive(Clone)]
-pub(crate) struct Bank(Arc<Inner>);
+pub(crate) struct Budgets(Arc<Inner>);
 
 struct Inner {
     clock: Clock,
@@ -83,7 +85,7 @@
     wake: Notify,
     /// Counts the looks that have ended.
     looks: watch::Sender<u64>,
-    means: OnceLock<Means>,
+    means: OnceLock<Dependencies>,
     /// Customers of whose ended requests their homes are to be told, with how many times.
     ended: Mutex<BTreeMap<String, u8>>,
     ended_wake: Notify,
@@ -101,9 +103,9 @@
     crowded_until: Option<Instant>,
 }
 
-impl Bank {
-    pub(crate) fn open(clock: Clock, log: Arc<Log>) -> Bank {
-        Bank(Arc::new(Inner {
+impl Budgets {
+    pub(crate) fn open(clock: Clock, log: Arc<Log>) -> Budgets {
+        Budgets(Arc::new(Inner {
             clock,
             log,
             accounts: Mutex::default(),
@@ -144,7 +146,7 @@
         customer: &str,
         tokens: u64,
         deadline: Instant,
-    ) -> Result<Charge, ReserveError> {
+    ) -> Result<Reservation, ReserveError> {
         let reserved = self.reserve_at_home(customer, tokens).await;
         if let Some(reserved) = reserved {
             return reserved;
@@ -176,7 +178,7 @@
     fn homes(&self, customer: &str) -> Homes {
         let (fleet, area) = (&self.means().fleet, self.area(customer));
         let homes = fleet.preceding_homes(customer, area);
-        if homes.is_empty() && self.is_cut_off() {
+        if homes.is_empty() && self.is_store_unreachable() {
             return fleet.other_homes(customer, area);
         }
         homes
@@ -217,8 +219,8 @@
         exceeds_home_capacity(account.draws.per_second(now))
     }
 
-    fn charge(&self, customer: &str) -> Charge {
-        Charge {
+    fn charge(&self, customer: &str) -> Reservation {
+        Reservation {
             bank: self.clone(),
             customer: customer.to_string(),
             reserved: 0,
@@ -235,7 +237,7 @@
         tokens: u64,
         size: u64,
         deadline: Instant,
-    ) -> Result<Charge, ReserveError> {
+    ) -> Result<Reservation, ReserveError> {
         let charge = self.charge(customer);
         match self.first_try(customer, tokens, size) {
             Tried::Reserved => return Ok(charge.of(tokens)),
@@ -295,7 +297,7 @@
 
     /// Returns why a holding has no tokens for a request: free ones can't be taken while the store is out.
     fn why(&self, holding: &LocalBudget, tokens: u64) -> ReserveError {
-        let out = self.is_cut_off();
+        let out = self.is_store_unreachable();
         match holding.reserve_error(tokens) {
             ReserveError::OutOfReach { free } => ReserveError::OutOfReach { free: free && !out },
             exhausted => exhausted,
@@ -303,24 +305,24 @@
     }
 
     /// Returns whether the store is out of reach from here.
-    pub(crate) fn is_cut_off(&self) -> bool {
+    pub(crate) fn is_store_unreachable(&self) -> bool {
         self.means().reach.is_unavailable()
     }
 
-    pub(crate) fn me(&self) -> String {
+    pub(crate) fn own_id(&self) -> String {
         self.means().fleet.incarnation().to_string()
     }
 
     fn tell(&self, to: &str, total: u64) -> CumulativeTotal {
         CumulativeTotal {
-            from: self.me(),
+            from: self.own_id(),
             to: to.to_string(),
             total,
         }
     }
 
     /// Debits tokens for another instance.
-    pub(crate) fn give(&self, want: &TokenRequest) -> CumulativeTotal {
+    pub(crate) fn transfer_share(&self, want: &TokenRequest) -> CumulativeTotal {
         let now = self.0.clock.now();
         let mut accounts = self.0.accounts.lock().expect("no panic inside");
         let account = accounts.get_mut(&want.customer);
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -3,21 +3,21 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, RwLock};
 
-use crate::bank::Bank;
-use crate::dialect::Dialect;
-use crate::evacuation::Evacuations;
-use crate::event::Event;
-use crate::log::Log;
-use crate::relay::Relay;
-use crate::replication::Topic;
 use bytes::Bytes;
 use conf::Routing;
 use kv::{Change, Store};
 use notice::Notice;
 use place::{ColdStart, Pool};
 
+use crate::budgets::Budgets;
+use crate::dialect::Dialect;
+use crate::evacuation::Evacuations;
+use crate::event::Event;
 use crate::follower::{FollowContext, Follower, Update, WATCH_TIMEOUT_MS};
+use crate::log::Log;
 use crate::notices::{key_hash, Notices};
+use crate::relay::Relay;
+use crate::replication::Topic;
 
 /// Revoked keys that are remembered until the version that revokes them is in force, bounding memory.
 const MAX_REVOKED_KEYS: usize = 1_024;
@@ -54,7 +54,7 @@
 /// What a configuration is put in force with.
 pub(crate) struct ConfigDeps {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) bank: Bank,
+    pub(crate) bank: Budgets,
     pub(crate) log: Arc<Log>,
     pub(crate) notices: Notices,
     pub(crate) relay: Relay,
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -17,7 +17,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::sleep;
 
-use crate::bank::Settled;
+use crate::budgets::Settlement;
 use crate::fleet::Fleet;
 use crate::peers::PeerService;
 use crate::relay::Relay;
@@ -40,7 +40,7 @@
     /// What it has at the upstreams.
     Loads(LoadReport),
     /// What requests have spent and left of budgets.
-    Settled(Vec<Settled>),
+    Settled(Vec<Settlement>),
     /// How far it has read the store for its zone.
     Head(Heartbeat),
     /// Requests under which upstreams have ended.
@@ -179,7 +179,7 @@
                 Ok(Datagram::Loads(report)) => {
                     receive_loads(&self.pool, &report, self.clock.now());
                 }
-                Ok(Datagram::Settled(told)) => self.service.bank.take_settled(&told),
+                Ok(Datagram::Settled(told)) => self.service.bank.receive_settlements(&told),
                 Ok(Datagram::Head(head)) => {
                     self.service.notice_handler.relay.receive_head(from, head)
                 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -1,43 +1,43 @@
 //! One running instance: its start and its planned stop.
 
-use crate::dialect::Dialect;
-use crate::evacuation::Evacuations;
-use crate::event::Event;
-use crate::follower::FollowContext;
-use crate::log::Log;
-use crate::metrics::Metrics;
-use crate::relay::Relay;
-use crate::router::Router;
-use crate::store_calls::Calls;
-use crate::store_health::StoreHealth;
-use crate::suspect_gossip::PeerNetwork;
-use crate::suspect_store::SuspectStore;
-use crate::suspects::Suspects;
-use crate::traffic::Traffic;
-use crate::upstream_list::UpstreamList;
-use conf::Settings;
-use dial::Dialer;
-use kv::Store;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use tokio::sync::watch;
 
 use anyhow::{anyhow, Result};
 use clock::{wall_ms, Clock};
+use conf::Settings;
+use dial::Dialer;
+use kv::Store;
 use place::{Link, Pool, RequestMemory, RetryBudget, RetryLimits};
+use tokio::sync::watch;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use crate::bank::{Bank, Means};
+use crate::budgets::{self, Budgets};
 use crate::config::{ColdStartTolerance, Config, ConfigDeps};
 use crate::datagram::{self, Sender};
+use crate::dialect::Dialect;
+use crate::evacuation::Evacuations;
+use crate::event::Event;
 use crate::fleet::{Fleet, Member};
+use crate::follower::FollowContext;
 use crate::listen::{self, Phase};
+use crate::log::Log;
+use crate::metrics::Metrics;
 use crate::notices::{NoticeHandler, Notices};
 use crate::ops::{Ops, Ready};
 use crate::peers::{self, PeerService, Peers};
+use crate::relay::Relay;
+use crate::router::Router;
+use crate::store_calls::Calls;
+use crate::store_health::StoreHealth;
+use crate::suspect_gossip::PeerNetwork;
+use crate::suspect_store::SuspectStore;
+use crate::suspects::Suspects;
+use crate::traffic::Traffic;
+use crate::upstream_list::UpstreamList;
 
 /// Largest body that the readiness and operators' listeners take, in bytes.
 const OPS_BODY_LIMIT: usize = 1 << 16;
@@ -108,7 +108,7 @@
             relay: relay.clone(),
             peers: peers.clone(),
         };
-        let bank = Bank::open(clock, Arc::clone(&log));
+        let bank = Budgets::open(clock, Arc::clone(&log));
         let pool = Arc::new(Mutex::new(pool(&fleet_settings)));
         let dialer = Dialer::default();
         let notices = Notices::default();
@@ -223,7 +223,7 @@
         datagram::spawn(&others, Arc::clone(&router.pool), desk.clone(), clock);
         let peer = peers::serve(server, desk.clone());
         peers.spawn_sync(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
-        bank.spawn(Means {
+        bank.spawn(budgets::Dependencies {
             store: calls.store("budgets", &store),
             reach,
             fleet,
@@ -308,11 +308,11 @@
         let mut whole = timeout_at(last_new, self.idle()).await.is_ok();
         router.refusing.store(true, Ordering::Relaxed);
         // Most tokens go while the last requests end: at the end there is little time.
-        router.bank.leave().await;
+        router.bank.release_all().await;
         if !whole {
             whole = timeout_at(until, self.idle()).await.is_ok();
         }
-        let said = timeout(LAST_WORDS / 2, router.bank.leave()).await == Ok(true);
+        let said = timeout(LAST_WORDS / 2, router.bank.release_all()).await == Ok(true);
         // What is not ended by then ends by itself.
         let _ = timeout(LAST_WORDS / 4, router.fleet.deregister()).await;
         self.calls.log(&router.log);
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -5,8 +5,8 @@
 //! task here owns its state and hands out a handle.
 
 mod attempt;
-mod bank;
 mod body;
+mod budgets;
 mod buffered;
 mod config;
 mod datagram;
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,34 +1,34 @@
 //! Between instances, over jsonrpsee: tokens that one lacks, and news that one can't read itself.
 
-use crate::event::Event;
-use crate::fleet::Fleet;
-use crate::log::Log;
-use crate::notices::NoticeHandler;
-use crate::relay::Relay;
-use crate::store_health::StoreHealth;
-use crate::traffic::Traffic;
-use escrow::CumulativeTotal;
-use jsonrpsee_core::client::ClientT;
-use jsonrpsee_core::params::ArrayParams;
-use jsonrpsee_core::RpcResult;
-use notice::Notice;
-use rand::seq::IndexedRandom;
-use serde::de::DeserializeOwned;
 use std::collections::HashMap;
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
-use suspect::SuspectRecord;
 
+use escrow::CumulativeTotal;
+use jsonrpsee_core::client::ClientT;
+use jsonrpsee_core::params::ArrayParams;
+use jsonrpsee_core::RpcResult;
 use jsonrpsee_http_client::{HttpClient, HttpClientBuilder};
 use jsonrpsee_server::{RpcModule, Server, ServerBuilder, ServerHandle};
+use notice::Notice;
+use rand::seq::IndexedRandom;
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
+use suspect::SuspectRecord;
 use tokio::time::{sleep, timeout, Instant};
 
-use crate::bank::{Bank, Draw, Drawn};
+use crate::budgets::{Budgets, DrawRequest, DrawResponse};
+use crate::event::Event;
+use crate::fleet::Fleet;
+use crate::log::Log;
+use crate::notices::NoticeHandler;
+use crate::relay::Relay;
 use crate::replication::{DeltaRequest, DeltaResponse, Topic};
+use crate::store_health::StoreHealth;
 use crate::suspects::{Suspects, TrialRequest, TrialResponse};
+use crate::traffic::Traffic;
 
 /// An instance answers within a few milliseconds, or is not there: a request waits for it.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(250);
@@ -101,7 +101,7 @@
 /// What the instance answers from.
 #[derive(Clone)]
 pub(crate) struct PeerService {
-    pub(crate) bank: Bank,
+    pub(crate) bank: Budgets,
     pub(crate) suspects: Suspects,
     pub(crate) notice_handler: NoticeHandler,
     pub(crate) traffic: Traffic,
@@ -140,21 +140,21 @@
     let mut module = RpcModule::new(desk);
     let take = module.register_method("take", |params, desk, _| -> RpcResult<CumulativeTotal> {
         let want: TokenRequest = params.one()?;
-        Ok(desk.bank.give(&want))
+        Ok(desk.bank.transfer_share(&want))
     });
     take.expect("a new name");
     let gift = module.register_method("gift", |params, desk, _| -> RpcResult<bool> {
         let gift: TokenHandover = params.one()?;
-        Ok(desk.bank.accept(&gift))
+        Ok(desk.bank.receive_transfer(&gift))
     });
     gift.expect("a new name");
     let draw = module.register_async_method("draw", |params, desk, _| async move {
-        let draw: Draw = params.one()?;
-        RpcResult::Ok(desk.bank.drawn(&draw).await)
+        let draw: DrawRequest = params.one()?;
+        RpcResult::Ok(desk.bank.handle_draw(&draw).await)
     });
     draw.expect("a new name");
     let ping = module.register_method("ping", |_, desk, _| -> RpcResult<Option<String>> {
-        Ok((!desk.bank.is_leaving()).then(|| desk.bank.me()))
+        Ok((!desk.bank.is_shutting_down()).then(|| desk.bank.own_id()))
     });
     ping.expect("a new name");
     let news = module.register_method("news", |params, desk, _| -> RpcResult<SyncResponse> {
@@ -298,7 +298,11 @@
     /// # Errors
     ///
     /// Returns why there is no answer: tokens that it debited come with its next one.
-    pub(crate) async fn draw_tokens(&self, addr: SocketAddr, draw: &Draw) -> Result<Drawn, String> {
+    pub(crate) async fn draw_tokens(
+        &self,
+        addr: SocketAddr,
+        draw: &DrawRequest,
+    ) -> Result<DrawResponse, String> {
         self.call(addr, "draw", draw).await
     }
 
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -1,29 +1,29 @@
 //! The filters that a request passes: read, route, customer, tokens, upstream, answer.
 
-use crate::bank::Charge;
-use crate::body::Out;
-use crate::config::ActiveConfig;
-use crate::event::Event;
-use crate::refusal::Refusal;
-use crate::request_info::RequestInfo;
-use crate::router::Router;
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+
 use bytes::Bytes;
 use conf::Route;
 use err::Kind;
 use escrow::ReserveError;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
+use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 use hyper::http::request;
+use hyper::{Request, Response};
 use smallvec::SmallVec;
-use std::sync::atomic::Ordering;
-use std::sync::Arc;
 use suspect::Digest;
 use tokio::time::timeout_at;
 
-use http_body_util::{BodyExt, LengthLimitError, Limited};
-use hyper::header::{HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
-use hyper::{Request, Response};
-
+use crate::body::Out;
+use crate::budgets::Reservation;
+use crate::config::ActiveConfig;
+use crate::event::Event;
+use crate::refusal::Refusal;
 use crate::request_context::{Busy, Expected, Job};
+use crate::request_info::RequestInfo;
+use crate::router::Router;
 use crate::{buffered, stream};
 
 /// When to come back to an instance that knows no configuration yet, in milliseconds: it is read
@@ -233,7 +233,11 @@
     }
 
     /// Reserves the most that a request can cost.
-    async fn charge(&self, active: &ActiveConfig, job: &Job) -> Result<Option<Charge>, Refusal> {
+    async fn charge(
+        &self,
+        active: &ActiveConfig,
+        job: &Job,
+    ) -> Result<Option<Reservation>, Refusal> {
         let tokens = job.ask.max_tokens();
         let Some(customer) = &job.customer else {
             return Ok(None);
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -3,7 +3,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-use crate::bank::Bank;
+use clock::Clock;
+use dial::Dialer;
+use place::{Link, Pool, RequestMemory, RetryBudget};
+use tokio::sync::watch;
+
+use crate::budgets::Budgets;
 use crate::config::Config;
 use crate::dialect::Dialect;
 use crate::event::Event;
@@ -14,10 +19,6 @@
 use crate::suspect_gossip::PeerNetwork;
 use crate::suspects::Suspects;
 use crate::upstream_list::UpstreamList;
-use clock::Clock;
-use dial::Dialer;
-use place::{Link, Pool, RequestMemory, RetryBudget};
-use tokio::sync::watch;
 
 /// What the filters work with.
 pub(crate) struct Router {
@@ -26,7 +27,7 @@
     pub(crate) log: Arc<Log>,
     pub(crate) metrics: Metrics,
     pub(crate) config: Config,
-    pub(crate) bank: Bank,
+    pub(crate) bank: Budgets,
     pub(crate) pool: Arc<Mutex<Pool>>,
     pub(crate) listing: UpstreamList,
     pub(crate) dialer: Dialer,
--- a/crates/proxy/src/suspect_store.rs
+++ b/crates/proxy/src/suspect_store.rs
@@ -3,11 +3,6 @@
 //! The instance that decides about a request writes it there, when it is refused, tried and cleared: a few calls in a day.
 //! Two instances read it when they start and tell the others, so that a fleet that starts makes two calls.
 
-use crate::event::Event;
-use crate::fleet::Fleet;
-use crate::log::Log;
-use crate::store_health::StoreHealth;
-use crate::suspects::Suspects;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,6 +11,12 @@
 use suspect::{Digest, SuspectRecord};
 use tokio::time::{sleep, Instant};
 
+use crate::event::Event;
+use crate::fleet::Fleet;
+use crate::log::Log;
+use crate::store_health::StoreHealth;
+use crate::suspects::Suspects;
+
 /// Keys of requests.
 const PREFIX: &str = "oriolehitch/suspects/";
 /// The instances that keep this read the store for all when they start.
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -1,25 +1,25 @@
 //! Requests under which upstreams end: found out here, told to the other instances, refused.
 
-use crate::event::Event;
-use crate::log::Log;
-use crate::refusal::Refusal;
-use crate::suspect_gossip::PeerNetwork;
-use clock::Clock;
-use err::Kind;
-use place::Spec;
-use prometheus_client::metrics::counter::Counter;
-use prometheus_client::metrics::gauge::Gauge;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
-use tokio::sync::Notify;
 
+use clock::Clock;
 use dial::{ConnectError, Dialer, Target};
+use err::Kind;
+use place::Spec;
+use prometheus_client::metrics::counter::Counter;
+use prometheus_client::metrics::gauge::Gauge;
 use serde::{Deserialize, Serialize};
 use suspect::{Admission, CrashHistory, Digest, SuspectRecord, SuspectTable as Table};
+use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
+use crate::event::Event;
 use crate::fleet::{Fleet, Member};
+use crate::log::Log;
+use crate::refusal::Refusal;
+use crate::suspect_gossip::PeerNetwork;
 
 /// After a connection broke, it is found out so much later whether the upstream has ended: by then the port of a process
 /// that ended is closed.
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -1,25 +1,25 @@
 //! The list of upstreams, from the store or from an instance that reaches it.
 
-use crate::dialect::Dialect;
-use crate::event::Event;
-use crate::log::Log;
-use crate::notices::Notices;
-use crate::replication::Topic;
-use crate::store_health::StoreHealth;
-use crate::suspects::Suspects;
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex, MutexGuard};
+
 use bytes::Bytes;
 use clock::Clock;
 use dial::Dialer;
+use kv::{Change, Found, Store};
 use notice::Notice;
-use std::collections::BTreeMap;
-use std::sync::{Arc, Mutex, MutexGuard};
+use place::{EntryChange, MissingEntries, Pool, RateLimit, UpstreamKey, VersionedLimit};
 use tokio::sync::Notify;
 use tokio::time::sleep_until;
 
-use kv::{Change, Found, Store};
-use place::{EntryChange, MissingEntries, Pool, RateLimit, UpstreamKey, VersionedLimit};
-
+use crate::dialect::Dialect;
+use crate::event::Event;
 use crate::follower::{FollowContext, Follower, Update, WATCH_TIMEOUT_MS};
+use crate::log::Log;
+use crate::notices::Notices;
+use crate::replication::Topic;
+use crate::store_health::StoreHealth;
+use crate::suspects::Suspects;
 
 /// New upstreams of one change that are logged one by one.
 const MAX_LOGGED_UPSTREAMS: usize = 16;
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -1,14 +1,15 @@
 //! How calls of the store are named in the log, and all metrics: monitoring reads both, and they stay.
 
-use crate::log::Log;
-use crate::metrics::Metrics;
-use crate::store_health::StoreHealth;
-use crate::suspects::Suspects;
+use std::sync::Arc;
+
 use clock::Clock;
 use dial::Dialer;
-use std::sync::Arc;
 
 use super::{Call, Calls};
+use crate::log::Log;
+use crate::metrics::Metrics;
+use crate::store_health::StoreHealth;
+use crate::suspects::Suspects;
 
 fn call() -> Call {
     Call {
--- a/crates/proxy/tests/encoding/mod.rs
+++ b/crates/proxy/tests/encoding/mod.rs
@@ -1,16 +1,17 @@
 //! What instances of other versions read and send, and what stands in the store: its encoding stays.
 
-mod texts;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::value::RawValue;
 
-use crate::bank::{Draw, Drawn};
 use crate::datagram::Datagram;
 use crate::fleet::Member;
+mod texts;
+
+use crate::budgets::{DrawRequest, DrawResponse};
 use crate::peers::{TokenHandover, TokenRequest};
 use crate::replication::{DeltaRequest, DeltaResponse};
 use crate::suspects::{TrialRequest, TrialResponse};
-use serde::de::DeserializeOwned;
-use serde::Serialize;
-use serde_json::value::RawValue;
 
 #[test]
 fn instance_datagrams_keep_their_encoding() {
@@ -21,8 +22,8 @@
 fn instance_messages_keep_their_encoding() {
     assert_kept::<TokenRequest>(include_str!("../data/outer/wants.json"));
     assert_kept::<TokenHandover>(include_str!("../data/outer/gifts.json"));
-    assert_kept::<Draw>(include_str!("../data/outer/draws.json"));
-    assert_kept::<Drawn>(include_str!("../data/outer/drawn.json"));
+    assert_kept::<DrawRequest>(include_str!("../data/outer/draws.json"));
+    assert_kept::<DrawResponse>(include_str!("../data/outer/drawn.json"));
     assert_kept::<DeltaRequest>(include_str!("../data/outer/asks.json"));
     assert_kept::<DeltaResponse>(include_str!("../data/outer/passed.json"));
     assert_kept::<TrialRequest>(include_str!("../data/outer/ask_trials.json"));
@@ -32,7 +33,7 @@
 /// Guards what an instance of an earlier version sends, which lacks these fields.
 #[test]
 fn short_instance_messages_are_read() {
-    assert_filled::<Draw>(
+    assert_filled::<DrawRequest>(
         r#"{"customer":"alpha","tokens":1,"size":2,"spent":{"from":"r1.6a","to":"r2.6b","total":4},"prepaid":3}"#,
         r#"{"customer":"alpha","tokens":1,"size":2,"spent":{"from":"r1.6a","to":"r2.6b","total":4},"prepaid":3,"zone":false}"#,
     );
