--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -17,7 +17,7 @@
 use crate::dialect::{AdvertisedLimit, Disposition, Pause, ResponseInfo};
 use crate::event::Event;
 use crate::refusal::Refusal;
-use crate::request_context::Job;
+use crate::request_context::RequestContext;
 use crate::request_info::AttemptContext;
 use crate::router::Router;
 
@@ -33,7 +33,7 @@
 const RETRY_EVACUATED_MS: u64 = 4_000;
 
 /// A request's place at its upstream; dropping it ends it.
-pub(crate) struct Slot {
+pub(crate) struct AttemptGuard {
     router: Arc<Router>,
     digest: Digest,
     pub(crate) choice: Choice,
@@ -41,9 +41,9 @@
     outcome: Outcome,
 }
 
-impl Slot {
-    fn open(job: &Job, choice: Choice) -> Slot {
-        Slot {
+impl AttemptGuard {
+    fn new(job: &RequestContext, choice: Choice) -> AttemptGuard {
+        AttemptGuard {
             router: Arc::clone(&job.router),
             digest: job.digest,
             choice,
@@ -53,7 +53,7 @@
     }
 
     /// Notes the first event, or the answer.
-    pub(crate) fn first(&self) {
+    pub(crate) fn record_latency(&self) {
         let mut pool = self.router.pool.lock().expect("no panic inside");
         pool.record_latency(self.router.clock.now(), &self.choice, self.sent_at);
     }
@@ -70,7 +70,7 @@
     }
 }
 
-impl Drop for Slot {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
         let mut pool = self.router.pool.lock().expect("no panic inside");
         let (key, ticket) = (self.choice.key, self.choice.attempt);
@@ -90,17 +90,17 @@
 }
 
 /// An answer whose head was read.
-pub(crate) struct Open {
-    pub(crate) slot: Slot,
+pub(crate) struct OpenResponse {
+    pub(crate) guard: AttemptGuard,
     pub(crate) conn: dial::Conn,
     pub(crate) head: response::Parts,
     pub(crate) body: Incoming,
-    pub(crate) reading: ResponseInfo,
+    pub(crate) info: ResponseInfo,
 }
 
 /// Why an attempt has no answer.
 #[derive(Clone, Debug)]
-pub(crate) enum Failed {
+pub(crate) enum AttemptError {
     /// There is no upstream to try.
     Denied(ChooseError),
     /// It did not run, and will not.
@@ -114,43 +114,45 @@
     Late,
 }
 
-impl Failed {
-    fn refusal(self, job: &Job) -> Refusal {
-        let left = job.left_ms();
+impl AttemptError {
+    fn refusal(self, job: &RequestContext) -> Refusal {
+        let left = job.remaining_ms();
         match self {
-            Failed::Denied(ChooseError::Busy { retry_ms }) => {
+            AttemptError::Denied(ChooseError::Busy { retry_ms }) => {
                 let message = format!("the upstreams of {} are busy", job.service);
                 Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
             }
-            Failed::Denied(ChooseError::Resting { retry_ms }) => {
+            AttemptError::Denied(ChooseError::Resting { retry_ms }) => {
                 let message = format!("the upstreams of {} want nothing for now", job.service);
                 Refusal::new(Kind::NoUpstream, message).retry_after(retry_ms)
             }
-            Failed::Denied(ChooseError::Limited { retry_ms }) => {
+            AttemptError::Denied(ChooseError::Limited { retry_ms }) => {
                 let message = format!("the request rate limits of {} are reached", job.service);
                 Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
             }
-            Failed::Denied(ChooseError::Cold { retry_ms }) => {
+            AttemptError::Denied(ChooseError::Cold { retry_ms }) => {
                 let message = format!("the upstreams of {} have just started", job.service);
                 Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
             }
-            Failed::Denied(ChooseError::Evacuated) => {
+            AttemptError::Denied(ChooseError::Evacuated) => {
                 let message = format!("all zones of {} are evacuated", job.service);
                 Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_EVACUATED_MS, left)
             }
-            Failed::Denied(ChooseError::Outside) => {
+            AttemptError::Denied(ChooseError::Outside) => {
                 let message = format!("no upstream of {} is in an allowed region", job.service);
                 Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_EVACUATED_MS, left)
             }
-            Failed::Denied(ChooseError::Unknown | ChooseError::NoneLeft) => {
+            AttemptError::Denied(ChooseError::Unknown | ChooseError::NoneLeft) => {
                 let message = format!("no upstream of {} is left", job.service);
                 Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_NO_UPSTREAM_MS, left)
             }
-            Failed::NotRun(why) => {
+            AttemptError::NotRun(why) => {
                 Refusal::new(Kind::NoUpstream, why).retry_within(RETRY_NO_UPSTREAM_MS, left)
             }
-            Failed::Late => Refusal::new(Kind::DeadlinePassed, "not sent in time").ran(Ran::No),
-            Failed::Unanswered(why) | Failed::Unknown(why) => {
+            AttemptError::Late => {
+                Refusal::new(Kind::DeadlinePassed, "not sent in time").ran(Ran::No)
+            }
+            AttemptError::Unanswered(why) | AttemptError::Unknown(why) => {
                 let late = left == 0;
                 let kind = if late {
                     Kind::DeadlinePassed
@@ -165,29 +167,29 @@
 
 /// What is known of a request's run after some attempts.
 #[derive(Debug)]
-pub(crate) struct Attempts {
+pub(crate) struct AttemptHistory {
     ran: Ran,
 }
 
-impl Attempts {
-    pub(crate) fn none() -> Attempts {
-        Attempts { ran: Ran::No }
+impl AttemptHistory {
+    pub(crate) fn new() -> AttemptHistory {
+        AttemptHistory { ran: Ran::No }
     }
 
     /// Returns whether a request may be sent once more after it failed.
-    pub(crate) fn again(&mut self, job: &Job, failed: &Failed) -> bool {
+    pub(crate) fn try_retry(&mut self, job: &RequestContext, failed: &AttemptError) -> bool {
         match failed {
-            Failed::Denied(_) | Failed::Late => false,
-            Failed::NotRun(_) => job.may_repeat(),
-            Failed::Unanswered(_) | Failed::Unknown(_) => {
+            AttemptError::Denied(_) | AttemptError::Late => false,
+            AttemptError::NotRun(_) => job.try_acquire_retry(),
+            AttemptError::Unanswered(_) | AttemptError::Unknown(_) => {
                 self.ran = Ran::Unknown;
-                job.is_repeatable() && job.may_repeat()
+                job.is_retryable() && job.try_acquire_retry()
             }
         }
     }
 
     /// Returns what the caller is told when it is not.
-    pub(crate) fn refusal(&self, job: &Job, failed: Failed) -> Refusal {
+    pub(crate) fn refusal(&self, job: &RequestContext, failed: AttemptError) -> Refusal {
         let refusal = failed.refusal(job);
         match self.ran {
             Ran::No => refusal,
@@ -197,29 +199,35 @@
 }
 
 /// Sends a request to an upstream and reads the head of its answer.
-pub(crate) async fn attempt(job: &mut Job, after_event: Option<u64>) -> Result<Open, Failed> {
+pub(crate) async fn attempt(
+    job: &mut RequestContext,
+    after_event: Option<u64>,
+) -> Result<OpenResponse, AttemptError> {
     let (slot, conn) = connect(job).await?;
-    job.expected.sent_ms = job.router.clock.now() - job.arrived;
+    job.timing.sent_ms = job.router.clock.now() - job.arrived_at;
     job.attempts += 1;
     job.router.metrics.attempts.inc();
     if job.attempts > 1 {
-        job.router.metrics.repeats.inc();
+        job.router.metrics.retries.inc();
     }
-    let prompt = u64::from(job.ask.prompt_tokens);
+    let prompt = u64::from(job.info.prompt_tokens);
     if let Some(charge) = &mut job.charge {
         charge.sent(prompt);
     }
     let sent = send(job, slot, conn, after_event).await;
-    let nothing_came = matches!(sent, Err(Failed::NotRun(_) | Failed::Unanswered(_)));
-    job.may_be_answered |= !nothing_came;
+    let nothing_came = matches!(
+        sent,
+        Err(AttemptError::NotRun(_) | AttemptError::Unanswered(_))
+    );
+    job.may_have_response |= !nothing_came;
     if let Err(failed) = &sent {
         let detail = format_args!(
             "attempt={} request={} why={failed:?}",
             job.attempts, job.digest
         );
         let log = &job.router.log;
-        log.request_event(Event::AttemptFailed, &job.ask.id, detail);
-        if let Some(charge) = job.charge.as_mut().filter(|_| !job.may_be_answered) {
+        log.request_event(Event::AttemptFailed, &job.info.id, detail);
+        if let Some(charge) = job.charge.as_mut().filter(|_| !job.may_have_response) {
             charge.nothing_came();
         }
     }
@@ -227,30 +235,30 @@
 }
 
 /// Chooses upstreams until one can be connected to.
-async fn connect(job: &mut Job) -> Result<(Slot, dial::Conn), Failed> {
+async fn connect(job: &mut RequestContext) -> Result<(AttemptGuard, dial::Conn), AttemptError> {
     loop {
-        if job.left_ms() == 0 {
-            return Err(Failed::Late);
+        if job.remaining_ms() == 0 {
+            return Err(AttemptError::Late);
         }
-        let choice = choose(job).map_err(Failed::Denied)?;
+        let choice = choose(job).map_err(AttemptError::Denied)?;
         job.tried.push(choice.key);
-        job.expected.unread = choice.uncached_tokens;
-        job.expected.first_ms = choice.expected_ms;
-        let slot = Slot::open(job, choice);
+        job.timing.uncached_tokens = choice.uncached_tokens;
+        job.timing.expected_ms = choice.expected_ms;
+        let slot = AttemptGuard::new(job, choice);
         let spec = &slot.choice.spec;
         let incarnation = spec.incarnation();
         if let Some(conn) = job.router.dialer.kept(&incarnation) {
             return Ok((slot, conn));
         }
         let sharers = job.router.fleet.sharers();
-        let most = max_connections(job.traits.connections as usize, sharers);
+        let most = max_connections(job.service_settings.connections as usize, sharers);
         let target = Target {
             upstream: &incarnation,
             addr: spec.addr,
             most: most.unwrap_or(usize::MAX),
         };
         let until = job.router.clock.at(job.deadline);
-        job.router.metrics.connects.inc();
+        job.router.metrics.connections_opened.inc();
         match job.router.dialer.open(target, until).await {
             Ok(conn) if slot.may_send() => return Ok((slot, conn)),
             // It leaves, rests, is evacuated or cold by now: nothing of this request was sent.
@@ -258,7 +266,7 @@
             Err(e) => {
                 let detail = format_args!("upstream={} connect={e:?}", spec.id);
                 let log = &job.router.log;
-                log.request_event(Event::AttemptFailed, &job.ask.id, detail);
+                log.request_event(Event::AttemptFailed, &job.info.id, detail);
                 let outcome = match e {
                     ConnectError::Full => Outcome::Refused,
                     ConnectError::Refused(_) | ConnectError::Unreachable(_) => {
@@ -272,62 +280,68 @@
     }
 }
 
-fn choose(job: &Job) -> Result<Choice, ChooseError> {
+fn choose(job: &RequestContext) -> Result<Choice, ChooseError> {
     let now = job.router.clock.now();
     let want = Criteria {
         service: &job.service,
         zone: &job.router.zone,
-        segments: &job.ask.prompt_segments,
-        prompt_tokens: job.ask.prompt_tokens,
+        segments: &job.info.prompt_segments,
+        prompt_tokens: job.info.prompt_tokens,
         regions: &job.regions,
         tried: &job.tried,
         deadline: job.deadline,
-        retryable: job.is_repeatable(),
+        retryable: job.is_retryable(),
         random: rand::random(),
     };
     let mut pool = job.router.pool.lock().expect("no panic inside");
     let choice = pool.choose(now, &want)?;
     let metrics = &job.router.metrics;
-    metrics.unread.inc_by(u64::from(choice.uncached_tokens));
-    metrics.prompt.inc_by(u64::from(job.ask.prompt_tokens));
+    metrics
+        .uncached_prompt_tokens
+        .inc_by(u64::from(choice.uncached_tokens));
+    metrics
+        .prompt_tokens
+        .inc_by(u64::from(job.info.prompt_tokens));
     Ok(choice)
 }
 
 async fn send(
-    job: &mut Job,
-    slot: Slot,
+    job: &mut RequestContext,
+    slot: AttemptGuard,
     mut conn: dial::Conn,
     after_event: Option<u64>,
-) -> Result<Open, Failed> {
+) -> Result<OpenResponse, AttemptError> {
     let req = request(job, &slot, after_event);
     job.router
-        .link(|l, now| l.record_request_sent(now, job.body.len()));
+        .with_link(|l, now| l.record_request_sent(now, job.body.len()));
     let until = job.router.clock.at(silent_at(job, &slot));
     let Ok(sent) = timeout_at(until, conn.send(req)).await else {
         let waited = job.router.clock.now() - slot.sent_at;
         let upstream = slot.choice.spec.id.clone();
         slot.end(silence(job));
         let why = format!("upstream={upstream} silent for {waited} ms");
-        return Err(Failed::Unknown(why));
+        return Err(AttemptError::Unknown(why));
     };
     let upstream = slot.choice.spec.id.clone();
     let res = match sent {
         Ok(res) => res,
         Err(SendError::NotSent(why)) => {
             slot.end(Outcome::Refused);
-            return Err(Failed::NotRun(format!("upstream={upstream} {why}")));
+            return Err(AttemptError::NotRun(format!("upstream={upstream} {why}")));
         }
         Err(SendError::Closed(why)) => {
             slot.end(Outcome::InvalidResponse);
-            return Err(Failed::Unanswered(format!("upstream={upstream} {why}")));
+            return Err(AttemptError::Unanswered(format!(
+                "upstream={upstream} {why}"
+            )));
         }
         Err(SendError::Broken(why)) => {
             slot.end(Outcome::InvalidResponse);
-            return Err(Failed::Unknown(format!("upstream={upstream} {why}")));
+            return Err(AttemptError::Unknown(format!("upstream={upstream} {why}")));
         }
     };
     let (head, body) = res.into_parts();
-    let reading = job.router.dialect.parse_response(&job.ask, &head);
+    let reading = job.router.dialect.parse_response(&job.info, &head);
     if let Some(load) = reading.load {
         let now = job.router.clock.now();
         let mut pool = job.router.pool.lock().expect("no panic inside");
@@ -336,34 +350,34 @@
     let status = head.status.as_u16();
     heed(job, &slot, &reading, head.status);
     match reading.disposition {
-        Disposition::Executed => Ok(Open {
-            slot,
+        Disposition::Executed => Ok(OpenResponse {
+            guard: slot,
             conn,
             head,
             body,
-            reading,
+            info: reading,
         }),
         Disposition::NotExecuted => {
             slot.end(Outcome::Refused);
-            Err(Failed::NotRun(format!(
+            Err(AttemptError::NotRun(format!(
                 "upstream={upstream} status={status}"
             )))
         }
         Disposition::Misdirected => {
             slot.end(Outcome::Unresponsive);
             let why = format!("upstream={upstream} is not at its address");
-            Err(Failed::NotRun(why))
+            Err(AttemptError::NotRun(why))
         }
         Disposition::Invalid(why) => {
             slot.end(Outcome::InvalidResponse);
             let why = format!("upstream={upstream} status={status} {why}");
-            Err(Failed::Unknown(why))
+            Err(AttemptError::Unknown(why))
         }
     }
 }
 
 /// Takes an upstream's word that it leaves, or wants nothing for a while: its answer is the nearest source there is.
-fn heed(job: &Job, slot: &Slot, reading: &ResponseInfo, status: StatusCode) {
+fn heed(job: &RequestContext, slot: &AttemptGuard, reading: &ResponseInfo, status: StatusCode) {
     // That would be the word of another upstream, which has the address now.
     if reading.disposition == Disposition::Misdirected {
         return;
@@ -395,15 +409,15 @@
     if longer {
         let detail = format_args!("upstream={incarnation} rests_ms={ms}");
         let log = &job.router.log;
-        log.request_event(Event::UpstreamPaused, &job.ask.id, detail);
+        log.request_event(Event::UpstreamPaused, &job.info.id, detail);
     }
 }
 
 /// Updates the request rate limit from an upstream's answer and logs a change. Only a successful answer without a limit removes
 /// it: refusals and errors may lack the header. An invalid value, or an answer not to this request, leaves the limit unchanged.
 fn update_limit(
-    job: &Job,
-    slot: &Slot,
+    job: &RequestContext,
+    slot: &AttemptGuard,
     reading: &ResponseInfo,
     status: StatusCode,
     incarnation: &str,
@@ -422,13 +436,13 @@
         let per_sec = limit.map(RateLimit::as_per_sec);
         let detail = format_args!("upstream={incarnation} per_sec={per_sec:?} source=answer");
         let log = &job.router.log;
-        log.request_event(Event::UpstreamLimitChanged, &job.ask.id, detail);
+        log.request_event(Event::UpstreamLimitChanged, &job.info.id, detail);
     }
 }
 
 /// Returns what silence says of an upstream: nothing while the own link is full.
-fn silence(job: &Job) -> Outcome {
-    if job.router.is_crowded() {
+fn silence(job: &RequestContext) -> Outcome {
+    if job.router.is_link_congested() {
         Outcome::Abandoned
     } else {
         Outcome::Unresponsive
@@ -436,8 +450,8 @@
 }
 
 /// Returns when an upstream that says nothing is given up, in milliseconds.
-fn silent_at(job: &Job, slot: &Slot) -> u64 {
-    let last = !job.is_repeatable() || job.attempts >= job.route.attempts;
+fn silent_at(job: &RequestContext, slot: &AttemptGuard) -> u64 {
+    let last = !job.is_retryable() || job.attempts >= job.route.attempts;
     if last {
         return job.deadline;
     }
@@ -447,11 +461,15 @@
     job.deadline.min(slot.sent_at + wait)
 }
 
-fn request(job: &Job, slot: &Slot, after_event: Option<u64>) -> Request<Full<bytes::Bytes>> {
+fn request(
+    job: &RequestContext,
+    slot: &AttemptGuard,
+    after_event: Option<u64>,
+) -> Request<Full<bytes::Bytes>> {
     let sending = AttemptContext {
         upstream: &slot.choice.spec.id,
         customer: job.customer.as_deref(),
-        remaining_ms: job.left_ms().max(1),
+        remaining_ms: job.remaining_ms().max(1),
         last_event_id: after_event,
     };
     let mut req = Request::new(Full::new(job.body.clone()));
--- a/crates/proxy/src/bank/draw.rs
+++ b/crates/proxy/src/bank/draw.rs
@@ -105,7 +105,7 @@
         let draw = self.draw(home, customer, tokens, size);
         let bytes = serde_json::to_vec(&draw).map_or(0, |d| d.len());
         let Sender { fleet, traffic, .. } = &self.means().sender;
-        traffic.count("draws", fleet.roster().is_near(home.addr), bytes);
+        traffic.record("draws", fleet.roster().is_near(home.addr), bytes);
         let (bank, addr) = (self.clone(), home.addr);
         let call = async move {
             let drawn = bank.means().peers.draw(addr, &draw).await?;
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -11,56 +11,58 @@
 
 /// An answer that broke off: its connection is closed, so that it can't look whole.
 #[derive(Debug)]
-pub(crate) struct Cut;
+pub(crate) struct ResponseAborted;
 
-impl fmt::Display for Cut {
+impl fmt::Display for ResponseAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the answer broke off")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for ResponseAborted {}
 
-impl From<Infallible> for Cut {
-    fn from(never: Infallible) -> Cut {
+impl From<Infallible> for ResponseAborted {
+    fn from(never: Infallible) -> ResponseAborted {
         match never {}
     }
 }
 
 /// The body of an answer.
 #[derive(Debug)]
-pub(crate) enum Out {
+pub(crate) enum ResponseBody {
     /// It is whole.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It comes in parts, until the sender is dropped.
-    Parts(mpsc::Receiver<Result<Bytes, Cut>>),
+    Streamed(mpsc::Receiver<Result<Bytes, ResponseAborted>>),
 }
 
-impl Body for Out {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         match self.get_mut() {
-            Out::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Out::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Out::Parts(rx) => rx
+            ResponseBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            ResponseBody::Buffered(bytes) => {
+                Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes)))))
+            }
+            ResponseBody::Streamed(rx) => rx
                 .poll_recv(cx)
                 .map(|part| part.map(|p| p.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Out::Whole(bytes) if bytes.is_empty())
+        matches!(self, ResponseBody::Buffered(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Out::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Out::Parts(_) => SizeHint::default(),
+            ResponseBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            ResponseBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/proxy/src/buffered.rs
+++ b/crates/proxy/src/buffered.rs
@@ -10,11 +10,11 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout_at;
 
-use crate::attempt::{attempt, Attempts, Failed, Open};
-use crate::body::{Cut, Out};
+use crate::attempt::{attempt, AttemptError, AttemptHistory, OpenResponse};
+use crate::body::{ResponseAborted, ResponseBody};
 use crate::event::Event;
 use crate::refusal::Refusal;
-use crate::request_context::Job;
+use crate::request_context::RequestContext;
 use crate::router::Router;
 
 /// An answer up to this size is read whole, in bytes; a larger one goes on as it comes.
@@ -34,27 +34,27 @@
 /// # Errors
 ///
 /// Returns why there is no answer.
-pub(crate) async fn answer(mut job: Job) -> Result<Response<Out>, Refusal> {
-    let mut attempts = Attempts::none();
+pub(crate) async fn respond(mut job: RequestContext) -> Result<Response<ResponseBody>, Refusal> {
+    let mut attempts = AttemptHistory::new();
     // An error that an upstream answered with is better than none of ours.
     let mut second_best = None;
-    let after_event = job.ask.last_event_id;
+    let after_event = job.info.last_event_id;
     loop {
         let failed = match attempt(&mut job, after_event).await {
             Ok(open) => match finish(&mut job, open).await {
                 Ok(Done::Answered(res)) => return Ok(res),
                 Ok(Done::Error(res)) => {
                     second_best = Some(res);
-                    Failed::Unknown("answered with an error".to_string())
+                    AttemptError::Unknown("answered with an error".to_string())
                 }
-                Err(why) => Failed::Unknown(why),
+                Err(why) => AttemptError::Unknown(why),
             },
             Err(failed) => failed,
         };
-        if !attempts.again(&job, &failed) {
+        if !attempts.try_retry(&job, &failed) {
             let res = second_best.ok_or_else(|| attempts.refusal(&job, failed));
             if res.is_ok() {
-                job.ended("upstream_error", "-");
+                job.record_end("upstream_error", "-");
             }
             return res;
         }
@@ -62,25 +62,28 @@
 }
 
 enum Done {
-    Answered(Response<Out>),
+    Answered(Response<ResponseBody>),
     /// An error of the upstream, on a request that might be sent once more.
-    Error(Response<Out>),
+    Error(Response<ResponseBody>),
 }
 
 /// Reads an answer whose head was read; the error says how it broke off.
-pub(crate) async fn finish_any(job: &mut Job, open: Open) -> Result<Response<Out>, String> {
+pub(crate) async fn read_response(
+    job: &mut RequestContext,
+    open: OpenResponse,
+) -> Result<Response<ResponseBody>, String> {
     match finish(job, open).await? {
         Done::Answered(res) | Done::Error(res) => Ok(res),
     }
 }
 
-async fn finish(job: &mut Job, open: Open) -> Result<Done, String> {
-    let Open {
-        slot,
+async fn finish(job: &mut RequestContext, open: OpenResponse) -> Result<Done, String> {
+    let OpenResponse {
+        guard: slot,
         conn,
         head,
         body,
-        reading,
+        info: reading,
     } = open;
     let upstream = slot.choice.spec.id.clone();
     let until = job.router.clock.at(job.deadline);
@@ -88,13 +91,13 @@
     let bytes = match read {
         Ok(Read::Whole(bytes)) => bytes,
         Ok(Read::Large(bytes, rest)) => {
-            slot.first();
-            let open = Open {
-                slot,
+            slot.record_latency();
+            let open = OpenResponse {
+                guard: slot,
                 conn,
                 head,
                 body: rest,
-                reading,
+                info: reading,
             };
             return Ok(Done::Answered(pass_on(job, open, bytes)));
         }
@@ -109,7 +112,7 @@
             ));
         }
     };
-    slot.first();
+    slot.record_latency();
     let is_error = head.status.is_server_error();
     slot.end(if is_error {
         Outcome::ErrorResponse
@@ -118,18 +121,18 @@
     });
     job.router.dialer.keep(conn, reading.keep_alive);
     job.router
-        .link(|l, now| l.record_response(now, bytes.len()));
+        .with_link(|l, now| l.record_response(now, bytes.len()));
     let res = whole(job, &head, bytes);
-    if is_error && job.is_repeatable() {
+    if is_error && job.is_retryable() {
         return Ok(Done::Error(res));
     }
-    job.first_came();
-    job.ended(if is_error { "upstream_error" } else { "ok" }, &upstream);
+    job.record_first_output();
+    job.record_end(if is_error { "upstream_error" } else { "ok" }, &upstream);
     Ok(Done::Answered(res))
 }
 
-fn whole(job: &Job, head: &response::Parts, bytes: Bytes) -> Response<Out> {
-    let mut res = Response::new(Out::Whole(bytes));
+fn whole(job: &RequestContext, head: &response::Parts, bytes: Bytes) -> Response<ResponseBody> {
+    let mut res = Response::new(ResponseBody::Buffered(bytes));
     *res.status_mut() = head.status;
     *res.headers_mut() = job.router.dialect.response_headers(head);
     res
@@ -154,30 +157,30 @@
 }
 
 /// Passes a large answer on as it comes.
-fn pass_on(job: &Job, open: Open, begun: Bytes) -> Response<Out> {
+fn pass_on(job: &RequestContext, open: OpenResponse, begun: Bytes) -> Response<ResponseBody> {
     let (tx, rx) = mpsc::channel(PARTS_DEPTH);
     let mut res = whole(job, &open.head, Bytes::new());
-    *res.body_mut() = Out::Parts(rx);
+    *res.body_mut() = ResponseBody::Streamed(rx);
     let until = job.router.clock.at(job.deadline);
-    let (log, id) = (job.router.log.clone(), job.ask.id.clone());
+    let (log, id) = (job.router.log.clone(), job.info.id.clone());
     let router = job.router.clone();
-    job.ended("ok", &open.slot.choice.spec.id);
+    job.record_end("ok", &open.guard.choice.spec.id);
     tokio::spawn(async move {
         let passed = timeout_at(until, pass(open.body, begun, &router, &tx)).await;
         match passed {
             Ok(Ok(())) => {
-                open.slot.end(Outcome::Success);
-                router.dialer.keep(open.conn, open.reading.keep_alive);
+                open.guard.end(Outcome::Success);
+                router.dialer.keep(open.conn, open.info.keep_alive);
             }
             Ok(Err(why)) => {
-                open.slot.end(Outcome::InvalidResponse);
+                open.guard.end(Outcome::InvalidResponse);
                 log.request_event(Event::ResponseAborted, &id, why);
                 // A caller that left needs no end.
-                let _ = tx.send(Err(Cut)).await;
+                let _ = tx.send(Err(ResponseAborted)).await;
             }
             Err(_) => {
                 log.request_event(Event::ResponseAborted, &id, "deadline");
-                let _ = tx.try_send(Err(Cut));
+                let _ = tx.try_send(Err(ResponseAborted));
             }
         }
     });
@@ -188,14 +191,14 @@
     mut body: Incoming,
     begun: Bytes,
     router: &Router,
-    tx: &mpsc::Sender<Result<Bytes, Cut>>,
+    tx: &mpsc::Sender<Result<Bytes, ResponseAborted>>,
 ) -> Result<(), String> {
     let left = |_| "the caller left".to_string();
     tx.send(Ok(begun)).await.map_err(left)?;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| e.to_string())?;
         if let Ok(data) = frame.into_data() {
-            router.link(|l, now| l.record_response(now, data.len()));
+            router.with_link(|l, now| l.record_response(now, data.len()));
             tx.send(Ok(data)).await.map_err(left)?;
         }
     }
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -81,7 +81,7 @@
         let roster = self.fleet.roster();
         for addr in to {
             let near = roster.is_near(addr);
-            self.traffic.count(datagram.purpose(), near, bytes.len());
+            self.traffic.record(datagram.purpose(), near, bytes.len());
             // One that can't be sent is as good as a lost one.
             let _ = self.socket.try_send_to(&bytes, addr);
         }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -29,12 +29,12 @@
 use crate::log::Log;
 use crate::metrics::Metrics;
 use crate::notices::{Effects, Notices};
-use crate::ops::{Ops, Ready};
+use crate::ops::{OpsEndpoint, ReadinessEndpoint};
 use crate::peers::{self, Desk, Peers};
 use crate::reach::Reach;
 use crate::relay::Relay;
 use crate::router::Router;
-use crate::store_calls::Calls;
+use crate::store_calls::StoreCalls;
 use crate::suspects::Suspects;
 use crate::tell::Others;
 use crate::traffic::Traffic;
@@ -69,7 +69,7 @@
 /// A running instance.
 pub struct Instance {
     router: Arc<Router>,
-    calls: Calls,
+    calls: StoreCalls,
     phase: watch::Sender<Phase>,
     stop_by: Duration,
     ready: web::Handle,
@@ -100,7 +100,7 @@
         let (listener, addr) = bound.map_err(|e| anyhow!("callers' listener: {e}"))?;
 
         let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
-        let calls = Calls::open(clock, Arc::clone(&reach));
+        let calls = StoreCalls::new(clock, Arc::clone(&reach));
         let relay = Relay::open(clock, Arc::clone(&reach));
         let peers = Peers::default();
         let feed = Feed {
@@ -150,7 +150,7 @@
             me,
             &settings.peers.clone().unwrap_or_default(),
             fleet_settings.lease_least_ms.unwrap_or_default(),
-            calls.store("instances", &store),
+            calls.counted_store("instances", &store),
             feed.clone(),
             Arc::clone(&log),
             Arc::clone(&pool),
@@ -170,15 +170,15 @@
             dialect,
             clock,
             log: Arc::clone(&log),
-            metrics: Metrics::open(&calls, &suspects),
+            metrics: Metrics::new(&calls, &suspects),
             config: config.clone(),
             bank: bank.clone(),
             pool,
             listing: listing.clone(),
             dialer: dialer.clone(),
-            room: Mutex::new(RequestMemory::new(fleet_settings.memory_mb)),
+            request_memory: Mutex::new(RequestMemory::new(fleet_settings.memory_mb)),
             link: Mutex::new(Link::new(fleet_settings.link_mbps)),
-            retries: Mutex::new(RetryBudget::new(bounds(&fleet_settings))),
+            retry_budget: Mutex::new(RetryBudget::new(bounds(&fleet_settings))),
             fleet: fleet.clone(),
             others: others.clone(),
             suspects: suspects.clone(),
@@ -186,15 +186,15 @@
             zone: settings.zone.clone(),
             stopping: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
-            busy: watch::channel(0).0,
+            in_flight: watch::channel(0).0,
         });
 
         config.spawn(
-            calls.store("config", &store),
+            calls.counted_store("config", &store),
             feed.clone(),
             evacuations.clone(),
         );
-        listing.spawn(calls.store("upstreams", &store), feed);
+        listing.spawn(calls.counted_store("upstreams", &store), feed);
         fleet.spawn();
         notices.spawn(&others, &config);
         let desk = Desk {
@@ -214,7 +214,7 @@
         let kept = Kept {
             suspects,
             fleet: fleet.clone(),
-            store: calls.store("suspects", &store),
+            store: calls.counted_store("suspects", &store),
             reach: Arc::clone(&reach),
             log: Arc::clone(&log),
             revisions: HashMap::new(),
@@ -224,25 +224,31 @@
         let peer = peers::serve(server, desk.clone());
         peers.spawn_news(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
         bank.spawn(Means {
-            store: calls.store("budgets", &store),
+            store: calls.counted_store("budgets", &store),
             reach,
             fleet,
             peers,
             sender: others.sender,
             recovery_ms: fleet_settings.recovery_secs.map(|s| (s * 1000.0) as u64),
         });
-        traffic.spawn(&router.fleet, &dialer, &log);
+        traffic.spawn_logging(&router.fleet, &dialer, &log);
         spawn_sweep(dialer);
-        calls.spawn(Arc::clone(&log));
+        calls.spawn_logging(Arc::clone(&log));
 
         let (phase, phase_rx) = watch::channel(Phase::Serving);
         listen::serve(listener, Arc::clone(&router), phase_rx);
         let ready_addr = fleet_settings.ready_listen.unwrap_or_else(any_loopback);
-        let ready = web::bind(ready_addr, OPS_BODY_LIMIT, Arc::new(Ready(router.clone()))).await;
+        let ready = web::bind(
+            ready_addr,
+            OPS_BODY_LIMIT,
+            Arc::new(ReadinessEndpoint(router.clone())),
+        )
+        .await;
         let ready = ready.map_err(|e| anyhow!("readiness listener: {e}"))?;
         let ops = match fleet_settings.metrics_listen {
             Some(addr) => {
-                let ops = web::bind(addr, OPS_BODY_LIMIT, Arc::new(Ops(router.clone()))).await;
+                let ops =
+                    web::bind(addr, OPS_BODY_LIMIT, Arc::new(OpsEndpoint(router.clone()))).await;
                 Some(ops.map_err(|e| anyhow!("metrics listener: {e}"))?)
             }
             None => None,
@@ -278,11 +284,11 @@
     /// The value that the counter lends locks it: kept over a wait, it would stop the only thread at the
     /// next request that begins or ends.
     fn inflight(&self) -> u64 {
-        *self.router.busy.borrow()
+        *self.router.in_flight.borrow()
     }
 
     async fn idle(&self) {
-        let mut busy = self.router.busy.subscribe();
+        let mut busy = self.router.in_flight.subscribe();
         // The sender lives in the router, so waiting can't fail.
         let _ = busy.wait_for(|n| *n == 0).await;
     }
@@ -300,7 +306,7 @@
             .event(Event::Stopping, format_args!("inflight={inflight}"));
         sleep(NOTICE.min(self.stop_by / 2)).await;
         // Idle connections close; there may be none.
-        let _ = self.phase.send(Phase::Closing);
+        let _ = self.phase.send(Phase::Draining);
         // Where too few instances are ready, balancers go on sending to this one: new requests are
         // served until it has nothing to do, or as long as one still has the time to end.
         let last_new = began + SERVES_ON.min(self.stop_by / 3);
@@ -315,7 +321,7 @@
         let said = timeout(LAST_WORDS / 2, router.bank.leave()).await == Ok(true);
         // What is not ended by then ends by itself.
         let _ = timeout(LAST_WORDS / 4, router.fleet.leave()).await;
-        self.calls.log(&router.log);
+        self.calls.log_totals(&router.log);
         let detail = format_args!("cut={} handed_back={said}", self.inflight());
         router.log.event(Event::Stopped, detail);
         self.ready.stop(CLOSE_GRACE);
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -23,7 +23,7 @@
     /// Everything is taken.
     Serving,
     /// Idle connections are closed; new ones are taken for one request each.
-    Closing,
+    Draining,
 }
 
 /// Binds the listener.
@@ -58,7 +58,7 @@
     let limits = limits.unwrap_or_default();
     let answer = service_fn(move |req| {
         let router = Arc::clone(&router);
-        async move { Ok::<_, Infallible>(router.answer(req).await) }
+        async move { Ok::<_, Infallible>(router.handle(req).await) }
     });
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-use crate::store_calls::Calls;
+use crate::store_calls::StoreCalls;
 use crate::suspects::Suspects;
 
 /// Upper bounds of the buckets of times, in seconds: from a relay's own time to the longest request.
@@ -20,14 +20,14 @@
 
 /// How a request of a route ended: `ok` or the code of its error.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub(crate) struct End {
+pub(crate) struct RequestLabels {
     pub(crate) route: String,
     pub(crate) code: String,
 }
 
 /// A route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub(crate) struct OfRoute {
+pub(crate) struct RouteLabels {
     pub(crate) route: String,
 }
 
@@ -35,27 +35,27 @@
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
     /// Requests by route and end.
-    pub(crate) requests: Family<End, Counter>,
+    pub(crate) requests: Family<RequestLabels, Counter>,
     /// Requests under way.
     pub(crate) inflight: Gauge,
     /// Attempts at upstreams.
     pub(crate) attempts: Counter,
     /// Attempts beyond a request's first.
-    pub(crate) repeats: Counter,
+    pub(crate) retries: Counter,
     /// Connections opened to upstreams.
-    pub(crate) connects: Counter,
+    pub(crate) connections_opened: Counter,
     /// Seconds from a request's arrival to its answer or first event.
-    pub(crate) first: Family<OfRoute, Histogram>,
+    pub(crate) first_output_seconds: Family<RouteLabels, Histogram>,
     /// Seconds that a request waited for tokens.
-    pub(crate) token_wait: Histogram,
+    pub(crate) token_wait_seconds: Histogram,
     /// Tokens spent.
-    pub(crate) tokens: Counter,
+    pub(crate) delivered_tokens: Counter,
     /// Prompt tokens sent to upstreams that were thought not to keep them.
-    pub(crate) unread: Counter,
+    pub(crate) uncached_prompt_tokens: Counter,
     /// Prompt tokens sent.
-    pub(crate) prompt: Counter,
+    pub(crate) prompt_tokens: Counter,
     /// Listed upstreams that advertise a request rate limit.
-    pub(crate) limited: Gauge,
+    pub(crate) rate_limited_upstreams: Gauge,
 }
 
 fn seconds() -> Histogram {
@@ -63,26 +63,26 @@
 }
 
 impl Metrics {
-    pub(crate) fn open(calls: &Calls, suspects: &Suspects) -> Metrics {
+    pub(crate) fn new(calls: &StoreCalls, suspects: &Suspects) -> Metrics {
         let metrics = Metrics {
             registry: Mutex::new(Registry::with_prefix("oriolehitch")),
             requests: Family::default(),
             inflight: Gauge::default(),
             attempts: Counter::default(),
-            repeats: Counter::default(),
-            connects: Counter::default(),
-            first: Family::new_with_constructor(seconds),
-            token_wait: seconds(),
-            tokens: Counter::default(),
-            unread: Counter::default(),
-            prompt: Counter::default(),
-            limited: Gauge::default(),
+            retries: Counter::default(),
+            connections_opened: Counter::default(),
+            first_output_seconds: Family::new_with_constructor(seconds),
+            token_wait_seconds: seconds(),
+            delivered_tokens: Counter::default(),
+            uncached_prompt_tokens: Counter::default(),
+            prompt_tokens: Counter::default(),
+            rate_limited_upstreams: Gauge::default(),
         };
         metrics.register(calls, suspects);
         metrics
     }
 
-    fn register(&self, calls: &Calls, suspects: &Suspects) {
+    fn register(&self, calls: &StoreCalls, suspects: &Suspects) {
         let mut registry = self.registry.lock().expect("no panic inside");
         let r = &mut *registry;
         r.register(
@@ -92,35 +92,43 @@
         );
         r.register("inflight", "Requests under way", self.inflight.clone());
         r.register("attempts", "Attempts at upstreams", self.attempts.clone());
-        r.register("repeats", "Attempts beyond the first", self.repeats.clone());
-        r.register("connects", "Connections opened", self.connects.clone());
+        r.register("repeats", "Attempts beyond the first", self.retries.clone());
+        r.register(
+            "connects",
+            "Connections opened",
+            self.connections_opened.clone(),
+        );
         r.register(
             "first_seconds",
             "Arrival to answer or first event",
-            self.first.clone(),
+            self.first_output_seconds.clone(),
         );
         r.register(
             "token_wait_seconds",
             "Wait for tokens",
-            self.token_wait.clone(),
+            self.token_wait_seconds.clone(),
+        );
+        r.register("tokens", "Tokens spent", self.delivered_tokens.clone());
+        r.register(
+            "unread",
+            "Prompt tokens not kept",
+            self.uncached_prompt_tokens.clone(),
         );
-        r.register("tokens", "Tokens spent", self.tokens.clone());
-        r.register("unread", "Prompt tokens not kept", self.unread.clone());
-        r.register("prompt", "Prompt tokens sent", self.prompt.clone());
+        r.register("prompt", "Prompt tokens sent", self.prompt_tokens.clone());
         r.register(
             "limited_upstreams",
             "Upstreams that name a request rate",
-            self.limited.clone(),
+            self.rate_limited_upstreams.clone(),
         );
-        r.register("store_calls", "Calls of the store", calls.metric());
+        r.register("store_calls", "Calls of the store", calls.counters());
         let (ends, refused) = suspects.metrics();
         r.register("request_ends", "Upstreams' ends laid to requests", ends);
         r.register("suspects", "Requests refused for ends", refused);
     }
 
     /// Counts the end of a request.
-    pub(crate) fn ended(&self, route: &str, code: &str) {
-        let end = End {
+    pub(crate) fn count_request(&self, route: &str, code: &str) {
+        let end = RequestLabels {
             route: route.to_string(),
             code: code.to_string(),
         };
@@ -128,15 +136,17 @@
     }
 
     /// Counts the time to an answer or first event.
-    pub(crate) fn first(&self, route: &str, ms: u64) {
-        let route = OfRoute {
+    pub(crate) fn observe_first_output(&self, route: &str, ms: u64) {
+        let route = RouteLabels {
             route: route.to_string(),
         };
-        self.first.get_or_create(&route).observe(ms as f64 / 1000.0);
+        self.first_output_seconds
+            .get_or_create(&route)
+            .observe(ms as f64 / 1000.0);
     }
 
     /// Returns all metrics as text.
-    pub(crate) fn text(&self) -> String {
+    pub(crate) fn encode(&self) -> String {
         let registry = self.registry.lock().expect("no panic inside");
         let mut text = String::new();
         // Writing into a text can't fail.
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -9,9 +9,9 @@
 use crate::router::Router;
 
 /// Answers whether connections are wanted.
-pub(crate) struct Ready(pub(crate) Arc<Router>);
+pub(crate) struct ReadinessEndpoint(pub(crate) Arc<Router>);
 
-impl web::Service for Ready {
+impl web::Service for ReadinessEndpoint {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         if req.path != self.0.dialect.readiness_path() {
             return Res::new(404, "text/plain", "not found");
@@ -22,14 +22,14 @@
 }
 
 /// Answers operators.
-pub(crate) struct Ops(pub(crate) Arc<Router>);
+pub(crate) struct OpsEndpoint(pub(crate) Arc<Router>);
 
-impl Ops {
+impl OpsEndpoint {
     fn metrics(&self) -> Res {
         let limited = self.0.pool.lock().expect("no panic inside").limited_count();
-        self.0.metrics.limited.set(limited as i64);
+        self.0.metrics.rate_limited_upstreams.set(limited as i64);
         let media = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-        Res::new(200, media, self.0.metrics.text())
+        Res::new(200, media, self.0.metrics.encode())
     }
 
     fn dump(&self) -> Res {
@@ -67,7 +67,7 @@
             "version": router.config.version(),
             "store_out": router.reach.is_out(),
             "instances": router.fleet.live(),
-            "inflight": *router.busy.borrow(),
+            "inflight": *router.in_flight.borrow(),
             "connections": router.dialer.count(),
             "log_lines_cut": router.log.dropped_lines(),
             "budgets": router.bank.dump(),
@@ -79,7 +79,7 @@
     }
 }
 
-impl web::Service for Ops {
+impl web::Service for OpsEndpoint {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         match req.path.as_str() {
             "/metrics" => self.metrics(),
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -152,7 +152,7 @@
     let lacking = module.register_method("lacking", |params, desk, _| -> RpcResult<Passed> {
         let ask: Ask = params.one()?;
         let passed = desk.effects.relay.answer(&ask);
-        desk.traffic.count("lists", true, passed.bytes());
+        desk.traffic.record("lists", true, passed.bytes());
         Ok(passed)
     });
     lacking.expect("a new name");
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -17,11 +17,11 @@
 use tokio::time::timeout_at;
 
 use crate::bank::Charge;
-use crate::body::Out;
+use crate::body::ResponseBody;
 use crate::config::Active;
 use crate::event::Event;
 use crate::refusal::Refusal;
-use crate::request_context::{Busy, Expected, Job};
+use crate::request_context::{AttemptTiming, InFlightGuard, RequestContext};
 use crate::request_info::RequestInfo;
 use crate::router::Router;
 use crate::{buffered, stream};
@@ -43,7 +43,7 @@
 
 impl Router {
     /// Answers a request.
-    pub(crate) async fn answer(self: &Arc<Self>, req: Request<Incoming>) -> Response<Out> {
+    pub(crate) async fn handle(self: &Arc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
         // A body in chunks ends where its sender says. Were a length named besides, the two could
         // differ, and what follows be taken for another request: nothing follows.
         let chunked = req.headers().contains_key(TRANSFER_ENCODING);
@@ -55,10 +55,10 @@
                 self.log_refusal(ask.as_ref(), &refusal);
                 self.dialect
                     .refusal_response(ask.as_ref(), &refusal)
-                    .map(Out::Whole)
+                    .map(ResponseBody::Buffered)
             }
         };
-        if chunked || self.is_stopping() || self.is_crowded() {
+        if chunked || self.is_stopping() || self.is_link_congested() {
             let close = HeaderValue::from_static("close");
             res.headers_mut().insert(CONNECTION, close);
         }
@@ -67,7 +67,7 @@
 
     fn log_refusal(&self, ask: Option<&RequestInfo>, refusal: &Refusal) {
         let code = refusal.error.kind.answer().code;
-        self.metrics.ended("", code);
+        self.metrics.count_request("", code);
         let detail = format_args!(
             "code={code} ran={:?} retry_ms={:?} why={}",
             refusal.error.ran, refusal.retry_ms, refusal.error.message
@@ -81,9 +81,9 @@
         head: request::Parts,
         body: Incoming,
         known: &mut Option<RequestInfo>,
-    ) -> Result<Response<Out>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let arrived = self.clock.now();
-        let mut busy = Busy::open(self);
+        let mut busy = InFlightGuard::new(self);
         let ask = self.dialect.parse_request(&head)?;
         *known = Some(ask.clone());
         let wait_ms = ask.timeout_ms.unwrap_or(WAIT_DEFAULT_MS);
@@ -108,7 +108,7 @@
         })?;
         let traits = active.routing.services.get(&service).cloned();
         {
-            let mut retries = self.retries.lock().expect("no panic inside");
+            let mut retries = self.retry_budget.lock().expect("no panic inside");
             retries.record_request(arrived, &service);
         }
         let regions = active.routing.regions(&route, ask.api_key.as_deref());
@@ -116,44 +116,44 @@
             let message = format!("route {} and its customer share no region", route.name);
             Refusal::new(Kind::NoUpstream, message)
         })?;
-        let mut job = Job {
+        let mut job = RequestContext {
             router: Arc::clone(self),
             regions,
             digest: digest(&ask, customer.as_deref(), &head, &body),
-            ask,
+            info: ask,
             head,
             body,
             route,
             service,
-            traits: traits.unwrap_or_default(),
+            service_settings: traits.unwrap_or_default(),
             customer,
-            arrived,
+            arrived_at: arrived,
             deadline,
             tried: SmallVec::new(),
             attempts: 0,
             charge: None,
-            may_be_answered: false,
-            expected: Expected::default(),
-            _busy: busy,
+            may_have_response: false,
+            timing: AttemptTiming::default(),
+            _in_flight: busy,
         };
         self.suspects.admit(&self.others, job.digest).await?;
         job.charge = self.charge(&active, &job).await?;
         if job.route.streamed {
-            stream::answer(job).await
+            stream::respond(job).await
         } else {
-            buffered::answer(job).await
+            buffered::respond(job).await
         }
     }
 
     /// Takes what a request needs here; the error says that another instance has more of it.
-    fn room_for(&self, busy: &mut Busy, body: usize) -> Result<(), Refusal> {
-        let full = self.link(|l, now| {
+    fn room_for(&self, busy: &mut InFlightGuard, body: usize) -> Result<(), Refusal> {
+        let full = self.with_link(|l, now| {
             l.record_request_received(now, body);
             l.is_saturated_for(now, body)
         });
         let why = if full {
             "this instance's link is full"
-        } else if !busy.take_room(body) {
+        } else if !busy.reserve_memory(body) {
             "this instance's memory is full"
         } else {
             return Ok(());
@@ -233,8 +233,12 @@
     }
 
     /// Reserves the most that a request can cost.
-    async fn charge(&self, active: &Active, job: &Job) -> Result<Option<Charge>, Refusal> {
-        let tokens = job.ask.max_tokens();
+    async fn charge(
+        &self,
+        active: &Active,
+        job: &RequestContext,
+    ) -> Result<Option<Charge>, Refusal> {
+        let tokens = job.info.max_tokens();
         let Some(customer) = &job.customer else {
             return Ok(None);
         };
@@ -245,7 +249,9 @@
         let until = self.clock.at(job.deadline);
         let reserved = self.bank.reserve(customer, tokens, until).await;
         let waited = self.clock.now() - began;
-        self.metrics.token_wait.observe(waited as f64 / 1000.0);
+        self.metrics
+            .token_wait_seconds
+            .observe(waited as f64 / 1000.0);
         let short = match reserved {
             Ok(charge) => return Ok(Some(charge)),
             Err(short) => short,
@@ -264,7 +270,7 @@
         let message = format!("{why} {tokens} tokens of {customer}, waited_ms={waited}");
         let refusal = Refusal::new(kind, message);
         Err(match back_ms {
-            Some(back_ms) => refusal.retry_within(back_ms, job.left_ms()),
+            Some(back_ms) => refusal.retry_within(back_ms, job.remaining_ms()),
             None => refusal,
         })
     }
--- a/crates/proxy/src/request_context.rs
+++ b/crates/proxy/src/request_context.rs
@@ -15,71 +15,71 @@
 use crate::router::Router;
 
 /// Counts one request under way, until it is dropped.
-pub(crate) struct Busy {
+pub(crate) struct InFlightGuard {
     router: Arc<Router>,
     /// Memory that it took, in bytes.
     room: usize,
 }
 
-impl Busy {
+impl InFlightGuard {
     /// Begins to count a request.
-    pub(crate) fn open(router: &Arc<Router>) -> Busy {
-        router.busy.send_modify(|n| *n += 1);
+    pub(crate) fn new(router: &Arc<Router>) -> InFlightGuard {
+        router.in_flight.send_modify(|n| *n += 1);
         router.metrics.inflight.inc();
-        Busy {
+        InFlightGuard {
             router: Arc::clone(router),
             room: 0,
         }
     }
 
     /// Takes the memory for the request; returns whether it fits.
-    pub(crate) fn take_room(&mut self, body: usize) -> bool {
-        let mut room = self.router.room.lock().expect("no panic inside");
+    pub(crate) fn reserve_memory(&mut self, body: usize) -> bool {
+        let mut room = self.router.request_memory.lock().expect("no panic inside");
         let taken = room.reserve(body);
         self.room = taken.unwrap_or_default();
         taken.is_some()
     }
 }
 
-impl Drop for Busy {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut room = self.router.room.lock().expect("no panic inside");
+        let mut room = self.router.request_memory.lock().expect("no panic inside");
         room.release(self.room);
         drop(room);
-        self.router.busy.send_modify(|n| *n -= 1);
+        self.router.in_flight.send_modify(|n| *n -= 1);
         self.router.metrics.inflight.dec();
     }
 }
 
 /// What was expected of an upstream, and what came.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Expected {
+pub(crate) struct AttemptTiming {
     /// Tokens of the prompt that it would have to read.
-    pub(crate) unread: u32,
+    pub(crate) uncached_tokens: u32,
     /// When its answer or first event was expected, in milliseconds after the sending.
-    pub(crate) first_ms: f64,
+    pub(crate) expected_ms: f64,
     /// When it was sent, in milliseconds after the request's arrival.
     pub(crate) sent_ms: u64,
     /// When that came, in milliseconds after the request's arrival.
-    pub(crate) came_ms: u64,
+    pub(crate) first_output_ms: u64,
 }
 
 /// One request on its way through the filters.
-pub(crate) struct Job {
+pub(crate) struct RequestContext {
     pub(crate) router: Arc<Router>,
-    pub(crate) ask: RequestInfo,
+    pub(crate) info: RequestInfo,
     /// What the request is, whatever its id: its caller may send it again.
     pub(crate) digest: Digest,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
     pub(crate) route: Route,
     pub(crate) service: String,
-    pub(crate) traits: Service,
+    pub(crate) service_settings: Service,
     pub(crate) customer: Option<String>,
     /// Regions whose upstreams it may reach; empty where it may reach all.
     pub(crate) regions: Vec<String>,
     /// When it came, in milliseconds.
-    pub(crate) arrived: u64,
+    pub(crate) arrived_at: u64,
     /// When its answer is no longer wanted, in milliseconds.
     pub(crate) deadline: u64,
     /// Upstreams that were tried.
@@ -88,26 +88,26 @@
     pub(crate) attempts: u32,
     pub(crate) charge: Option<Charge>,
     /// Whether something of an upstream's answer came, or may have been on its way.
-    pub(crate) may_be_answered: bool,
+    pub(crate) may_have_response: bool,
     /// What was expected of the last upstream, for the log.
-    pub(crate) expected: Expected,
-    pub(crate) _busy: Busy,
+    pub(crate) timing: AttemptTiming,
+    pub(crate) _in_flight: InFlightGuard,
 }
 
-impl Job {
+impl RequestContext {
     /// Returns the milliseconds until the deadline.
-    pub(crate) fn left_ms(&self) -> u64 {
+    pub(crate) fn remaining_ms(&self) -> u64 {
         self.deadline.saturating_sub(self.router.clock.now())
     }
 
     /// Returns whether it may run more than once.
-    pub(crate) fn is_repeatable(&self) -> bool {
+    pub(crate) fn is_retryable(&self) -> bool {
         self.route.repeat != Repeat::Never
     }
 
     /// Returns whether it may be sent once more, and takes a repetition for that.
-    pub(crate) fn may_repeat(&self) -> bool {
-        if self.attempts >= self.route.attempts || self.left_ms() == 0 {
+    pub(crate) fn try_acquire_retry(&self) -> bool {
+        if self.attempts >= self.route.attempts || self.remaining_ms() == 0 {
             return false;
         }
         // One that ends upstreams must not take the next one with it in the same try.
@@ -115,45 +115,47 @@
             return false;
         }
         let (now, sharers) = (self.router.clock.now(), self.router.fleet.sharers());
-        let mut retries = self.router.retries.lock().expect("no panic inside");
+        let mut retries = self.router.retry_budget.lock().expect("no panic inside");
         retries.try_acquire(now, &self.service, sharers)
     }
 
     /// Counts tokens of the answer that go to the caller.
-    pub(crate) fn delivered(&mut self, tokens: u64) {
+    pub(crate) fn record_delivered_tokens(&mut self, tokens: u64) {
         if let Some(charge) = &mut self.charge {
             charge.delivered(tokens);
         }
-        self.router.metrics.tokens.inc_by(tokens);
+        self.router.metrics.delivered_tokens.inc_by(tokens);
     }
 
     /// Notes that the answer or the first event has come.
-    pub(crate) fn first_came(&mut self) {
-        let took = self.router.clock.now() - self.arrived;
-        self.expected.came_ms = took;
-        self.router.metrics.first(&self.route.name, took);
+    pub(crate) fn record_first_output(&mut self) {
+        let took = self.router.clock.now() - self.arrived_at;
+        self.timing.first_output_ms = took;
+        self.router
+            .metrics
+            .observe_first_output(&self.route.name, took);
     }
 
     /// Logs how it ended.
-    pub(crate) fn ended(&self, code: &str, upstream: &str) {
-        self.router.metrics.ended(&self.route.name, code);
+    pub(crate) fn record_end(&self, code: &str, upstream: &str) {
+        self.router.metrics.count_request(&self.route.name, code);
         let detail = format_args!(
             "route={} customer={} upstream={upstream} attempts={} code={code} ms={} sent_ms={} \
              first_ms={} expected_ms={:.0} unread={} of={} tokens={} request={}",
             self.route.name,
             self.customer.as_deref().unwrap_or("-"),
             self.attempts,
-            self.router.clock.now() - self.arrived,
-            self.expected.sent_ms,
-            self.expected.came_ms,
-            self.expected.first_ms,
-            self.expected.unread,
-            self.ask.prompt_tokens,
+            self.router.clock.now() - self.arrived_at,
+            self.timing.sent_ms,
+            self.timing.first_output_ms,
+            self.timing.expected_ms,
+            self.timing.uncached_tokens,
+            self.info.prompt_tokens,
             self.charge.as_ref().map_or(0, Charge::spent),
             self.digest,
         );
         self.router
             .log
-            .request_event(Event::Answered, &self.ask.id, detail);
+            .request_event(Event::Answered, &self.info.id, detail);
     }
 }
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -31,9 +31,9 @@
     pub(crate) pool: Arc<Mutex<Pool>>,
     pub(crate) listing: Listing,
     pub(crate) dialer: Dialer,
-    pub(crate) room: Mutex<RequestMemory>,
+    pub(crate) request_memory: Mutex<RequestMemory>,
     pub(crate) link: Mutex<Link>,
-    pub(crate) retries: Mutex<RetryBudget>,
+    pub(crate) retry_budget: Mutex<RetryBudget>,
     pub(crate) fleet: Fleet,
     pub(crate) others: Others,
     pub(crate) suspects: Suspects,
@@ -43,23 +43,23 @@
     /// A planned stop is so near that a new request could not end before it.
     pub(crate) refusing: AtomicBool,
     /// Requests under way.
-    pub(crate) busy: watch::Sender<u64>,
+    pub(crate) in_flight: watch::Sender<u64>,
 }
 
 impl Router {
     /// Returns whether new connections are wanted.
     pub(crate) fn is_ready(&self) -> bool {
         let knows = self.config.get().is_some() && self.listing.is_known();
-        knows && !self.is_stopping() && !self.is_crowded()
+        knows && !self.is_stopping() && !self.is_link_congested()
     }
 
     /// Returns whether the own link is full, or was a moment ago.
-    pub(crate) fn is_crowded(&self) -> bool {
-        self.link(|l, now| l.is_congested(now))
+    pub(crate) fn is_link_congested(&self) -> bool {
+        self.with_link(|l, now| l.is_congested(now))
     }
 
     /// Looks at the own link, or counts what goes over it.
-    pub(crate) fn link<T>(&self, f: impl FnOnce(&mut Link, u64) -> T) -> T {
+    pub(crate) fn with_link<T>(&self, f: impl FnOnce(&mut Link, u64) -> T) -> T {
         let now = self.clock.now();
         let mut link = self.link.lock().expect("no panic inside");
         let seen = f(&mut link, now);
--- a/crates/proxy/src/store_calls.rs
+++ b/crates/proxy/src/store_calls.rs
@@ -22,7 +22,7 @@
 
 /// One sort of calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, EncodeLabelSet)]
-pub(crate) struct Call {
+pub(crate) struct CallLabels {
     /// What it is for.
     task: &'static str,
     call: &'static str,
@@ -32,9 +32,9 @@
     store: &'static str,
 }
 
-impl Display for Call {
+impl Display for CallLabels {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Call {
+        let CallLabels {
             task,
             call,
             end,
@@ -46,19 +46,19 @@
 
 /// A handle on the counts.
 #[derive(Clone)]
-pub(crate) struct Calls(Arc<Inner>);
+pub(crate) struct StoreCalls(Arc<Inner>);
 
 struct Inner {
     clock: Clock,
     reach: Arc<Reach>,
-    metric: Family<Call, Counter>,
+    metric: Family<CallLabels, Counter>,
     /// The metric's counters: it lists none itself.
-    counts: Mutex<BTreeMap<Call, Counter>>,
+    counts: Mutex<BTreeMap<CallLabels, Counter>>,
 }
 
-impl Calls {
-    pub(crate) fn open(clock: Clock, reach: Arc<Reach>) -> Calls {
-        Calls(Arc::new(Inner {
+impl StoreCalls {
+    pub(crate) fn new(clock: Clock, reach: Arc<Reach>) -> StoreCalls {
+        StoreCalls(Arc::new(Inner {
             clock,
             reach,
             metric: Family::default(),
@@ -67,12 +67,16 @@
     }
 
     /// Returns the counts as a metric.
-    pub(crate) fn metric(&self) -> Family<Call, Counter> {
+    pub(crate) fn counters(&self) -> Family<CallLabels, Counter> {
         self.0.metric.clone()
     }
 
     /// Returns a store whose calls count for a task.
-    pub(crate) fn store(&self, task: &'static str, store: &Arc<dyn Store>) -> Arc<dyn Store> {
+    pub(crate) fn counted_store(
+        &self,
+        task: &'static str,
+        store: &Arc<dyn Store>,
+    ) -> Arc<dyn Store> {
         Arc::new(Counted {
             calls: self.clone(),
             task,
@@ -81,26 +85,26 @@
     }
 
     /// Logs the totals from time to time.
-    pub(crate) fn spawn(&self, log: Arc<Log>) {
+    pub(crate) fn spawn_logging(&self, log: Arc<Log>) {
         let calls = self.clone();
         tokio::spawn(async move {
             loop {
                 sleep(LOG_EVERY).await;
-                calls.log(&log);
+                calls.log_totals(&log);
             }
         });
     }
 
     /// Logs the totals.
-    pub(crate) fn log(&self, log: &Log) {
+    pub(crate) fn log_totals(&self, log: &Log) {
         let counts = self.0.counts.lock().expect("no panic inside");
-        let word = |(call, count): (&Call, &Counter)| format!("{call}={}", count.get());
+        let word = |(call, count): (&CallLabels, &Counter)| format!("{call}={}", count.get());
         let text: Vec<String> = counts.iter().map(word).collect();
         drop(counts);
         log.event(Event::StoreCalls, text.join(" "));
     }
 
-    fn count(&self, call: Call) {
+    fn count(&self, call: CallLabels) {
         let mut counts = self.0.counts.lock().expect("no panic inside");
         let counter = || self.0.metric.get_or_create(&call).clone();
         counts.entry(call).or_insert_with(counter).inc();
@@ -109,8 +113,8 @@
 
 /// A call under way. One that is dropped was given up: it was sent, or its answer may come to nobody.
 struct Pending {
-    calls: Calls,
-    call: Call,
+    calls: StoreCalls,
+    call: CallLabels,
     began: u64,
 }
 
@@ -141,7 +145,7 @@
 
 /// A store whose calls are counted.
 struct Counted {
-    calls: Calls,
+    calls: StoreCalls,
     task: &'static str,
     store: Arc<dyn Store>,
 }
@@ -161,7 +165,7 @@
         let mut pending = Pending {
             began: self.calls.0.clock.now(),
             calls: self.calls.clone(),
-            call: Call {
+            call: CallLabels {
                 task: self.task,
                 call,
                 end: "given_up",
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -11,13 +11,13 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout_at;
 
-use crate::attempt::{attempt, Attempts, Failed, Open, Slot};
-use crate::body::{Cut, Out};
+use crate::attempt::{attempt, AttemptError, AttemptGuard, AttemptHistory, OpenResponse};
+use crate::body::{ResponseAborted, ResponseBody};
 use crate::buffered;
 use crate::dialect::ResponseInfo;
 use crate::event::Event;
 use crate::refusal::Refusal;
-use crate::request_context::Job;
+use crate::request_context::RequestContext;
 use crate::sse::{SseEvent, SseParser};
 
 /// Events that may wait for a slow caller.
@@ -25,7 +25,7 @@
 
 /// A stream at one upstream.
 struct Link {
-    slot: Slot,
+    slot: AttemptGuard,
     conn: dial::Conn,
     body: Incoming,
     reading: ResponseInfo,
@@ -42,12 +42,12 @@
 
 impl Link {
     /// Takes over an answer whose head was read; returns the head besides.
-    fn over(open: Open) -> (Link, response::Parts) {
+    fn over(open: OpenResponse) -> (Link, response::Parts) {
         let link = Link {
-            slot: open.slot,
+            slot: open.guard,
             conn: open.conn,
             body: open.body,
-            reading: open.reading,
+            reading: open.info,
             events: SseParser::default(),
         };
         (link, open.head)
@@ -76,7 +76,7 @@
         }
     }
 
-    fn end(self, job: &Job) {
+    fn end(self, job: &RequestContext) {
         self.slot.end(Outcome::Success);
         job.router.dialer.keep(self.conn, self.reading.keep_alive);
     }
@@ -89,7 +89,7 @@
         head: response::Parts,
         first: Option<SseEvent>,
     },
-    Whole(Response<Out>),
+    Whole(Response<ResponseBody>),
 }
 
 /// Answers a request whose answer is a stream.
@@ -97,25 +97,25 @@
 /// # Errors
 ///
 /// Returns why there is no answer.
-pub(crate) async fn answer(mut job: Job) -> Result<Response<Out>, Refusal> {
-    let mut attempts = Attempts::none();
+pub(crate) async fn respond(mut job: RequestContext) -> Result<Response<ResponseBody>, Refusal> {
+    let mut attempts = AttemptHistory::new();
     let (link, head, first) = loop {
         let failed = match begin(&mut job).await {
             Ok(Begun::Whole(res)) => return Ok(res),
             Ok(Begun::Stream { link, head, first }) => break (link, head, first),
             Err(failed) => failed,
         };
-        if !attempts.again(&job, &failed) {
+        if !attempts.try_retry(&job, &failed) {
             return Err(attempts.refusal(&job, failed));
         }
     };
-    job.first_came();
+    job.record_first_output();
     let (tx, rx) = mpsc::channel(EVENTS_DEPTH);
-    let mut res = Response::new(Out::Parts(rx));
+    let mut res = Response::new(ResponseBody::Streamed(rx));
     *res.status_mut() = head.status;
     *res.headers_mut() = job.router.dialect.response_headers(&head);
     let relay = Relay {
-        last: job.ask.last_event_id,
+        last: job.info.last_event_id,
         count: 0,
         job,
         tx,
@@ -125,15 +125,15 @@
 }
 
 /// Sends the request and waits for the first event.
-async fn begin(job: &mut Job) -> Result<Begun, Failed> {
-    let after_event = job.ask.last_event_id;
+async fn begin(job: &mut RequestContext) -> Result<Begun, AttemptError> {
+    let after_event = job.info.last_event_id;
     let open = attempt(job, after_event).await?;
     let media = open.head.headers.get(CONTENT_TYPE);
     let media = media.and_then(|v| v.to_str().ok()).unwrap_or_default();
     let streams = open.head.status.is_success() && media.starts_with("text/event-stream");
     if !streams {
-        let whole = buffered::finish_any(job, open).await;
-        return whole.map(Begun::Whole).map_err(Failed::Unknown);
+        let whole = buffered::read_response(job, open).await;
+        return whole.map(Begun::Whole).map_err(AttemptError::Unknown);
     }
     let (mut link, head) = Link::over(open);
     let until = job.router.clock.at(job.deadline);
@@ -141,7 +141,7 @@
     let upstream = link.upstream().to_string();
     match next {
         Ok(Next::Event(event)) => {
-            link.slot.first();
+            link.slot.record_latency();
             Ok(Begun::Stream {
                 link,
                 head,
@@ -155,12 +155,12 @@
         }),
         Ok(Next::Broken(why)) => {
             link.slot.end(Outcome::InvalidResponse);
-            Err(Failed::Unknown(format!("upstream={upstream} {why}")))
+            Err(AttemptError::Unknown(format!("upstream={upstream} {why}")))
         }
         Err(_) => {
             link.slot.end(Outcome::Unresponsive);
             let why = format!("upstream={upstream} no event in time");
-            Err(Failed::Unknown(why))
+            Err(AttemptError::Unknown(why))
         }
     }
 }
@@ -175,8 +175,8 @@
 
 /// The caller's side of a stream.
 struct Relay {
-    job: Job,
-    tx: mpsc::Sender<Result<Bytes, Cut>>,
+    job: RequestContext,
+    tx: mpsc::Sender<Result<Bytes, ResponseAborted>>,
     /// The last event that the caller has.
     last: Option<u64>,
     /// Events passed on.
@@ -191,13 +191,13 @@
             let why = match end {
                 End::Whole => {
                     link.end(&self.job);
-                    self.job.ended("ok", &upstream);
+                    self.job.record_end("ok", &upstream);
                     return;
                 }
                 End::CallerLeft => {
                     let detail = format_args!("upstream={upstream} events={}", self.count);
                     let log = &self.job.router.log;
-                    log.request_event(Event::CallerDisconnected, &self.job.ask.id, detail);
+                    log.request_event(Event::CallerDisconnected, &self.job.info.id, detail);
                     return;
                 }
                 End::Late => return self.cut("deadline").await,
@@ -249,18 +249,20 @@
         }
         self.last = event.id.or(self.last);
         self.count += 1;
-        let tokens = self.job.traits.tokens_per_event;
-        self.job.delivered(tokens);
+        let tokens = self.job.service_settings.tokens_per_event;
+        self.job.record_delivered_tokens(tokens);
         let bytes = event.bytes.len();
-        self.job.router.link(|l, now| l.record_response(now, bytes));
+        self.job
+            .router
+            .with_link(|l, now| l.record_response(now, bytes));
         let sent = self.tx.send(Ok(event.bytes)).await;
         sent.is_err().then_some(End::CallerLeft)
     }
 
     /// Goes on at another upstream after the last event that the caller has.
     async fn resume(&mut self, why: &str) -> Result<Link, String> {
-        let resumable = self.job.is_repeatable() && self.last.is_some();
-        if !resumable || !self.job.may_repeat() {
+        let resumable = self.job.is_retryable() && self.last.is_some();
+        if !resumable || !self.job.try_acquire_retry() {
             return Err(why.to_string());
         }
         let open = attempt(&mut self.job, self.last).await;
@@ -268,15 +270,15 @@
         let streams = open.head.status.is_success();
         if !streams {
             let status = open.head.status;
-            open.slot.end(Outcome::ErrorResponse);
+            open.guard.end(Outcome::ErrorResponse);
             return Err(format!("{why}; then status {status}"));
         }
         let detail = format_args!(
             "after={:?} upstream={} request={} why={why}",
-            self.last, open.slot.choice.spec.id, self.job.digest
+            self.last, open.guard.choice.spec.id, self.job.digest
         );
         let log = &self.job.router.log;
-        log.request_event(Event::StreamResumed, &self.job.ask.id, detail);
+        log.request_event(Event::StreamResumed, &self.job.info.id, detail);
         let (link, _) = Link::over(open);
         Ok(link)
     }
@@ -288,9 +290,12 @@
             "events={} request={} why={why}",
             self.count, self.job.digest
         );
-        log.request_event(Event::ResponseAborted, &self.job.ask.id, detail);
-        self.job.router.metrics.ended(&self.job.route.name, "cut");
+        log.request_event(Event::ResponseAborted, &self.job.info.id, detail);
+        self.job
+            .router
+            .metrics
+            .count_request(&self.job.route.name, "cut");
         // A caller that left needs no end.
-        let _ = self.tx.send(Err(Cut)).await;
+        let _ = self.tx.send(Err(ResponseAborted)).await;
     }
 }
--- a/crates/proxy/src/traffic.rs
+++ b/crates/proxy/src/traffic.rs
@@ -20,10 +20,10 @@
 
 /// What is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Sort {
+pub(crate) struct TrafficClass {
     purpose: &'static str,
     /// Whether it stays in the availability zone.
-    near: bool,
+    same_zone: bool,
 }
 
 /// How much was sent.
@@ -35,19 +35,24 @@
 
 /// A handle on the counts.
 #[derive(Clone, Default)]
-pub(crate) struct Traffic(Arc<Mutex<BTreeMap<Sort, Sum>>>);
+pub(crate) struct Traffic(Arc<Mutex<BTreeMap<TrafficClass, Sum>>>);
 
 impl Traffic {
     /// Counts a message, to the own availability zone or not.
-    pub(crate) fn count(&self, purpose: &'static str, near: bool, bytes: usize) {
+    pub(crate) fn record(&self, purpose: &'static str, near: bool, bytes: usize) {
         let mut sums = self.0.lock().expect("no panic inside");
-        let sum = sums.entry(Sort { purpose, near }).or_default();
+        let sum = sums
+            .entry(TrafficClass {
+                purpose,
+                same_zone: near,
+            })
+            .or_default();
         sum.messages += 1;
         sum.bytes += bytes as u64;
     }
 
     /// Logs the totals from time to time, with what the instance keeps.
-    pub(crate) fn spawn(&self, fleet: &Fleet, dialer: &Dialer, log: &Arc<Log>) {
+    pub(crate) fn spawn_logging(&self, fleet: &Fleet, dialer: &Dialer, log: &Arc<Log>) {
         let (traffic, fleet, dialer) = (self.clone(), fleet.clone(), dialer.clone());
         let log = Arc::clone(log);
         tokio::spawn(async move {
@@ -68,7 +73,14 @@
     /// Appends PURPOSE.WHERE.messages=N PURPOSE.WHERE.bytes=N for each sort.
     fn describe(&self, detail: &mut String) {
         let sums = self.0.lock().expect("no panic inside");
-        for (Sort { purpose, near }, sum) in sums.iter() {
+        for (
+            TrafficClass {
+                purpose,
+                same_zone: near,
+            },
+            sum,
+        ) in sums.iter()
+        {
             let place = if *near { "zone" } else { "away" };
             let Sum { messages, bytes } = sum;
             // Writing into a text can't fail.
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -5,14 +5,14 @@
 use clock::Clock;
 use dial::Dialer;
 
-use super::{Call, Calls};
+use super::{CallLabels, StoreCalls};
 use crate::log::Log;
 use crate::metrics::Metrics;
 use crate::reach::Reach;
 use crate::suspects::Suspects;
 
-fn call() -> Call {
-    Call {
+fn call() -> CallLabels {
+    CallLabels {
         task: "budgets",
         call: "write",
         end: "done",
@@ -30,13 +30,13 @@
     let clock = Clock::start();
     let log = Arc::new(Log::new(clock));
     let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
-    let calls = Calls::open(clock, reach);
+    let calls = StoreCalls::new(clock, reach);
     let suspects = Suspects::open("r1", clock, log, Dialer::default());
-    let metrics = Metrics::open(&calls, &suspects);
+    let metrics = Metrics::new(&calls, &suspects);
     calls.count(call());
-    metrics.ended("chat", "ok");
-    metrics.first("chat", 5);
-    let text = metrics.text();
+    metrics.count_request("chat", "ok");
+    metrics.observe_first_output("chat", 5);
+    let text = metrics.encode();
     // Without their values, which follow the last space.
     let line = |l: &str| match l.rsplit_once(' ') {
         Some((name, _)) if !l.starts_with('#') => name.to_string(),
--- a/crates/proxy/tests/encoding/texts.rs
+++ b/crates/proxy/tests/encoding/texts.rs
@@ -5,7 +5,7 @@
 use kv::Failure;
 use place::{ChooseError, RateLimit};
 
-use crate::attempt::Failed;
+use crate::attempt::AttemptError;
 use crate::peers::Gift;
 
 /// A text in a variant.
@@ -15,12 +15,15 @@
 
 #[test]
 fn failed_attempts_keep_their_texts() {
-    let text = |failed: Failed| format!("{failed:?}");
-    assert_eq!(text(Failed::NotRun(why())), r#"NotRun("reset")"#);
-    assert_eq!(text(Failed::Unanswered(why())), r#"Unanswered("reset")"#);
-    assert_eq!(text(Failed::Unknown(why())), r#"Unknown("reset")"#);
-    assert_eq!(text(Failed::Late), "Late");
-    let text = |denied: ChooseError| format!("{:?}", Failed::Denied(denied));
+    let text = |failed: AttemptError| format!("{failed:?}");
+    assert_eq!(text(AttemptError::NotRun(why())), r#"NotRun("reset")"#);
+    assert_eq!(
+        text(AttemptError::Unanswered(why())),
+        r#"Unanswered("reset")"#
+    );
+    assert_eq!(text(AttemptError::Unknown(why())), r#"Unknown("reset")"#);
+    assert_eq!(text(AttemptError::Late), "Late");
+    let text = |denied: ChooseError| format!("{:?}", AttemptError::Denied(denied));
     let retry_ms = 40;
     assert_eq!(text(ChooseError::Unknown), "Denied(Unknown)");
     assert_eq!(text(ChooseError::NoneLeft), "Denied(NoneLeft)");
