--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -166,7 +166,7 @@
         module.register_method("lacking", |params, desk, _| -> RpcResult<DeltaResponse> {
             let ask: DeltaRequest = params.one()?;
             let passed = desk.notice_handler.relay.serve_delta(&ask);
-            desk.traffic.count("lists", true, passed.size_bytes());
+            desk.traffic.record("lists", true, passed.size_bytes());
             Ok(passed)
         });
     lacking.expect("a new name");
