--- a/crates/proxy/src/budgets/draw.rs
+++ b/crates/proxy/src/budgets/draw.rs
@@ -16,7 +16,7 @@
 
 /// A home waits so long for the store and for other homes: less than the instance that draws waits for
 /// the home.
-const DRAW_WAIT: Duration = Duration::from_millis(150);
+const DRAW_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// A call for the tokens of one request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -31,8 +31,8 @@
     /// What is prepaid by the configuration of the caller.
     prepaid: u64,
     /// Whether it goes to the home of the caller's availability zone, since the customer's first home has too many.
-    #[serde(default)]
-    zone: bool,
+    #[serde(rename = "zone", default)]
+    to_zone_home: bool,
 }
 
 /// A home's answer.
@@ -69,20 +69,20 @@
         if homes.is_empty() {
             return None;
         }
-        let mut charge = self.charge(customer);
-        charge.reserved = self.reserve_part(customer, tokens);
-        let lacking = tokens - charge.reserved;
-        if lacking == 0 {
-            return Some(Ok(charge));
+        let mut reservation = self.new_reservation(customer);
+        reservation.reserved = self.reserve_up_to(customer, tokens);
+        let shortfall = tokens - reservation.reserved;
+        if shortfall == 0 {
+            return Some(Ok(reservation));
         }
-        let mut cut_off = 0;
+        let mut unreachable = 0;
         let mut asked = 0;
         while let Some(home) = homes.get(asked).cloned() {
             asked += 1;
-            match self.draw_from(&home, customer, lacking, tokens).await {
-                DrawResponse::Tokens(_) if self.try_reserve(customer, lacking) => {
-                    charge.reserved = tokens;
-                    return Some(Ok(charge));
+            match self.draw_from(&home, customer, shortfall, tokens).await {
+                DrawResponse::Tokens(_) if self.try_reserve(customer, shortfall) => {
+                    reservation.reserved = tokens;
+                    return Some(Ok(reservation));
                 }
                 // Another request was quicker.
                 DrawResponse::Tokens(_) => return None,
@@ -90,19 +90,19 @@
                 DrawResponse::OutOfReach { free } => {
                     return Some(Err(ReserveError::OutOfReach { free }))
                 }
-                DrawResponse::StoreUnreachable => cut_off += 1,
+                DrawResponse::StoreUnreachable => unreachable += 1,
                 DrawResponse::Unavailable => {}
                 DrawResponse::OverCapacity => {
-                    self.crowded(customer);
+                    self.use_zone_homes(customer);
                     homes = self.homes(customer);
-                    (asked, cut_off) = (0, 0);
+                    (asked, unreachable) = (0, 0);
                 }
             }
         }
         // The home has asked all others, unless that is this one: there is nothing to wait for.
-        let all_cut_off = cut_off == homes.len() && !self.is_home(customer);
-        let nowhere = all_cut_off && self.is_store_unreachable();
-        nowhere.then_some(Err(ReserveError::OutOfReach { free: false }))
+        let all_unreachable = unreachable == homes.len() && !self.is_home(customer);
+        let out_of_reach = all_unreachable && self.is_store_unreachable();
+        out_of_reach.then_some(Err(ReserveError::OutOfReach { free: false }))
     }
 
     /// Calls a home.
@@ -113,21 +113,21 @@
         tokens: u64,
         size: u64,
     ) -> DrawResponse {
-        let draw = self.draw(home, customer, tokens, size);
+        let draw = self.draw_request(home, customer, tokens, size);
         let bytes = serde_json::to_vec(&draw).map_or(0, |d| d.len());
-        let Sender { fleet, traffic, .. } = &self.means().sender;
+        let Sender { fleet, traffic, .. } = &self.deps().sender;
         traffic.count("draws", fleet.roster().is_near(home.addr), bytes);
-        let (bank, addr) = (self.clone(), home.addr);
+        let (budgets, addr) = (self.clone(), home.addr);
         let call = async move {
-            let drawn = bank.means().peers.draw(addr, &draw).await?;
-            if let DrawResponse::Tokens(given) = &drawn {
-                bank.with(&draw.customer, |h| {
-                    h.receive_tokens(&draw.spent.from, given);
+            let response = budgets.deps().peers.draw(addr, &draw).await?;
+            if let DrawResponse::Tokens(received) = &response {
+                budgets.with_known_budget(&draw.customer, |b| {
+                    b.receive_tokens(&draw.spent.from, received);
                 });
             }
-            Ok(drawn)
+            Ok(response)
         };
-        self.debiting(home, call).await.unwrap_or_else(|why| {
+        self.call_detached(home, call).await.unwrap_or_else(|why| {
             let detail = format_args!("customer={customer} from={} failed={why}", home.id);
             self.0.log.note(Event::Transfer, detail);
             DrawResponse::Unavailable
@@ -136,57 +136,57 @@
 
     /// Waits a little for a call that may debit tokens at another instance. The call goes on when the
     /// wait, or the request that it is for, ends: what it brings late is kept here.
-    pub(super) async fn debiting<T: Send + 'static>(
+    pub(super) async fn call_detached<T: Send + 'static>(
         &self,
         peer: &Member,
         call: impl Future<Output = Result<T, String>> + Send + 'static,
     ) -> Result<T, String> {
         match timeout(CALL_TIMEOUT, tokio::spawn(call)).await {
-            Ok(ended) => ended.expect("a call does not panic"),
+            Ok(result) => result.expect("a call does not panic"),
             Err(_) => {
-                self.means().peers.rest(peer.addr);
+                self.deps().peers.rest(peer.addr);
                 Err("no answer in time".to_string())
             }
         }
     }
 
-    fn draw(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> DrawRequest {
-        let zone = self.area(customer) == Area::Zone;
-        self.open_holding(customer, |h| DrawRequest {
+    fn draw_request(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> DrawRequest {
+        let to_zone_home = self.area(customer) == Area::Zone;
+        self.with_budget(customer, |b| DrawRequest {
             customer: customer.to_string(),
             tokens,
             size,
-            spent: self.tell(&home.id, h.forwarded_spending(&home.id)),
-            prepaid: h.prepaid(),
-            zone,
+            spent: self.cumulative_total(&home.id, b.forwarded_spending(&home.id)),
+            prepaid: b.prepaid(),
+            to_zone_home,
         })
     }
 
     /// Answers an instance that draws from this one.
     pub(crate) async fn handle_draw(&self, draw: &DrawRequest) -> DrawResponse {
-        let me = self.own_id();
-        self.with(&draw.customer, |h| h.receive_spending(&me, &draw.spent));
-        if draw.spent.to != me
+        let own_id = self.own_id();
+        self.with_known_budget(&draw.customer, |b| b.receive_spending(&own_id, &draw.spent));
+        if draw.spent.to != own_id
             || self.is_shutting_down()
             || self.prepaid(&draw.customer) < draw.prepaid
         {
             return DrawResponse::Unavailable;
         }
-        if self.count_draw(&draw.customer) && !draw.zone {
+        if self.record_draw(&draw.customer) && !draw.to_zone_home {
             return DrawResponse::OverCapacity;
         }
-        let until = Instant::now() + DRAW_WAIT;
+        let until = Instant::now() + DRAW_TIMEOUT;
         // Those that take a home's place are asked all at once while nobody reaches the store: were each to count
         // the demand, each would take tokens for all of it afterwards.
-        let home = draw.zone || self.is_home(&draw.customer);
-        if home || !self.is_store_unreachable() {
-            self.ask(&draw.customer, draw.tokens, draw.size);
+        let is_home = draw.to_zone_home || self.is_home(&draw.customer);
+        if is_home || !self.is_store_unreachable() {
+            self.record_demand(&draw.customer, draw.tokens, draw.size);
         }
         let reserved = self.reserve_here(&draw.customer, draw.tokens, draw.size, until);
         match reserved.await {
-            Ok(charge) => {
-                let total = charge.hand_over(&draw.spent.from);
-                DrawResponse::Tokens(self.tell(&draw.spent.from, total))
+            Ok(reservation) => {
+                let total = reservation.transfer_to(&draw.spent.from);
+                DrawResponse::Tokens(self.cumulative_total(&draw.spent.from, total))
             }
             // By an older configuration the caller may know better.
             Err(ReserveError::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => {
@@ -202,11 +202,11 @@
     }
 
     fn prepaid(&self, customer: &str) -> u64 {
-        let accounts = self.0.accounts.lock().expect("no panic inside");
-        accounts.get(customer).map_or(0, |a| a.holding.prepaid())
+        let customers = self.0.customers.lock().expect("no panic inside");
+        customers.get(customer).map_or(0, |s| s.budget.prepaid())
     }
 
-    fn reserve_part(&self, customer: &str, tokens: u64) -> u64 {
-        self.open_holding(customer, |h| h.reserve_up_to(tokens))
+    fn reserve_up_to(&self, customer: &str, tokens: u64) -> u64 {
+        self.with_budget(customer, |b| b.reserve_up_to(tokens))
     }
 }
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -13,12 +13,12 @@
 //! Whoever gives debits first, and every message tells a total: what is lost on the way is charged to the budget until
 //! the next message, and never spent twice.
 
-mod charge;
 mod draw;
-mod handover;
 mod records;
 mod refill;
-mod settled;
+mod reservation;
+mod settlement;
+mod transfer;
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, AtomicI64};
@@ -39,20 +39,20 @@
 use crate::reach::Reach;
 use crate::roster::{Area, Homes};
 
-use charge::Lack;
-pub(crate) use charge::Reservation;
 pub(crate) use draw::{DrawRequest, DrawResponse};
-pub(crate) use settled::Settlement;
+pub(crate) use reservation::Reservation;
+use reservation::WaitGuard;
+pub(crate) use settlement::Settlement;
 
 /// Longest time that a request waits for tokens: a few calls of the store and of other instances.
-const WAIT_MOST: Duration = Duration::from_millis(600);
+const MAX_TOKEN_WAIT: Duration = Duration::from_millis(600);
 /// After a search that found nothing, requests that lack tokens are refused at once for this time.
-const DRY: Duration = Duration::from_millis(300);
+const REFUSAL_PERIOD: Duration = Duration::from_millis(300);
 /// A customer whose home has too many draws has a home in each availability zone for so long: what the home in the zone
 /// holds is handed back some seconds later, so that changing to and fro costs writes.
-const CROWDED_FOR: Duration = Duration::from_secs(10);
+const ZONE_HOMES_PERIOD: Duration = Duration::from_secs(10);
 /// How often a transaction that lost against others is tried in one look.
-const TRIES: usize = 6;
+const MAX_COMMIT_ATTEMPTS: usize = 6;
 
 /// What the task of the holdings works with.
 pub(crate) struct Dependencies {
@@ -73,32 +73,32 @@
 struct Inner {
     clock: Clock,
     log: Arc<Log>,
-    accounts: Mutex<BTreeMap<String, Account>>,
+    customers: Mutex<BTreeMap<String, CustomerState>>,
     /// The revision of the own book in the store, once it was read; 0 when there is none.
-    book: Mutex<Option<i64>>,
+    ledger_revision: Mutex<Option<i64>>,
     /// The revision of a record that shows a later write of the own book, whose answer was lost; 0 for none.
-    book_doubted: AtomicI64,
+    unconfirmed_revision: AtomicI64,
     /// The same when the own book was read last.
-    book_checked: AtomicI64,
-    wake: Notify,
+    checked_revision: AtomicI64,
+    refill_requested: Notify,
     /// Counts the looks that have ended.
-    looks: watch::Sender<u64>,
-    means: OnceLock<Dependencies>,
+    refill_cycles: watch::Sender<u64>,
+    deps: OnceLock<Dependencies>,
     /// Customers of whose ended requests their homes are to be told, with how many times.
-    ended: Mutex<BTreeMap<String, u8>>,
-    ended_wake: Notify,
+    pending_settlements: Mutex<BTreeMap<String, u8>>,
+    settlement_requested: Notify,
     /// Nothing is taken any more.
-    leaving: AtomicBool,
+    shutting_down: AtomicBool,
 }
 
 #[derive(Default)]
-struct Account {
-    holding: LocalBudget,
-    dry_until: Option<Instant>,
+struct CustomerState {
+    budget: LocalBudget,
+    refuse_until: Option<Instant>,
     /// Draws that came here.
     draws: Rate,
     /// Until when the customer has a home in each availability zone.
-    crowded_until: Option<Instant>,
+    zone_homes_until: Option<Instant>,
 }
 
 impl Budgets {
@@ -106,32 +106,32 @@
         Budgets(Arc::new(Inner {
             clock,
             log,
-            accounts: Mutex::default(),
-            book: Mutex::default(),
-            book_doubted: AtomicI64::new(0),
-            book_checked: AtomicI64::new(0),
-            wake: Notify::new(),
-            looks: watch::channel(0).0,
-            ended: Mutex::default(),
-            ended_wake: Notify::new(),
-            means: OnceLock::new(),
-            leaving: AtomicBool::new(false),
+            customers: Mutex::default(),
+            ledger_revision: Mutex::default(),
+            unconfirmed_revision: AtomicI64::new(0),
+            checked_revision: AtomicI64::new(0),
+            refill_requested: Notify::new(),
+            refill_cycles: watch::channel(0).0,
+            pending_settlements: Mutex::default(),
+            settlement_requested: Notify::new(),
+            deps: OnceLock::new(),
+            shutting_down: AtomicBool::new(false),
         }))
     }
 
     /// Takes what a configuration says is prepaid.
     pub(crate) fn set_prepaid(&self, routing: &Routing) {
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("no panic inside");
         for customer in &routing.accounts {
             let Some(prepaid) = customer.prepaid else {
                 continue;
             };
-            let account = accounts.entry(customer.name.clone()).or_default();
-            account.holding.set_prepaid(prepaid);
-            account.dry_until = None;
+            let state = customers.entry(customer.name.clone()).or_default();
+            state.budget.set_prepaid(prepaid);
+            state.refuse_until = None;
         }
-        drop(accounts);
-        self.0.wake.notify_one();
+        drop(customers);
+        self.0.refill_requested.notify_one();
     }
 
     /// Reserves tokens, waiting a little for other instances and for the store.
@@ -149,24 +149,24 @@
         if let Some(reserved) = reserved {
             return reserved;
         }
-        self.ask(customer, tokens, tokens);
+        self.record_demand(customer, tokens, tokens);
         self.reserve_here(customer, tokens, tokens, deadline).await
     }
 
     /// Counts demand that this instance is to cover, and the whole of what the request can cost.
-    fn ask(&self, customer: &str, tokens: u64, size: u64) {
+    fn record_demand(&self, customer: &str, tokens: u64, size: u64) {
         let now = self.0.clock.now();
-        self.open_holding(customer, |h| {
-            h.add_demand(now, tokens);
-            h.add_request_size(now, size);
+        self.with_budget(customer, |b| {
+            b.add_demand(now, tokens);
+            b.add_request_size(now, size);
         });
     }
 
     /// Works on a customer's holding, a new one if there is none.
-    fn open_holding<T>(&self, customer: &str, f: impl FnOnce(&mut LocalBudget) -> T) -> T {
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        let account = accounts.entry(customer.to_string()).or_default();
-        f(&mut account.holding)
+    fn with_budget<T>(&self, customer: &str, f: impl FnOnce(&mut LocalBudget) -> T) -> T {
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let state = customers.entry(customer.to_string()).or_default();
+        f(&mut state.budget)
     }
 
     /// Returns the instances to draw a customer's tokens from; none where this one takes them itself.
@@ -174,7 +174,7 @@
     /// A home that is cut off from the store draws from those that take its place: all callers of a customer may
     /// come to one instance, and nobody else would take tokens for them.
     fn homes(&self, customer: &str) -> Homes {
-        let (fleet, area) = (&self.means().fleet, self.area(customer));
+        let (fleet, area) = (&self.deps().fleet, self.area(customer));
         let homes = fleet.homes(customer, area);
         if homes.is_empty() && self.is_store_unreachable() {
             return fleet.homes_besides(customer, area);
@@ -184,14 +184,14 @@
 
     /// Returns whether this instance holds a customer's tokens for others.
     fn is_home(&self, customer: &str) -> bool {
-        let fleet = &self.means().fleet;
+        let fleet = &self.deps().fleet;
         fleet.is_home(customer, Area::Fleet) || fleet.is_home(customer, self.area(customer))
     }
 
     /// Returns which instances a customer's homes are chosen from.
     fn area(&self, customer: &str) -> Area {
-        let accounts = self.0.accounts.lock().expect("no panic inside");
-        let until = accounts.get(customer).and_then(|a| a.crowded_until);
+        let customers = self.0.customers.lock().expect("no panic inside");
+        let until = customers.get(customer).and_then(|s| s.zone_homes_until);
         match until {
             Some(until) if Instant::now() < until => Area::Zone,
             _ => Area::Fleet,
@@ -199,31 +199,31 @@
     }
 
     /// Records a home's report that it gets more draws of a customer than it answers.
-    fn crowded(&self, customer: &str) {
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        if let Some(account) = accounts.get_mut(customer) {
-            account.crowded_until = Some(Instant::now() + CROWDED_FOR);
+    fn use_zone_homes(&self, customer: &str) {
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        if let Some(state) = customers.get_mut(customer) {
+            state.zone_homes_until = Some(Instant::now() + ZONE_HOMES_PERIOD);
         }
     }
 
     /// Counts a draw that came here; returns whether the customer has too many for one instance.
-    fn count_draw(&self, customer: &str) -> bool {
+    fn record_draw(&self, customer: &str) -> bool {
         let now = self.0.clock.now();
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        let Some(account) = accounts.get_mut(customer) else {
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let Some(state) = customers.get_mut(customer) else {
             return false;
         };
-        account.draws.add(now, 1);
-        exceeds_home_capacity(account.draws.per_second(now))
+        state.draws.add(now, 1);
+        exceeds_home_capacity(state.draws.per_second(now))
     }
 
-    fn charge(&self, customer: &str) -> Reservation {
+    fn new_reservation(&self, customer: &str) -> Reservation {
         Reservation {
-            bank: self.clone(),
+            budgets: self.clone(),
             customer: customer.to_string(),
             reserved: 0,
             prompt: 0,
-            answer: 0,
+            delivered: 0,
         }
     }
 
@@ -236,82 +236,84 @@
         size: u64,
         deadline: Instant,
     ) -> Result<Reservation, ReserveError> {
-        let charge = self.charge(customer);
-        match self.first_try(customer, tokens, size) {
-            Tried::Reserved => return Ok(charge.of(tokens)),
-            Tried::Refused(short) => return Err(short),
-            Tried::Wait => {}
+        let reservation = self.new_reservation(customer);
+        match self.first_attempt(customer, tokens, size) {
+            FirstAttempt::Reserved => return Ok(reservation.with_reserved(tokens)),
+            FirstAttempt::Refused(error) => return Err(error),
+            FirstAttempt::Wait => {}
         }
-        let _lack = Lack::open(self, customer, tokens);
-        let mut looks = self.0.looks.subscribe();
+        let _wait = WaitGuard::new(self, customer, tokens);
+        let mut cycles = self.0.refill_cycles.subscribe();
         // The look under way may have begun before this request came.
-        let enough = *looks.borrow_and_update() + 2;
-        let until = deadline.min(Instant::now() + WAIT_MOST);
-        self.0.wake.notify_one();
+        let last_cycle = *cycles.borrow_and_update() + 2;
+        let until = deadline.min(Instant::now() + MAX_TOKEN_WAIT);
+        self.0.refill_requested.notify_one();
         loop {
-            let ended = timeout_at(until, looks.changed()).await.is_err();
+            let timed_out = timeout_at(until, cycles.changed()).await.is_err();
             if self.try_reserve(customer, tokens) {
-                return Ok(charge.of(tokens));
+                return Ok(reservation.with_reserved(tokens));
             }
-            let looked = *looks.borrow_and_update() >= enough;
-            if ended || looked {
-                return Err(self.refusal(customer, tokens));
+            let searched = *cycles.borrow_and_update() >= last_cycle;
+            if timed_out || searched {
+                return Err(self.refuse(customer, tokens));
             }
-            self.0.wake.notify_one();
+            self.0.refill_requested.notify_one();
         }
     }
 
-    fn first_try(&self, customer: &str, tokens: u64, size: u64) -> Tried {
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        let account = accounts.entry(customer.to_string()).or_default();
-        let rationed = self.means().fleet.has_started_again();
-        if rationed && !account.holding.admits(self.0.clock.now(), size) {
-            return Tried::Refused(self.why(&account.holding, size));
+    fn first_attempt(&self, customer: &str, tokens: u64, size: u64) -> FirstAttempt {
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let state = customers.entry(customer.to_string()).or_default();
+        let restarted = self.deps().fleet.has_started_again();
+        if restarted && !state.budget.admits(self.0.clock.now(), size) {
+            return FirstAttempt::Refused(self.reserve_error(&state.budget, size));
         }
-        if account.holding.reserve(tokens) {
-            return Tried::Reserved;
+        if state.budget.reserve(tokens) {
+            return FirstAttempt::Reserved;
         }
-        let dry = account.dry_until.is_some_and(|t| Instant::now() < t);
-        if dry {
-            return Tried::Refused(self.why(&account.holding, tokens));
+        let refused_recently = state.refuse_until.is_some_and(|t| Instant::now() < t);
+        if refused_recently {
+            return FirstAttempt::Refused(self.reserve_error(&state.budget, tokens));
         }
-        Tried::Wait
+        FirstAttempt::Wait
     }
 
     fn try_reserve(&self, customer: &str, tokens: u64) -> bool {
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        let account = accounts.get_mut(customer);
-        account.is_some_and(|a| a.holding.reserve(tokens))
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let state = customers.get_mut(customer);
+        state.is_some_and(|s| s.budget.reserve(tokens))
     }
 
-    fn refusal(&self, customer: &str, tokens: u64) -> ReserveError {
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        let Some(account) = accounts.get_mut(customer) else {
+    fn refuse(&self, customer: &str, tokens: u64) -> ReserveError {
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let Some(state) = customers.get_mut(customer) else {
             return ReserveError::OutOfReach { free: false };
         };
-        account.dry_until = Some(Instant::now() + DRY);
-        self.why(&account.holding, tokens)
+        state.refuse_until = Some(Instant::now() + REFUSAL_PERIOD);
+        self.reserve_error(&state.budget, tokens)
     }
 
     /// Returns why a holding has no tokens for a request: free ones can't be taken while the store is out.
-    fn why(&self, holding: &LocalBudget, tokens: u64) -> ReserveError {
-        let out = self.is_store_unreachable();
-        match holding.reserve_error(tokens) {
-            ReserveError::OutOfReach { free } => ReserveError::OutOfReach { free: free && !out },
+    fn reserve_error(&self, budget: &LocalBudget, tokens: u64) -> ReserveError {
+        let unreachable = self.is_store_unreachable();
+        match budget.reserve_error(tokens) {
+            ReserveError::OutOfReach { free } => ReserveError::OutOfReach {
+                free: free && !unreachable,
+            },
             exhausted => exhausted,
         }
     }
 
     /// Returns whether the store is out of reach from here.
     pub(crate) fn is_store_unreachable(&self) -> bool {
-        self.means().reach.is_out()
+        self.deps().reach.is_out()
     }
 
     pub(crate) fn own_id(&self) -> String {
-        self.means().fleet.me().to_string()
+        self.deps().fleet.me().to_string()
     }
 
-    fn tell(&self, to: &str, total: u64) -> CumulativeTotal {
+    fn cumulative_total(&self, to: &str, total: u64) -> CumulativeTotal {
         CumulativeTotal {
             from: self.own_id(),
             to: to.to_string(),
@@ -322,43 +324,43 @@
     /// Debits tokens for another instance.
     pub(crate) fn transfer_share(&self, want: &Want) -> CumulativeTotal {
         let now = self.0.clock.now();
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        let account = accounts.get_mut(&want.customer);
-        let given = account.map(|a| {
-            let holding = &mut a.holding;
-            holding.transfer_share(now, &want.from, want.tokens, want.balance, want.rate)
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let state = customers.get_mut(&want.customer);
+        let total = state.map(|s| {
+            let budget = &mut s.budget;
+            budget.transfer_share(now, &want.from, want.tokens, want.balance, want.rate)
         });
-        self.tell(&want.from, given.unwrap_or_default())
+        self.cumulative_total(&want.from, total.unwrap_or_default())
     }
 
     /// Returns each customer's balance, demand and what is charged and spent on record.
     pub(crate) fn dump(&self) -> BTreeMap<String, serde_json::Value> {
         let now = self.0.clock.now();
-        let accounts = self.0.accounts.lock().expect("no panic inside");
-        let row = |(name, a): (&String, &Account)| {
-            let known = a.holding.snapshot();
+        let customers = self.0.customers.lock().expect("no panic inside");
+        let row = |(name, s): (&String, &CustomerState)| {
+            let snapshot = s.budget.snapshot();
             let value = serde_json::json!({
-                "balance": a.holding.balance(),
-                "rate": a.holding.rate(now),
-                "charged": known.map(|k| k.record.charged),
-                "spent": known.map(|k| k.record.spent),
-                "known_at": known.map(|k| k.read_at),
+                "balance": s.budget.balance(),
+                "rate": s.budget.rate(now),
+                "charged": snapshot.map(|s| s.record.charged),
+                "spent": snapshot.map(|s| s.record.spent),
+                "known_at": snapshot.map(|s| s.read_at),
             });
             (name.clone(), value)
         };
-        accounts.iter().map(row).collect()
+        customers.iter().map(row).collect()
     }
 
-    fn with(&self, customer: &str, f: impl FnOnce(&mut LocalBudget)) {
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        if let Some(account) = accounts.get_mut(customer) {
-            f(&mut account.holding);
+    fn with_known_budget(&self, customer: &str, f: impl FnOnce(&mut LocalBudget)) {
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        if let Some(state) = customers.get_mut(customer) {
+            f(&mut state.budget);
         }
     }
 }
 
 /// How a first look at a holding ends.
-enum Tried {
+enum FirstAttempt {
     Reserved,
     Refused(ReserveError),
     Wait,
--- a/crates/proxy/src/budgets/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -7,19 +7,19 @@
 use escrow::{BudgetRecord, Ledger, LedgerEntry, LocalBudget, RecordSnapshot};
 use kv::{Found, Reading};
 
-use super::{Account, Budgets};
+use super::{Budgets, CustomerState};
 use crate::event::Event;
 use crate::roster::Area;
 
 /// Keys of instances' books.
-const BOOKS: &str = "oriolehitch/books/";
+const LEDGER_PREFIX: &str = "oriolehitch/books/";
 /// Keys of budgets' records.
-pub(super) const PREFIX: &str = "oriolehitch/budgets/";
+pub(super) const RECORD_PREFIX: &str = "oriolehitch/budgets/";
 /// Records older than this are read again before requests are refused by them, in milliseconds: what
 /// others hand back shows a second later at most, and callers come back later than that.
-const RECORDS_OLD_MS: u64 = 1_000;
+const MAX_RECORD_AGE_MS: u64 = 1_000;
 /// Records that the store lists in one call, about: where fewer are wanted than that takes calls, each is read by itself.
-const RECORDS_A_CALL: usize = 200;
+const RECORDS_PER_CALL: usize = 200;
 
 impl Budgets {
     /// Returns the customers whose records are to be read: those that were never read and this instance has to do with, and those
@@ -27,54 +27,56 @@
     ///
     /// Of most customers an instance of a large fleet is not the home: it draws from others, and what stands in
     /// their records says nothing to it.
-    pub(super) fn unread(&self) -> Vec<String> {
+    pub(super) fn customers_to_read(&self) -> Vec<String> {
         let now = self.0.clock.now();
-        let fleet = &self.means().fleet;
-        let accounts = self.0.accounts.lock().expect("no panic inside");
-        let old = |(name, account): &(&String, &Account)| {
-            let holding = &account.holding;
-            match holding.snapshot() {
-                None => holding.is_in_use(now) || fleet.is_home(name, Area::Fleet),
-                Some(known) => {
-                    holding.shortfall() > holding.free() && now > known.read_at + RECORDS_OLD_MS
+        let fleet = &self.deps().fleet;
+        let customers = self.0.customers.lock().expect("no panic inside");
+        let outdated = |(name, state): &(&String, &CustomerState)| {
+            let budget = &state.budget;
+            match budget.snapshot() {
+                None => budget.is_in_use(now) || fleet.is_home(name, Area::Fleet),
+                Some(snapshot) => {
+                    budget.shortfall() > budget.free() && now > snapshot.read_at + MAX_RECORD_AGE_MS
                 }
             }
         };
-        let old = accounts.iter().filter(old);
-        old.map(|(name, _)| name.clone()).collect()
+        let outdated = customers.iter().filter(outdated);
+        outdated.map(|(name, _)| name.clone()).collect()
     }
 
     /// Reads some customers' records, or all where that takes no more calls, and the own book where it is not known; returns whether
     /// the store answered.
     pub(super) async fn read(&self, customers: &[String]) -> bool {
-        let known = self.book().is_some() && !self.is_book_outdated();
-        if !known && !self.read_book().await {
+        let known = self.ledger_revision().is_some() && !self.is_ledger_outdated();
+        if !known && !self.read_ledger().await {
             return false;
         }
         if customers.is_empty() {
             return true;
         }
-        let accounts = self.0.accounts.lock().expect("no panic inside").len();
-        if customers.len() >= accounts.div_ceil(RECORDS_A_CALL) {
-            return self.read_all().await;
+        let known_count = self.0.customers.lock().expect("no panic inside").len();
+        if customers.len() >= known_count.div_ceil(RECORDS_PER_CALL) {
+            return self.read_all_records().await;
         }
         for customer in customers {
-            let key = format!("{PREFIX}{customer}");
-            let Ok(found) = self.means().store.get(&key).await else {
+            let key = format!("{RECORD_PREFIX}{customer}");
+            let Ok(found) = self.deps().store.get(&key).await else {
                 return false;
             };
-            self.learn_records(slice::from_ref(customer), found.as_slice());
+            self.update_records(slice::from_ref(customer), found.as_slice());
         }
         true
     }
 
     /// Reads the own book; returns whether the store answered.
-    pub(super) async fn read_book(&self) -> bool {
-        let doubted = self.0.book_doubted.load(Ordering::Relaxed);
-        match self.means().store.get(&self.book_key()).await {
+    pub(super) async fn read_ledger(&self) -> bool {
+        let unconfirmed = self.0.unconfirmed_revision.load(Ordering::Relaxed);
+        match self.deps().store.get(&self.ledger_key()).await {
             Ok(found) => {
-                self.learn_book(found.as_ref());
-                self.0.book_checked.store(doubted, Ordering::Relaxed);
+                self.update_ledger(found.as_ref());
+                self.0
+                    .checked_revision
+                    .store(unconfirmed, Ordering::Relaxed);
                 true
             }
             Err(_) => false,
@@ -82,10 +84,15 @@
     }
 
     /// Reads all records; returns whether the store answered.
-    async fn read_all(&self) -> bool {
-        match self.means().store.list(PREFIX, Reading::Linearizable).await {
+    async fn read_all_records(&self) -> bool {
+        match self
+            .deps()
+            .store
+            .list(RECORD_PREFIX, Reading::Linearizable)
+            .await
+        {
             Ok(listing) => {
-                self.learn_records(&self.customers(), &listing.items);
+                self.update_records(&self.customer_names(), &listing.items);
                 true
             }
             Err(_) => false,
@@ -93,48 +100,50 @@
     }
 
     /// Returns all customers that are known here.
-    fn customers(&self) -> Vec<String> {
-        let accounts = self.0.accounts.lock().expect("no panic inside");
-        accounts.keys().cloned().collect()
+    fn customer_names(&self) -> Vec<String> {
+        let customers = self.0.customers.lock().expect("no panic inside");
+        customers.keys().cloned().collect()
     }
 
     /// Takes some customers' records as they are now; those that are missing are empty.
-    fn learn_records(&self, customers: &[String], items: &[Found]) {
-        let at = self.0.clock.now();
-        let names = items.iter().filter_map(|f| f.key.strip_prefix(PREFIX));
+    fn update_records(&self, customers: &[String], items: &[Found]) {
+        let read_at = self.0.clock.now();
+        let names = items
+            .iter()
+            .filter_map(|f| f.key.strip_prefix(RECORD_PREFIX));
         let found: HashSet<&str> = names.collect();
         {
-            let mut accounts = self.0.accounts.lock().expect("no panic inside");
+            let mut states = self.0.customers.lock().expect("no panic inside");
             let missing = customers.iter().filter(|c| !found.contains(c.as_str()));
             for customer in missing {
                 let empty = RecordSnapshot {
                     record: BudgetRecord::default(),
                     revision: 0,
-                    read_at: at,
+                    read_at,
                 };
-                if let Some(account) = accounts.get_mut(customer) {
-                    account.holding.update_snapshot(empty);
+                if let Some(state) = states.get_mut(customer) {
+                    state.budget.update_snapshot(empty);
                 }
             }
         }
-        self.learn(items);
+        self.update_snapshots(items);
     }
 
-    pub(super) fn learn(&self, items: &[Found]) {
-        let at = self.0.clock.now();
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
+    pub(super) fn update_snapshots(&self, items: &[Found]) {
+        let read_at = self.0.clock.now();
+        let mut customers = self.0.customers.lock().expect("no panic inside");
         for found in items {
-            let name = found.key.strip_prefix(PREFIX).unwrap_or_default();
-            let Some(account) = accounts.get_mut(name) else {
+            let name = found.key.strip_prefix(RECORD_PREFIX).unwrap_or_default();
+            let Some(state) = customers.get_mut(name) else {
                 continue;
             };
             match BudgetRecord::parse(&found.value) {
-                Ok(record) => account.holding.update_snapshot(RecordSnapshot {
+                Ok(record) => state.budget.update_snapshot(RecordSnapshot {
                     record,
                     revision: found.revision,
-                    read_at: at,
+                    read_at,
                 }),
-                Err(why) => self.broken(&found.key, &why),
+                Err(why) => self.log_malformed(&found.key, &why),
             }
         }
     }
@@ -142,79 +151,79 @@
     /// Takes the own book as the store has it; none when there is none.
     ///
     /// One that can't be read leaves the budgets alone: nothing is taken by it.
-    pub(super) fn learn_book(&self, found: Option<&Found>) {
-        let book = match found.map(|f| Ledger::parse(&f.value)) {
+    pub(super) fn update_ledger(&self, found: Option<&Found>) {
+        let ledger = match found.map(|f| Ledger::parse(&f.value)) {
             None => Ledger::default(),
-            Some(Ok(book)) => book,
-            Some(Err(why)) => return self.broken(&self.book_key(), &why),
+            Some(Ok(ledger)) => ledger,
+            Some(Err(why)) => return self.log_malformed(&self.ledger_key(), &why),
         };
         let revision = found.map_or(0, |f| f.revision);
-        let mut known = self.0.book.lock().expect("no panic inside");
+        let mut known = self.0.ledger_revision.lock().expect("no panic inside");
         // Answers may overtake each other. And one that is known already says nothing: a write of the own
         // lines over it may be under way.
         if known.is_some_and(|k| k >= revision) {
             return;
         }
         *known = Some(revision);
-        let me = self.own_id();
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        for (name, account) in accounts.iter_mut() {
-            let line = book.entry(name);
-            if revision == 0 || book.owner == me {
-                let old = account.holding.entry();
-                account.holding.confirm_entry(line, revision);
-                if line != old {
-                    self.log_grant(name, line, &account.holding);
+        let own_id = self.own_id();
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        for (name, state) in customers.iter_mut() {
+            let entry = ledger.entry(name);
+            if revision == 0 || ledger.owner == own_id {
+                let old = state.budget.entry();
+                state.budget.confirm_entry(entry, revision);
+                if entry != old {
+                    self.log_grant(name, entry, &state.budget);
                 }
             } else {
-                account.holding.on_foreign_ledger(line);
-                if line.granted > 0 {
-                    self.log_left_behind(name, line);
+                state.budget.on_foreign_ledger(entry);
+                if entry.granted > 0 {
+                    self.log_left_charged(name, entry);
                 }
             }
         }
     }
 
-    fn broken(&self, key: &str, why: &str) {
+    fn log_malformed(&self, key: &str, why: &str) {
         let detail = format_args!("key={key} why={why}");
         self.0.log.note(Event::RecordBroken, detail);
     }
 
     /// Returns whether the store has a newer own book than is known.
-    pub(super) fn is_book_outdated(&self) -> bool {
-        let checked = self.0.book_checked.load(Ordering::Relaxed);
-        self.0.book_doubted.load(Ordering::Relaxed) > checked
+    pub(super) fn is_ledger_outdated(&self) -> bool {
+        let checked = self.0.checked_revision.load(Ordering::Relaxed);
+        self.0.unconfirmed_revision.load(Ordering::Relaxed) > checked
     }
 
-    pub(super) fn book(&self) -> Option<i64> {
-        *self.0.book.lock().expect("no panic inside")
+    pub(super) fn ledger_revision(&self) -> Option<i64> {
+        *self.0.ledger_revision.lock().expect("no panic inside")
     }
 
-    pub(super) fn book_key(&self) -> String {
-        format!("{BOOKS}{}", self.means().fleet.name())
+    pub(super) fn ledger_key(&self) -> String {
+        format!("{LEDGER_PREFIX}{}", self.deps().fleet.name())
     }
 
     /// Logs a line of the own book as the store has it: a planned one may lose against another instance's.
-    fn log_grant(&self, customer: &str, line: LedgerEntry, holding: &LocalBudget) {
-        let known = holding.snapshot().map(|k| k.record);
+    fn log_grant(&self, customer: &str, entry: LedgerEntry, budget: &LocalBudget) {
+        let record = budget.snapshot().map(|s| s.record);
         let shown = |sum: Option<u64>| sum.map_or("unknown".to_string(), |s| s.to_string());
         let detail = format_args!(
             "customer={customer} granted={} returned={} spent={} rate={} balance={} charged={} all_spent={} prepaid={}",
-            line.granted,
-            line.returned,
-            line.spent,
-            line.rate,
-            holding.balance(),
-            shown(known.map(|r| r.charged)),
-            shown(known.map(|r| r.spent)),
-            holding.prepaid(),
+            entry.granted,
+            entry.returned,
+            entry.spent,
+            entry.rate,
+            budget.balance(),
+            shown(record.map(|r| r.charged)),
+            shown(record.map(|r| r.spent)),
+            budget.prepaid(),
         );
         self.0.log.note(Event::Grant, detail);
     }
 
     /// Logs what the incarnation before this one left charged.
-    fn log_left_behind(&self, customer: &str, line: LedgerEntry) {
-        let (granted, returned, spent) = (line.granted, line.returned, line.spent);
+    fn log_left_charged(&self, customer: &str, entry: LedgerEntry) {
+        let (granted, returned, spent) = (entry.granted, entry.returned, entry.spent);
         let detail =
             format_args!("customer={customer} granted={granted} returned={returned} spent={spent}");
         self.0.log.note(Event::LeftBehind, detail);
--- a/crates/proxy/src/budgets/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -9,38 +9,38 @@
 use rand::Rng;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use super::records::PREFIX;
-use super::{Budgets, Dependencies, TRIES};
+use super::records::RECORD_PREFIX;
+use super::{Budgets, Dependencies, MAX_COMMIT_ATTEMPTS};
 use crate::event::Event;
 use crate::roster::Area;
 
 /// How often all holdings are looked through: a call of the store each time, for tokens that last ten
 /// times as long.
-const LOOK_EVERY: Duration = Duration::from_millis(1_000);
+const REFILL_INTERVAL: Duration = Duration::from_millis(1_000);
 /// A fleet of more instances than this looks more seldom, so that all of them together write no more:
 /// the more writes, the more of them meet at one record, and one of two that meet is in vain.
-const OFTEN_MOST: u32 = 40;
+const FULL_RATE_INSTANCES: u32 = 40;
 /// Longest pause between two looks: less than half of what grants last.
-const LOOK_MOST: Duration = Duration::from_secs(4);
+const MAX_REFILL_INTERVAL: Duration = Duration::from_secs(4);
 /// Instances that start together do not look at the same time: longest random addition, in
 /// milliseconds.
-const LOOK_SPREAD_MS: u64 = 100;
+const REFILL_JITTER_MS: u64 = 100;
 /// Shortest pause between two looks that requests ask for.
-const LOOK_LEAST: Duration = Duration::from_millis(20);
+const MIN_REFILL_PAUSE: Duration = Duration::from_millis(20);
 /// The store alone is waited for so long; then other instances are asked beside it.
-const STORE_FIRST: Duration = Duration::from_millis(30);
+const STORE_HEAD_START: Duration = Duration::from_millis(30);
 /// Reading and writing the records takes no longer; what was sent may still take effect.
-const CHANGE_MOST: Duration = Duration::from_millis(800);
+const UPDATE_TIMEOUT: Duration = Duration::from_millis(800);
 /// A transaction takes so many records beside the own book: each needs a condition and a write.
-const RECORDS_MOST: usize = TXN_MOST / 2 - 1;
+const MAX_RECORDS_PER_TXN: usize = TXN_MOST / 2 - 1;
 /// Longest pause before a transaction that lost against others is tried again, in milliseconds for
 /// each time that it lost: what it lost against is known then, and others lost as well.
-const TRY_PAUSE_MS: u64 = 4;
+const CONFLICT_BACKOFF_MS: u64 = 4;
 
 /// How a transaction ended.
-pub(super) enum Wrote {
-    Done,
-    Lost,
+pub(super) enum CommitOutcome {
+    Committed,
+    Conflict,
     Failed,
 }
 
@@ -50,133 +50,135 @@
     /// All that should change.
     All,
     /// Those of customers whose requests wait: the fewer records, the fewer meetings with others.
-    Missing,
+    Waiting,
     /// All, with everything handed back that can be.
-    Leaving,
+    Shutdown,
 }
 
 impl Budgets {
     /// Keeps the holdings filled.
-    pub(crate) fn spawn(&self, means: Dependencies) {
-        assert!(self.0.means.set(means).is_ok(), "spawned once");
-        tokio::spawn(self.clone().settle());
-        let bank = self.clone();
+    pub(crate) fn spawn(&self, deps: Dependencies) {
+        assert!(self.0.deps.set(deps).is_ok(), "spawned once");
+        tokio::spawn(self.clone().send_settlements());
+        let budgets = self.clone();
         tokio::spawn(async move {
             let mut due = Instant::now();
             loop {
-                let _ = timeout_at(due, bank.0.wake.notified()).await;
+                let _ = timeout_at(due, budgets.0.refill_requested.notified()).await;
                 let scope = if Instant::now() < due {
-                    Scope::Missing
+                    Scope::Waiting
                 } else {
-                    due = Instant::now() + bank.pause();
+                    due = Instant::now() + budgets.refill_interval();
                     Scope::All
                 };
-                bank.look(scope).await;
-                bank.looked();
-                sleep(LOOK_LEAST).await;
+                budgets.refill(scope).await;
+                budgets.notify_waiting();
+                sleep(MIN_REFILL_PAUSE).await;
             }
         });
     }
 
     /// Returns the pause until all holdings are looked through again.
-    fn pause(&self) -> Duration {
-        let sharers = self.means().fleet.sharers() as u32;
-        let pause = LOOK_EVERY * sharers.max(OFTEN_MOST) / OFTEN_MOST;
-        let spread = rand::rng().random_range(0..LOOK_SPREAD_MS);
-        pause.min(LOOK_MOST) + Duration::from_millis(spread)
+    fn refill_interval(&self) -> Duration {
+        let instances = self.deps().fleet.sharers() as u32;
+        let interval = REFILL_INTERVAL * instances.max(FULL_RATE_INSTANCES) / FULL_RATE_INSTANCES;
+        let jitter = rand::rng().random_range(0..REFILL_JITTER_MS);
+        interval.min(MAX_REFILL_INTERVAL) + Duration::from_millis(jitter)
     }
 
-    pub(super) fn means(&self) -> &Dependencies {
-        self.0.means.get().expect("set before anything runs")
+    pub(super) fn deps(&self) -> &Dependencies {
+        self.0.deps.get().expect("set before anything runs")
     }
 
     /// Looks through holdings once.
-    async fn look(&self, scope: Scope) {
+    async fn refill(&self, scope: Scope) {
         if self.is_shutting_down() {
             return;
         }
         if self.is_store_unreachable() {
-            self.ask_for_missing().await;
+            self.request_shortfalls().await;
             return;
         }
-        let change = timeout(CHANGE_MOST, self.change(scope));
-        tokio::pin!(change);
-        if timeout(STORE_FIRST, &mut change).await.is_ok() {
-            self.ask_for_missing().await;
+        let update = timeout(UPDATE_TIMEOUT, self.update_store(scope));
+        tokio::pin!(update);
+        if timeout(STORE_HEAD_START, &mut update).await.is_ok() {
+            self.request_shortfalls().await;
             return;
         }
         // A store that does not answer shows only after a while, and requests come meanwhile.
         let ended = AtomicBool::new(false);
-        let change = async {
+        let update = async {
             // Without an answer in time the next look begins with what is known.
-            let _ = change.await;
+            let _ = update.await;
             ended.store(true, Ordering::Relaxed);
-            self.0.wake.notify_one();
+            self.0.refill_requested.notify_one();
         };
-        tokio::join!(change, self.ask_until(&ended));
+        tokio::join!(update, self.request_shortfalls_until(&ended));
     }
 
     /// Asks other instances for what requests lack, and again for each request that comes.
     ///
     /// An ask is never dropped: what the other one has debited would be lost.
-    async fn ask_until(&self, ended: &AtomicBool) {
+    async fn request_shortfalls_until(&self, ended: &AtomicBool) {
         while !ended.load(Ordering::Relaxed) {
-            self.ask_for_missing().await;
-            self.looked();
-            self.0.wake.notified().await;
-            sleep(LOOK_LEAST).await;
+            self.request_shortfalls().await;
+            self.notify_waiting();
+            self.0.refill_requested.notified().await;
+            sleep(MIN_REFILL_PAUSE).await;
         }
     }
 
     /// Tells requests that wait that they may look again.
-    pub(super) fn looked(&self) {
-        self.0.looks.send_modify(|n| *n += 1);
+    pub(super) fn notify_waiting(&self) {
+        self.0.refill_cycles.send_modify(|n| *n += 1);
     }
 
-    async fn ask_for_missing(&self) {
-        let missing = self.missing();
-        let asks = missing.iter().map(|customer| self.ask_peers(customer));
-        join_all(asks).await;
+    async fn request_shortfalls(&self) {
+        let customers = self.customers_in_shortfall();
+        let requests = customers
+            .iter()
+            .map(|customer| self.request_from_peers(customer));
+        join_all(requests).await;
     }
 
-    fn missing(&self) -> Vec<String> {
-        let accounts = self.0.accounts.lock().expect("no panic inside");
-        let lacking = accounts.iter().filter(|(_, a)| a.holding.shortfall() > 0);
-        lacking.map(|(name, _)| name.clone()).collect()
+    fn customers_in_shortfall(&self) -> Vec<String> {
+        let customers = self.0.customers.lock().expect("no panic inside");
+        let waiting = customers.iter().filter(|(_, s)| s.budget.shortfall() > 0);
+        waiting.map(|(name, _)| name.clone()).collect()
     }
 
     /// Writes the own lines where they should change.
     ///
     /// What was read last is good enough to begin with: a transaction that loses against another
     /// instance's brings the records as they are now.
-    async fn change(&self, scope: Scope) {
-        let unread = self.unread();
-        let read = !unread.is_empty() || self.is_book_outdated();
+    async fn update_store(&self, scope: Scope) {
+        let unread = self.customers_to_read();
+        let read = !unread.is_empty() || self.is_ledger_outdated();
         if read && !self.read(&unread).await {
             return;
         }
-        for lost in 1..=TRIES {
-            let txn = self.plan(scope);
-            if self.is_book_outdated() && self.read_book().await {
+        for attempt in 1..=MAX_COMMIT_ATTEMPTS {
+            let txn = self.plan_txn(scope);
+            if self.is_ledger_outdated() && self.read_ledger().await {
                 continue;
             }
             if txn.put.is_empty() {
                 return;
             }
             match self.commit(txn).await {
-                Wrote::Done | Wrote::Failed => return,
-                Wrote::Lost => {
-                    let pause = rand::rng().random_range(0..TRY_PAUSE_MS * lost as u64);
-                    sleep(Duration::from_millis(pause)).await;
+                CommitOutcome::Committed | CommitOutcome::Failed => return,
+                CommitOutcome::Conflict => {
+                    let backoff = rand::rng().random_range(0..CONFLICT_BACKOFF_MS * attempt as u64);
+                    sleep(Duration::from_millis(backoff)).await;
                 }
             }
         }
     }
 
-    pub(super) async fn commit(&self, txn: Txn) -> Wrote {
-        let means = self.means();
+    pub(super) async fn commit(&self, txn: Txn) -> CommitOutcome {
+        let deps = self.deps();
         let written = txn.put.clone();
-        match means.store.commit(txn).await {
+        match deps.store.commit(txn).await {
             Ok(Commit::Done(revision)) => {
                 let found = written.into_iter().map(|p| Found {
                     key: p.key,
@@ -184,20 +186,20 @@
                     revision,
                 });
                 let found: Vec<Found> = found.collect();
-                self.learn(&found);
-                self.learn_book(found.iter().find(|f| f.key == self.book_key()));
-                Wrote::Done
+                self.update_snapshots(&found);
+                self.update_ledger(found.iter().find(|f| f.key == self.ledger_key()));
+                CommitOutcome::Committed
             }
             Ok(Commit::Lost(items)) => {
-                self.learn(&items);
-                self.learn_book(items.iter().find(|f| f.key == self.book_key()));
-                Wrote::Lost
+                self.update_snapshots(&items);
+                self.update_ledger(items.iter().find(|f| f.key == self.ledger_key()));
+                CommitOutcome::Conflict
             }
-            Ok(Commit::LeaseEnded) => Wrote::Failed,
+            Ok(Commit::LeaseEnded) => CommitOutcome::Failed,
             Err(failure) => {
                 let detail = format_args!("what=budgets why={failure:?}");
                 self.0.log.note(Event::WriteFailed, detail);
-                Wrote::Failed
+                CommitOutcome::Failed
             }
         }
     }
@@ -208,76 +210,84 @@
     ///
     /// Panics when a record lacks a line of the own book, though it is no newer than that book, or the book was read again since:
     /// tokens could be spent twice.
-    pub(super) fn plan(&self, scope: Scope) -> Txn {
-        let (now, sharers) = (self.0.clock.now(), self.means().fleet.sharers() as u64);
+    pub(super) fn plan_txn(&self, scope: Scope) -> Txn {
+        let (now, instances) = (self.0.clock.now(), self.deps().fleet.sharers() as u64);
         let mut txn = Txn::default();
-        let Some(book_revision) = self.book() else {
+        let Some(ledger_revision) = self.ledger_revision() else {
             return txn;
         };
-        let mut book = Ledger {
+        let mut ledger = Ledger {
             owner: self.own_id(),
             ..Ledger::default()
         };
-        let checked = self.0.book_checked.load(Ordering::Relaxed);
-        let mut doubted = 0;
-        let mut accounts = self.0.accounts.lock().expect("no panic inside");
-        for (name, account) in accounts.iter_mut() {
-            let holding = &mut account.holding;
-            if let Some(recovery_ms) = self.means().recovery_ms {
-                holding.set_recovery_time(recovery_ms);
+        let checked = self.0.checked_revision.load(Ordering::Relaxed);
+        let mut unconfirmed = 0;
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        for (name, state) in customers.iter_mut() {
+            let budget = &mut state.budget;
+            if let Some(recovery_ms) = self.deps().recovery_ms {
+                budget.set_recovery_time(recovery_ms);
             }
-            let old = holding.entry();
-            book.entries.insert(name.clone(), old);
-            let chosen = scope != Scope::Missing || holding.shortfall() > 0;
+            let old = budget.entry();
+            ledger.entries.insert(name.clone(), old);
+            let in_scope = scope != Scope::Waiting || budget.shortfall() > 0;
             // Without its record no line changes: most of a large fleet's customers have their homes elsewhere.
-            let known = holding.snapshot().map(|k| (k.record, k.revision));
-            let Some((record, revision)) = known.filter(|_| chosen) else {
+            let snapshot = budget.snapshot().map(|s| (s.record, s.revision));
+            let Some((record, revision)) = snapshot.filter(|_| in_scope) else {
                 continue;
             };
-            if !holding.snapshot_includes_entry() {
-                let newer = revision > book_revision.max(checked);
+            if !budget.snapshot_includes_entry() {
+                let newer = revision > ledger_revision.max(checked);
                 assert!(newer, "a line is part of its sum");
                 // A write whose answer was lost has landed since the book was read.
-                doubted = doubted.max(revision);
+                unconfirmed = unconfirmed.max(revision);
                 continue;
             }
-            if txn.put.len() == RECORDS_MOST {
+            if txn.put.len() == MAX_RECORDS_PER_TXN {
                 continue;
             }
-            let line = match scope {
-                Scope::Leaving => holding.plan_shutdown(),
-                Scope::All | Scope::Missing => {
-                    let home = self.means().fleet.is_home(name, Area::Fleet);
-                    holding.plan_update(now, sharers, home)
+            let entry = match scope {
+                Scope::Shutdown => budget.plan_shutdown(),
+                Scope::All | Scope::Waiting => {
+                    let is_home = self.deps().fleet.is_home(name, Area::Fleet);
+                    budget.plan_update(now, instances, is_home)
                 }
             };
-            let Some(line) = line else {
+            let Some(entry) = entry else {
                 continue;
             };
-            book.entries.insert(name.clone(), line);
-            let key = format!("{PREFIX}{name}");
-            write(
+            ledger.entries.insert(name.clone(), entry);
+            let key = format!("{RECORD_PREFIX}{name}");
+            add_put(
                 &mut txn,
                 key,
                 revision,
-                record.with_entry(old, line).to_bytes(),
+                record.with_entry(old, entry).to_bytes(),
             );
         }
-        drop(accounts);
-        if doubted > 0 {
-            self.0.book_doubted.store(doubted, Ordering::Relaxed);
+        drop(customers);
+        if unconfirmed > 0 {
+            self.0
+                .unconfirmed_revision
+                .store(unconfirmed, Ordering::Relaxed);
             return Txn::default();
         }
         if !txn.put.is_empty() {
-            book.entries
-                .retain(|_, line| *line != LedgerEntry::default());
-            write(&mut txn, self.book_key(), book_revision, book.to_bytes());
+            ledger
+                .entries
+                .retain(|_, entry| *entry != LedgerEntry::default());
+            add_put(
+                &mut txn,
+                self.ledger_key(),
+                ledger_revision,
+                ledger.to_bytes(),
+            );
         }
         txn
     }
 }
 
-fn write(txn: &mut Txn, key: String, revision: i64, value: Vec<u8>) {
+fn add_put(txn: &mut Txn, key: String, revision: i64, value: Vec<u8>) {
     txn.expect.push(Expect {
         key: key.clone(),
         revision,
--- a/crates/proxy/src/budgets/charge.rs
+++ b/crates/proxy/src/budgets/reservation.rs
@@ -5,16 +5,16 @@
 
 /// Tokens reserved for a request; dropping it settles.
 pub(crate) struct Reservation {
-    pub(super) bank: Budgets,
+    pub(super) budgets: Budgets,
     pub(super) customer: String,
     pub(super) reserved: u64,
     /// The prompt, once it was sent to an upstream that may answer it: counts once.
     pub(super) prompt: u64,
-    pub(super) answer: u64,
+    pub(super) delivered: u64,
 }
 
 impl Reservation {
-    pub(super) fn of(mut self, tokens: u64) -> Reservation {
+    pub(super) fn with_reserved(mut self, tokens: u64) -> Reservation {
         self.reserved = tokens;
         self
     }
@@ -33,19 +33,19 @@
 
     /// Counts tokens of the answer that go to the caller.
     pub(crate) fn record_delivered(&mut self, tokens: u64) {
-        self.answer += tokens;
+        self.delivered += tokens;
     }
 
     /// Passes the tokens on to an instance that draws from this one; returns the total given to it.
-    pub(super) fn hand_over(mut self, peer: &str) -> u64 {
+    pub(super) fn transfer_to(mut self, peer: &str) -> u64 {
         let reserved = std::mem::take(&mut self.reserved);
-        self.bank
-            .open_holding(&self.customer, |h| h.transfer_reserved(peer, reserved))
+        self.budgets
+            .with_budget(&self.customer, |b| b.transfer_reserved(peer, reserved))
     }
 
     /// Returns the tokens that were spent.
     pub(crate) fn spent(&self) -> u64 {
-        self.prompt + self.answer
+        self.prompt + self.delivered
     }
 }
 
@@ -55,38 +55,39 @@
         if spent > reserved {
             let customer = &self.customer;
             let detail = format_args!("customer={customer} spent={spent} reserved={reserved}");
-            self.bank.0.log.note(Event::Excess, detail);
+            self.budgets.0.log.note(Event::Excess, detail);
         }
         let spent = spent.min(reserved);
-        let mut accounts = self.bank.0.accounts.lock().expect("no panic inside");
-        if let Some(account) = accounts.get_mut(&self.customer) {
-            account.holding.settle(self.reserved, spent);
+        let mut customers = self.budgets.0.customers.lock().expect("no panic inside");
+        if let Some(state) = customers.get_mut(&self.customer) {
+            state.budget.settle(self.reserved, spent);
         }
-        drop(accounts);
-        self.bank.ended(&self.customer);
+        drop(customers);
+        self.budgets.request_settlement(&self.customer);
     }
 }
 
 /// Counts what a waiting request lacks, until it is dropped.
-pub(super) struct Lack<'a> {
-    bank: &'a Budgets,
+pub(super) struct WaitGuard<'a> {
+    budgets: &'a Budgets,
     customer: &'a str,
     tokens: u64,
 }
 
-impl<'a> Lack<'a> {
-    pub(super) fn open(bank: &'a Budgets, customer: &'a str, tokens: u64) -> Lack<'a> {
-        bank.with(customer, |h| h.begin_wait(tokens));
-        Lack {
-            bank,
+impl<'a> WaitGuard<'a> {
+    pub(super) fn new(budgets: &'a Budgets, customer: &'a str, tokens: u64) -> WaitGuard<'a> {
+        budgets.with_known_budget(customer, |b| b.begin_wait(tokens));
+        WaitGuard {
+            budgets,
             customer,
             tokens,
         }
     }
 }
 
-impl Drop for Lack<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        self.bank.with(self.customer, |h| h.end_wait(self.tokens));
+        self.budgets
+            .with_known_budget(self.customer, |b| b.end_wait(self.tokens));
     }
 }
--- /dev/null
+++ b/crates/proxy/src/budgets/transfer.rs
@@ -0,0 +1,193 @@
+//! Tokens between instances, and back to the store at a stop.
+
+use std::sync::atomic::Ordering;
+use std::sync::Arc;
+use std::time::Duration;
+
+use escrow::{CumulativeTotal, LocalBudget};
+use rand::seq::SliceRandom;
+use tokio::task::JoinSet;
+use tokio::time::timeout;
+
+use super::refill::{CommitOutcome, Scope};
+use super::{Budgets, MAX_COMMIT_ATTEMPTS};
+use crate::event::Event;
+use crate::fleet::Member;
+use crate::peers::{Gift, Want};
+use crate::roster::Area;
+
+/// A stopping instance tries the store for so long before it gives its tokens to others.
+const SHUTDOWN_READ_TIMEOUT: Duration = Duration::from_millis(250);
+/// Other instances that are asked in one look.
+const MAX_PEERS_ASKED: usize = 8;
+
+impl Budgets {
+    /// Asks other instances for what a customer's requests lack.
+    pub(super) async fn request_from_peers(&self, customer: &str) {
+        for peer in self.peers_to_ask(customer).iter().take(MAX_PEERS_ASKED) {
+            let Some(want) = self.transfer_request(customer) else {
+                return;
+            };
+            let (budgets, from) = (self.clone(), peer.clone());
+            let call = async move {
+                let given = budgets.deps().peers.take(from.addr, &want).await?;
+                budgets.receive_tokens(&want.customer, &given);
+                Ok(())
+            };
+            if let Err(why) = self.call_detached(peer, call).await {
+                let detail = format_args!("customer={customer} from={} failed={why}", peer.id);
+                self.0.log.note(Event::Transfer, detail);
+            }
+        }
+    }
+
+    /// Returns the other instances in the order in which they are asked: the customer's homes, those of
+    /// the own zone, and among them each time others, since no one knows who has tokens.
+    fn peers_to_ask(&self, customer: &str) -> Vec<Arc<Member>> {
+        let fleet = &self.deps().fleet;
+        let homes = fleet.homes_besides(customer, Area::Fleet);
+        let mut others = fleet.others();
+        others.shuffle(&mut rand::rng());
+        let is_home = |m: &Member| homes.iter().any(|h| h.id == m.id);
+        others.sort_by_key(|m| (!is_home(m), m.zone != fleet.zone()));
+        others
+    }
+
+    fn transfer_request(&self, customer: &str) -> Option<Want> {
+        let customers = self.0.customers.lock().expect("no panic inside");
+        let budget = &customers.get(customer)?.budget;
+        let tokens = budget.shortfall();
+        (tokens > 0).then(|| Want {
+            from: self.own_id(),
+            customer: customer.to_string(),
+            tokens,
+            balance: budget.balance(),
+            rate: budget.rate(self.0.clock.now()),
+        })
+    }
+
+    fn receive_tokens(&self, customer: &str, given: &CumulativeTotal) {
+        let (own_id, from) = (self.own_id(), &given.from);
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let state = customers.get_mut(customer);
+        let tokens = state.map_or(0, |s| s.budget.receive_tokens(&own_id, given));
+        drop(customers);
+        if tokens == 0 {
+            return;
+        }
+        let detail = format_args!("customer={customer} from={from} tokens={tokens}");
+        self.0.log.note(Event::Transfer, detail);
+    }
+
+    /// Returns whether a stop has begun to hand back tokens.
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.0.shutting_down.load(Ordering::Relaxed)
+    }
+
+    /// Takes tokens from an instance that leaves; returns whether this one serves their customer.
+    pub(crate) fn receive_transfer(&self, gift: &Gift) -> bool {
+        let own_id = self.own_id();
+        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let Some(state) = customers.get_mut(&gift.customer) else {
+            return false;
+        };
+        state.budget.receive_tokens(&own_id, &gift.given);
+        state.budget.receive_spending(&own_id, &gift.spent);
+        gift.given.to == own_id
+    }
+
+    /// Hands back what is not reserved, to the store or to other instances: the last act of a planned
+    /// stop. Returns whether all of it went.
+    pub(crate) async fn release_all(&self) -> bool {
+        self.0.shutting_down.store(true, Ordering::Relaxed);
+        // A read first: tokens in a write that may yet land can't be given to anybody else.
+        let store_answered = timeout(
+            SHUTDOWN_READ_TIMEOUT,
+            self.read(&self.customers_to_release()),
+        )
+        .await;
+        if store_answered == Ok(true) {
+            self.return_to_store().await
+        } else {
+            self.transfer_to_peers().await
+        }
+    }
+
+    async fn return_to_store(&self) -> bool {
+        let mut conflicts = 0;
+        while conflicts < MAX_COMMIT_ATTEMPTS {
+            if self.is_ledger_outdated() && !self.read_ledger().await {
+                return false;
+            }
+            let txn = self.plan_txn(Scope::Shutdown);
+            if txn.put.is_empty() {
+                if self.is_ledger_outdated() {
+                    conflicts += 1;
+                    continue;
+                }
+                return true;
+            }
+            match self.commit(txn).await {
+                // A transaction takes a part of many customers only.
+                CommitOutcome::Committed => {}
+                CommitOutcome::Failed => return false,
+                CommitOutcome::Conflict => conflicts += 1,
+            }
+        }
+        false
+    }
+
+    /// Gives all tokens to other instances, a customer's to one of them.
+    async fn transfer_to_peers(&self) -> bool {
+        let deps = self.deps();
+        let peers = self.available_peers().await;
+        let mut complete = true;
+        for (i, customer) in self.customers_to_release().iter().enumerate() {
+            let Some(peer) = peers.get(i % peers.len().max(1)) else {
+                return false;
+            };
+            let gift = self.final_transfer(peer, customer);
+            let accepted = deps.peers.give(peer.addr, &gift).await;
+            complete &= accepted == Ok(true);
+            let detail = format_args!("to={} gift={gift:?} given={accepted:?}", peer.id);
+            self.0.log.note(Event::Transfer, detail);
+        }
+        complete
+    }
+
+    /// Returns the instances that answer and stay: tokens sent to one that is gone are lost.
+    async fn available_peers(&self) -> Vec<Member> {
+        let deps = self.deps();
+        let mut pings = JoinSet::new();
+        for peer in deps.fleet.others() {
+            let peers = deps.peers.clone();
+            pings.spawn(async move {
+                // The list may show one that was there before.
+                let id = peers.ping(peer.addr).await?;
+                Some(Member {
+                    id,
+                    ..Member::clone(&peer)
+                })
+            });
+        }
+        let answered = pings.join_all().await;
+        answered.into_iter().flatten().collect()
+    }
+
+    /// Returns the customers of which tokens are left here, or were spent without a word in the store.
+    fn customers_to_release(&self) -> Vec<String> {
+        let customers = self.0.customers.lock().expect("no panic inside");
+        let holds = |b: &LocalBudget| b.balance() > 0 || b.has_unreported_spending();
+        let holders = customers.iter().filter(|(_, s)| holds(&s.budget));
+        holders.map(|(name, _)| name.clone()).collect()
+    }
+
+    /// Debits all that is left of a customer's tokens, for another instance, and passes on what was spent.
+    fn final_transfer(&self, peer: &Member, customer: &str) -> Gift {
+        self.with_budget(customer, |b| Gift {
+            customer: customer.to_string(),
+            given: self.cumulative_total(&peer.id, b.transfer_all(&peer.id)),
+            spent: self.cumulative_total(&peer.id, b.forward_spending(&peer.id)),
+        })
+    }
+}
