--- a/crates/proxy/src/budgets/draw.rs
+++ b/crates/proxy/src/budgets/draw.rs
@@ -1,4 +1,4 @@
-//! Tokens that a request needs from its customer's home, and the home's side of it.
+//! Draws, by which an instance gets the tokens that a request needs from the customer's home.
 
 use std::future::Future;
 use std::time::Duration;
@@ -14,52 +14,52 @@
 use crate::peers::CALL_TIMEOUT;
 use crate::roster::Area;
 
-/// A home waits so long for the store and for other homes: less than the instance that draws waits for
-/// the home.
+/// How long a home waits for the store and for other instances: less than the instance that draws waits for the home.
 const DRAW_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A call for the tokens of one request.
+/// Asks a home for the tokens of one request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct DrawRequest {
     customer: String,
-    /// Tokens that the request needs beyond what the caller has.
+    /// Tokens that the request needs beyond those that the caller holds.
     tokens: u64,
-    /// The most that the whole request can cost.
+    /// The most that the request as a whole can cost.
     size: u64,
-    /// What the caller has passed on to this home of what it has spent, in words before: they may be lost.
+    /// Total of spent tokens that the caller has forwarded to this home. The messages that did so may have been lost.
     spent: CumulativeTotal,
-    /// What is prepaid by the configuration of the caller.
+    /// Prepaid amount in the caller's configuration.
     prepaid: u64,
-    /// Whether it goes to the home of the caller's availability zone, since the customer's first home has too many.
+    /// Whether it goes to the home in the caller's availability zone, because the customer's home gets too many draws.
     #[serde(rename = "zone", default)]
     to_zone_home: bool,
 }
 
-/// A home's answer.
+/// A home's response to a draw.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum DrawResponse {
-    /// The tokens are debited there.
+    /// The home has debited the tokens; contains the total transferred to the caller.
     Tokens(CumulativeTotal),
-    /// The budget does not cover them.
+    /// The budget does not cover the tokens.
     Exhausted,
-    /// There are none in reach; whether the budget had free ones.
+    /// The budget may cover the tokens, but the home could not get them.
     OutOfReach {
-        /// Nobody holds them.
+        /// Whether enough tokens were free, held by no instance.
         free: bool,
     },
-    /// There are none here, and the store is out of reach from here.
+    /// This instance holds too few tokens and cannot reach the store.
     #[serde(rename = "CutOff")]
     StoreUnreachable,
-    /// This instance does not know the budget as the caller does, or stops.
+    /// This instance is not the incarnation that the caller asked, is stopping, or knows another prepaid amount.
     #[serde(rename = "NotHere")]
     Unavailable,
-    /// The customer has more draws than one instance answers: the home of the caller's availability zone is to be asked.
+    /// The customer has more draws than one instance answers: the caller is to ask the home in its availability zone.
     #[serde(rename = "Crowded")]
     OverCapacity,
 }
 
 impl Budgets {
-    /// Reserves tokens with the help of the customer's homes; `None` when none of them is of help.
+    /// Reserves tokens, drawing those that are missing here from the customer's homes. Returns `None` if this instance
+    /// has to reserve them without the homes.
     pub(super) async fn reserve_at_home(
         &self,
         customer: &str,
@@ -84,7 +84,7 @@
                     reservation.reserved = tokens;
                     return Some(Ok(reservation));
                 }
-                // Another request was quicker.
+                // Another request has reserved them meanwhile.
                 DrawResponse::Tokens(_) => return None,
                 DrawResponse::Exhausted => return Some(Err(ReserveError::Exhausted)),
                 DrawResponse::OutOfReach { free } => {
@@ -99,13 +99,13 @@
                 }
             }
         }
-        // The home has asked all others, unless that is this one: there is nothing to wait for.
+        // Unless this instance is the home, the home has asked the other instances: there is nothing to wait for.
         let all_unreachable = unreachable == homes.len() && !self.is_home(customer);
         let out_of_reach = all_unreachable && self.is_store_unreachable();
         out_of_reach.then_some(Err(ReserveError::OutOfReach { free: false }))
     }
 
-    /// Calls a home.
+    /// Draws tokens from a home.
     async fn draw_from(
         &self,
         home: &Member,
@@ -134,15 +134,15 @@
         })
     }
 
-    /// Waits a little for a call that may debit tokens at another instance. The call goes on when the
-    /// wait, or the request that it is for, ends: what it brings late is kept here.
+    /// Waits briefly for a call that may debit tokens at another instance. The call continues after the wait, or the
+    /// request that it is for, has ended: tokens in a late response are received as well.
     pub(super) async fn call_detached<T: Send + 'static>(
         &self,
         peer: &Member,
         call: impl Future<Output = Result<T, String>> + Send + 'static,
     ) -> Result<T, String> {
         match timeout(CALL_TIMEOUT, tokio::spawn(call)).await {
-            Ok(result) => result.expect("a call does not panic"),
+            Ok(result) => result.expect("calls to other instances do not panic"),
             Err(_) => {
                 self.deps().peers.rest(peer.addr);
                 Err("no answer in time".to_string())
@@ -162,7 +162,7 @@
         })
     }
 
-    /// Answers an instance that draws from this one.
+    /// Answers a draw by another instance.
     pub(crate) async fn handle_draw(&self, draw: &DrawRequest) -> DrawResponse {
         let own_id = self.own_id();
         self.with_known_budget(&draw.customer, |b| b.receive_spending(&own_id, &draw.spent));
@@ -176,8 +176,8 @@
             return DrawResponse::OverCapacity;
         }
         let until = Instant::now() + DRAW_TIMEOUT;
-        // Those that take a home's place are asked all at once while nobody reaches the store: were each to count
-        // the demand, each would take tokens for all of it afterwards.
+        // While no instance reaches the store, a request asks all instances that may replace the home. If each counted
+        // the demand, each would later take tokens for all of it.
         let is_home = draw.to_zone_home || self.is_home(&draw.customer);
         if is_home || !self.is_store_unreachable() {
             self.record_demand(&draw.customer, draw.tokens, draw.size);
@@ -188,12 +188,12 @@
                 let total = reservation.transfer_to(&draw.spent.from);
                 DrawResponse::Tokens(self.cumulative_total(&draw.spent.from, total))
             }
-            // By an older configuration the caller may know better.
+            // One of the two configurations is older than the other: the caller decides by its own.
             Err(ReserveError::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => {
                 DrawResponse::Unavailable
             }
             Err(ReserveError::Exhausted) => DrawResponse::Exhausted,
-            // The next one may reach the store.
+            // The next instance that is asked may reach the store.
             Err(ReserveError::OutOfReach { .. }) if self.is_store_unreachable() => {
                 DrawResponse::StoreUnreachable
             }
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -1,17 +1,18 @@
-//! Budgets: how a token gets from the store to a request, and back. What is held is decided by `escrow`.
+//! Prepaid token budgets: how tokens get from the store to a request and back. `escrow` decides how many an instance
+//! holds.
 //!
-//! 1. A customer's home takes tokens out of the budget: one transaction changes the customer's record and the
-//!    home's own line in its book (`refill`).
-//! 2. A request comes to any instance, which reserves the most that it can cost: of what it has, and of the home for
-//!    the rest, in one call (`draw`). A home that has too little asks the store, and beside it the others
-//!    (`refill`, `handover`).
-//! 3. The request holds them (`charge`) until it ends. What it spent stays spent; the rest is free again.
-//! 4. The instance tells the home what was spent and left, and the home takes both over (`settled`).
-//! 5. The home writes what is spent into its line, and hands back what it no longer needs (`refill`).
-//! 6. An instance that stops hands all back, to the store or to others (`handover`).
+//! 1. A customer's home takes tokens from the budget: one transaction changes the customer's record and the home's own
+//!    ledger entry (`refill`).
+//! 2. A request arrives at any instance, which reserves the most that the request can cost: from the tokens that it
+//!    holds, and the rest from the home, in one call (`draw`). A home that holds too few asks the store and, in
+//!    parallel, other instances (`refill`, `transfer`).
+//! 3. The request holds the tokens until it ends (`reservation`). Those that it did not spend can be reserved again.
+//! 4. The instance forwards to the home what was spent, and transfers to it what is left (`settlement`).
+//! 5. The home reports the spent tokens in its ledger entry, and returns those that it no longer needs (`refill`).
+//! 6. An instance that stops returns all tokens to the store, or transfers them to other instances (`transfer`).
 //!
-//! Whoever gives debits first, and every message tells a total: what is lost on the way is charged to the budget until
-//! the next message, and never spent twice.
+//! The sender debits tokens before it sends them, and each message carries a cumulative total. Tokens in a lost message
+//! stay charged to the budget until the next message arrives, and are never spent twice.
 
 mod draw;
 mod records;
@@ -44,17 +45,17 @@
 use reservation::WaitGuard;
 pub(crate) use settlement::Settlement;
 
-/// Longest time that a request waits for tokens: a few calls of the store and of other instances.
+/// Maximum time that a request waits for tokens: a few calls to the store and to other instances.
 const MAX_TOKEN_WAIT: Duration = Duration::from_millis(600);
-/// After a search that found nothing, requests that lack tokens are refused at once for this time.
+/// How long requests that the balance does not cover are refused immediately after a search for tokens has failed.
 const REFUSAL_PERIOD: Duration = Duration::from_millis(300);
-/// A customer whose home has too many draws has a home in each availability zone for so long: what the home in the zone
-/// holds is handed back some seconds later, so that changing to and fro costs writes.
+/// How long a customer whose home gets too many draws has a home in each availability zone. These return their tokens
+/// some seconds later, so switching back and forth costs writes.
 const ZONE_HOMES_PERIOD: Duration = Duration::from_secs(10);
-/// How often a transaction that lost against others is tried in one look.
+/// Maximum attempts at a transaction that conflicts with those of other instances, in one refill cycle or stop.
 const MAX_COMMIT_ATTEMPTS: usize = 6;
 
-/// What the task of the holdings works with.
+/// What the budgets need to reach the store and other instances.
 pub(crate) struct Dependencies {
     pub(crate) store: Arc<dyn Store>,
     pub(crate) reach: Arc<Reach>,
@@ -62,11 +63,11 @@
     pub(crate) peers: Peers,
     /// For datagrams to other instances.
     pub(crate) sender: Sender,
-    /// Time in which service is to be back after a loss of all instances, in milliseconds, where the settings name one.
+    /// Time until service is back after a failure of all instances, in milliseconds, if the settings name one.
     pub(crate) recovery_ms: Option<u64>,
 }
 
-/// A handle on the holdings.
+/// A handle to the budgets of all customers at this instance.
 #[derive(Clone)]
 pub(crate) struct Budgets(Arc<Inner>);
 
@@ -74,28 +75,30 @@
     clock: Clock,
     log: Arc<Log>,
     customers: Mutex<BTreeMap<String, CustomerState>>,
-    /// The revision of the own book in the store, once it was read; 0 when there is none.
+    /// Revision of the own ledger in the store, once it was read; 0 if the store has none.
     ledger_revision: Mutex<Option<i64>>,
-    /// The revision of a record that shows a later write of the own book, whose answer was lost; 0 for none.
+    /// Revision of a record that includes a later write of the own ledger whose response was lost; 0 if none does.
     unconfirmed_revision: AtomicI64,
-    /// The same when the own book was read last.
+    /// Value of `unconfirmed_revision` when the own ledger was last read.
     checked_revision: AtomicI64,
     refill_requested: Notify,
-    /// Counts the looks that have ended.
-    refill_cycles: watch::Sender<u64>,
+    /// Counts finished searches for tokens, and arrivals of tokens that waiting requests lack. These requests try again
+    /// at each change.
+    finished_searches: watch::Sender<u64>,
     deps: OnceLock<Dependencies>,
-    /// Customers of whose ended requests their homes are to be told, with how many times.
+    /// Customers whose homes are to be sent a settlement, with the number of times left.
     pending_settlements: Mutex<BTreeMap<String, u8>>,
     settlement_requested: Notify,
-    /// Nothing is taken any more.
+    /// Set when a planned stop begins to return tokens: from then on, none are taken from the budgets.
     shutting_down: AtomicBool,
 }
 
 #[derive(Default)]
 struct CustomerState {
     budget: LocalBudget,
+    /// Until when requests that the balance does not cover are refused immediately.
     refuse_until: Option<Instant>,
-    /// Draws that came here.
+    /// Draws by other instances.
     draws: Rate,
     /// Until when the customer has a home in each availability zone.
     zone_homes_until: Option<Instant>,
@@ -111,7 +114,7 @@
             unconfirmed_revision: AtomicI64::new(0),
             checked_revision: AtomicI64::new(0),
             refill_requested: Notify::new(),
-            refill_cycles: watch::channel(0).0,
+            finished_searches: watch::channel(0).0,
             pending_settlements: Mutex::default(),
             settlement_requested: Notify::new(),
             deps: OnceLock::new(),
@@ -119,7 +122,7 @@
         }))
     }
 
-    /// Takes what a configuration says is prepaid.
+    /// Sets the prepaid amounts of a configuration.
     pub(crate) fn set_prepaid(&self, routing: &Routing) {
         let mut customers = self.0.customers.lock().expect("no panic inside");
         for customer in &routing.accounts {
@@ -134,11 +137,11 @@
         self.0.refill_requested.notify_one();
     }
 
-    /// Reserves tokens, waiting a little for other instances and for the store.
+    /// Reserves tokens, waiting briefly for other instances and for the store if this one holds too few.
     ///
     /// # Errors
     ///
-    /// Returns why there are none; nothing is held then.
+    /// Returns why the tokens cannot be reserved; none are held then.
     pub(crate) async fn reserve(
         &self,
         customer: &str,
@@ -153,7 +156,7 @@
         self.reserve_here(customer, tokens, tokens, deadline).await
     }
 
-    /// Counts demand that this instance is to cover, and the whole of what the request can cost.
+    /// Records demand that this instance has to cover, and the most that the request as a whole can cost.
     fn record_demand(&self, customer: &str, tokens: u64, size: u64) {
         let now = self.0.clock.now();
         self.with_budget(customer, |b| {
@@ -162,17 +165,17 @@
         });
     }
 
-    /// Works on a customer's holding, a new one if there is none.
+    /// Calls `f` with a customer's budget, which is created if there is none.
     fn with_budget<T>(&self, customer: &str, f: impl FnOnce(&mut LocalBudget) -> T) -> T {
         let mut customers = self.0.customers.lock().expect("no panic inside");
         let state = customers.entry(customer.to_string()).or_default();
         f(&mut state.budget)
     }
 
-    /// Returns the instances to draw a customer's tokens from; none where this one takes them itself.
+    /// Returns the instances to draw a customer's tokens from; none if this one takes them from the budget itself.
     ///
-    /// A home that is cut off from the store draws from those that take its place: all callers of a customer may
-    /// come to one instance, and nobody else would take tokens for them.
+    /// A home that cannot reach the store draws from the instances that would replace it: all callers of a customer may
+    /// use this instance, and no other one would take tokens for them.
     fn homes(&self, customer: &str) -> Homes {
         let (fleet, area) = (&self.deps().fleet, self.area(customer));
         let homes = fleet.homes(customer, area);
@@ -182,13 +185,13 @@
         homes
     }
 
-    /// Returns whether this instance holds a customer's tokens for others.
+    /// Returns whether this instance is a customer's home, which holds the tokens for others.
     fn is_home(&self, customer: &str) -> bool {
         let fleet = &self.deps().fleet;
         fleet.is_home(customer, Area::Fleet) || fleet.is_home(customer, self.area(customer))
     }
 
-    /// Returns which instances a customer's homes are chosen from.
+    /// Returns which instances a customer's homes are chosen from at present.
     fn area(&self, customer: &str) -> Area {
         let customers = self.0.customers.lock().expect("no panic inside");
         let until = customers.get(customer).and_then(|s| s.zone_homes_until);
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Records a home's report that it gets more draws of a customer than it answers.
+    /// Uses a home in each availability zone for a while, because the home reported more draws than it answers.
     fn use_zone_homes(&self, customer: &str) {
         let mut customers = self.0.customers.lock().expect("no panic inside");
         if let Some(state) = customers.get_mut(customer) {
@@ -206,7 +209,7 @@
         }
     }
 
-    /// Counts a draw that came here; returns whether the customer has too many for one instance.
+    /// Counts a draw by another instance; returns whether the customer has too many for one home.
     fn record_draw(&self, customer: &str) -> bool {
         let now = self.0.clock.now();
         let mut customers = self.0.customers.lock().expect("no panic inside");
@@ -227,8 +230,8 @@
         }
     }
 
-    /// Reserves tokens of the own holding for a request of some size, waiting a little for the store and for other
-    /// instances to fill it.
+    /// Reserves tokens that this instance holds, for a request of the given size. If it holds too few, it waits briefly
+    /// for the store and for other instances to provide them.
     async fn reserve_here(
         &self,
         customer: &str,
@@ -243,17 +246,17 @@
             FirstAttempt::Wait => {}
         }
         let _wait = WaitGuard::new(self, customer, tokens);
-        let mut cycles = self.0.refill_cycles.subscribe();
-        // The look under way may have begun before this request came.
-        let last_cycle = *cycles.borrow_and_update() + 2;
+        let mut searches = self.0.finished_searches.subscribe();
+        // The search under way may have begun before this request arrived.
+        let last_search = *searches.borrow_and_update() + 2;
         let until = deadline.min(Instant::now() + MAX_TOKEN_WAIT);
         self.0.refill_requested.notify_one();
         loop {
-            let timed_out = timeout_at(until, cycles.changed()).await.is_err();
+            let timed_out = timeout_at(until, searches.changed()).await.is_err();
             if self.try_reserve(customer, tokens) {
                 return Ok(reservation.with_reserved(tokens));
             }
-            let searched = *cycles.borrow_and_update() >= last_cycle;
+            let searched = *searches.borrow_and_update() >= last_search;
             if timed_out || searched {
                 return Err(self.refuse(customer, tokens));
             }
@@ -264,8 +267,8 @@
     fn first_attempt(&self, customer: &str, tokens: u64, size: u64) -> FirstAttempt {
         let mut customers = self.0.customers.lock().expect("no panic inside");
         let state = customers.entry(customer.to_string()).or_default();
-        let restarted = self.deps().fleet.has_started_again();
-        if restarted && !state.budget.admits(self.0.clock.now(), size) {
+        let fleet_restarted = self.deps().fleet.has_started_again();
+        if fleet_restarted && !state.budget.admits(self.0.clock.now(), size) {
             return FirstAttempt::Refused(self.reserve_error(&state.budget, size));
         }
         if state.budget.reserve(tokens) {
@@ -293,7 +296,8 @@
         self.reserve_error(&state.budget, tokens)
     }
 
-    /// Returns why a holding has no tokens for a request: free ones can't be taken while the store is out.
+    /// Returns why a budget has too few tokens here for a request. Free tokens do not count while the store is
+    /// unreachable, because they cannot be taken then.
     fn reserve_error(&self, budget: &LocalBudget, tokens: u64) -> ReserveError {
         let unreachable = self.is_store_unreachable();
         match budget.reserve_error(tokens) {
@@ -304,7 +308,7 @@
         }
     }
 
-    /// Returns whether the store is out of reach from here.
+    /// Returns whether the store is unreachable from this instance.
     pub(crate) fn is_store_unreachable(&self) -> bool {
         self.deps().reach.is_out()
     }
@@ -321,7 +325,7 @@
         }
     }
 
-    /// Debits tokens for another instance.
+    /// Debits tokens for another instance that asks for them; returns the total transferred to it.
     pub(crate) fn transfer_share(&self, want: &Want) -> CumulativeTotal {
         let now = self.0.clock.now();
         let mut customers = self.0.customers.lock().expect("no panic inside");
@@ -333,7 +337,7 @@
         self.cumulative_total(&want.from, total.unwrap_or_default())
     }
 
-    /// Returns each customer's balance, demand and what is charged and spent on record.
+    /// Returns each customer's balance and demand, and the charged and spent totals of its record.
     pub(crate) fn dump(&self) -> BTreeMap<String, serde_json::Value> {
         let now = self.0.clock.now();
         let customers = self.0.customers.lock().expect("no panic inside");
@@ -359,7 +363,7 @@
     }
 }
 
-/// How a first look at a holding ends.
+/// Result of the first attempt to reserve tokens.
 enum FirstAttempt {
     Reserved,
     Refused(ReserveError),
--- a/crates/proxy/src/budgets/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -1,4 +1,4 @@
-//! What the store has of budgets: customers' records and the own book, read and learnt.
+//! Budget data in the store: reads the customers' records and the own ledger, and applies them to the budgets.
 
 use std::collections::HashSet;
 use std::slice;
@@ -11,22 +11,23 @@
 use crate::event::Event;
 use crate::roster::Area;
 
-/// Keys of instances' books.
+/// Prefix of the keys of the instances' ledgers.
 const LEDGER_PREFIX: &str = "oriolehitch/books/";
-/// Keys of budgets' records.
+/// Prefix of the keys of the customers' records.
 pub(super) const RECORD_PREFIX: &str = "oriolehitch/budgets/";
-/// Records older than this are read again before requests are refused by them, in milliseconds: what
-/// others hand back shows a second later at most, and callers come back later than that.
+/// Records older than this are read again before requests are refused because of them, in milliseconds. Tokens that
+/// other instances return are then seen within a second, and refused callers retry later than that.
 const MAX_RECORD_AGE_MS: u64 = 1_000;
-/// Records that the store lists in one call, about: where fewer are wanted than that takes calls, each is read by itself.
+/// Approximate number of records that the store lists in one call. If listing all records takes more calls than there
+/// are records to read, each is read separately.
 const RECORDS_PER_CALL: usize = 200;
 
 impl Budgets {
-    /// Returns the customers whose records are to be read: those that were never read and this instance has to do with, and those
-    /// whose requests lack tokens that by an old record nobody has.
+    /// Returns the customers whose records should be read: those never read, if the customer is in use here or has its
+    /// home here, and those that are too old, if waiting requests lack more tokens than were free.
     ///
-    /// Of most customers an instance of a large fleet is not the home: it draws from others, and what stands in
-    /// their records says nothing to it.
+    /// An instance of a large fleet is not the home of most customers: it draws their tokens from other instances and
+    /// does not need their records.
     pub(super) fn customers_to_read(&self) -> Vec<String> {
         let now = self.0.clock.now();
         let fleet = &self.deps().fleet;
@@ -44,8 +45,8 @@
         outdated.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Reads some customers' records, or all where that takes no more calls, and the own book where it is not known; returns whether
-    /// the store answered.
+    /// Reads the records of some customers, or all records if that takes no more calls, and the own ledger if it is
+    /// unknown or outdated; returns whether the store answered.
     pub(super) async fn read(&self, customers: &[String]) -> bool {
         let known = self.ledger_revision().is_some() && !self.is_ledger_outdated();
         if !known && !self.read_ledger().await {
@@ -68,7 +69,7 @@
         true
     }
 
-    /// Reads the own book; returns whether the store answered.
+    /// Reads the own ledger; returns whether the store answered.
     pub(super) async fn read_ledger(&self) -> bool {
         let unconfirmed = self.0.unconfirmed_revision.load(Ordering::Relaxed);
         match self.deps().store.get(&self.ledger_key()).await {
@@ -99,13 +100,13 @@
         }
     }
 
-    /// Returns all customers that are known here.
+    /// Returns the names of all customers that are known here.
     fn customer_names(&self) -> Vec<String> {
         let customers = self.0.customers.lock().expect("no panic inside");
         customers.keys().cloned().collect()
     }
 
-    /// Takes some customers' records as they are now; those that are missing are empty.
+    /// Applies the records of some customers as just read; a missing record counts as empty.
     fn update_records(&self, customers: &[String], items: &[Found]) {
         let read_at = self.0.clock.now();
         let names = items
@@ -129,6 +130,7 @@
         self.update_snapshots(items);
     }
 
+    /// Applies records that were read or written; other items are ignored.
     pub(super) fn update_snapshots(&self, items: &[Found]) {
         let read_at = self.0.clock.now();
         let mut customers = self.0.customers.lock().expect("no panic inside");
@@ -148,9 +150,9 @@
         }
     }
 
-    /// Takes the own book as the store has it; none when there is none.
+    /// Applies the own ledger as the store has it; `None` if the store has none.
     ///
-    /// One that can't be read leaves the budgets alone: nothing is taken by it.
+    /// A malformed ledger changes nothing: no tokens are taken because of it.
     pub(super) fn update_ledger(&self, found: Option<&Found>) {
         let ledger = match found.map(|f| Ledger::parse(&f.value)) {
             None => Ledger::default(),
@@ -159,8 +161,8 @@
         };
         let revision = found.map_or(0, |f| f.revision);
         let mut known = self.0.ledger_revision.lock().expect("no panic inside");
-        // Answers may overtake each other. And one that is known already says nothing: a write of the own
-        // lines over it may be under way.
+        // Responses may arrive out of order. A revision that is known already is not applied again either: a write that
+        // replaces its entries may be under way.
         if known.is_some_and(|k| k >= revision) {
             return;
         }
@@ -189,7 +191,7 @@
         self.0.log.note(Event::RecordBroken, detail);
     }
 
-    /// Returns whether the store has a newer own book than is known.
+    /// Returns whether the store has a newer own ledger than the one applied here.
     pub(super) fn is_ledger_outdated(&self) -> bool {
         let checked = self.0.checked_revision.load(Ordering::Relaxed);
         self.0.unconfirmed_revision.load(Ordering::Relaxed) > checked
@@ -203,7 +205,7 @@
         format!("{LEDGER_PREFIX}{}", self.deps().fleet.name())
     }
 
-    /// Logs a line of the own book as the store has it: a planned one may lose against another instance's.
+    /// Logs an own ledger entry that the store has: a planned one may be lost in a conflict with another instance.
     fn log_grant(&self, customer: &str, entry: LedgerEntry, budget: &LocalBudget) {
         let record = budget.snapshot().map(|s| s.record);
         let shown = |sum: Option<u64>| sum.map_or("unknown".to_string(), |s| s.to_string());
@@ -221,7 +223,7 @@
         self.0.log.note(Event::Grant, detail);
     }
 
-    /// Logs what the incarnation before this one left charged.
+    /// Logs what the previous incarnation left charged.
     fn log_left_charged(&self, customer: &str, entry: LedgerEntry) {
         let (granted, returned, spent) = (entry.granted, entry.returned, entry.spent);
         let detail =
--- a/crates/proxy/src/budgets/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -1,4 +1,4 @@
-//! The task that keeps the holdings filled: looks through them, plans, writes.
+//! The task that keeps the budgets filled: in each cycle, it plans changes of the own ledger entries and writes them.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -14,51 +14,50 @@
 use crate::event::Event;
 use crate::roster::Area;
 
-/// How often all holdings are looked through: a call of the store each time, for tokens that last ten
-/// times as long.
+/// Interval of the refill cycles for all budgets: each takes a call to the store, and grants last ten times as long.
 const REFILL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A fleet of more instances than this looks more seldom, so that all of them together write no more:
-/// the more writes, the more of them meet at one record, and one of two that meet is in vain.
+/// In fleets of more instances than this, the interval grows with the fleet, so that all instances together write no
+/// more: with more writes, more of them conflict on a record, and one of two conflicting writes is in vain.
 const FULL_RATE_INSTANCES: u32 = 40;
-/// Longest pause between two looks: less than half of what grants last.
+/// Maximum interval of the refill cycles for all budgets: less than half of the time that grants last.
 const MAX_REFILL_INTERVAL: Duration = Duration::from_secs(4);
-/// Instances that start together do not look at the same time: longest random addition, in
-/// milliseconds.
+/// Maximum random addition to the interval, in milliseconds, so that instances that start together do not refill at the
+/// same time.
 const REFILL_JITTER_MS: u64 = 100;
-/// Shortest pause between two looks that requests ask for.
+/// Minimum pause between two refill cycles that requests trigger.
 const MIN_REFILL_PAUSE: Duration = Duration::from_millis(20);
-/// The store alone is waited for so long; then other instances are asked beside it.
+/// How long the store alone is waited for, before other instances are asked in parallel.
 const STORE_HEAD_START: Duration = Duration::from_millis(30);
-/// Reading and writing the records takes no longer; what was sent may still take effect.
+/// Maximum time for reading and writing records in a cycle; a transaction that was sent may still take effect later.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(800);
-/// A transaction takes so many records beside the own book: each needs a condition and a write.
+/// Maximum number of records in a transaction besides the own ledger: each needs a condition and a write.
 const MAX_RECORDS_PER_TXN: usize = TXN_MOST / 2 - 1;
-/// Longest pause before a transaction that lost against others is tried again, in milliseconds for
-/// each time that it lost: what it lost against is known then, and others lost as well.
+/// Maximum random pause after a conflict, in milliseconds per failed attempt. It can be short, because the conflict
+/// returned the current records, and is random, because other instances have to try again as well.
 const CONFLICT_BACKOFF_MS: u64 = 4;
 
-/// How a transaction ended.
+/// Result of a transaction.
 pub(super) enum CommitOutcome {
     Committed,
     Conflict,
     Failed,
 }
 
-/// Which lines a transaction changes.
+/// Which ledger entries a transaction changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Scope {
-    /// All that should change.
+    /// All that need a change.
     All,
-    /// Those of customers whose requests wait: the fewer records, the fewer meetings with others.
+    /// Those of customers with a shortfall: fewer records mean fewer conflicts.
     Waiting,
-    /// All, with everything handed back that can be.
+    /// All, returning as many tokens as possible.
     Shutdown,
 }
 
 impl Budgets {
-    /// Keeps the holdings filled.
+    /// Spawns the tasks that keep the budgets filled and send settlements.
     pub(crate) fn spawn(&self, deps: Dependencies) {
-        assert!(self.0.deps.set(deps).is_ok(), "spawned once");
+        assert!(self.0.deps.set(deps).is_ok(), "spawned twice");
         tokio::spawn(self.clone().send_settlements());
         let budgets = self.clone();
         tokio::spawn(async move {
@@ -78,7 +77,7 @@
         });
     }
 
-    /// Returns the pause until all holdings are looked through again.
+    /// Returns the time until the next refill cycle for all budgets.
     fn refill_interval(&self) -> Duration {
         let instances = self.deps().fleet.sharers() as u32;
         let interval = REFILL_INTERVAL * instances.max(FULL_RATE_INSTANCES) / FULL_RATE_INSTANCES;
@@ -87,10 +86,10 @@
     }
 
     pub(super) fn deps(&self) -> &Dependencies {
-        self.0.deps.get().expect("set before anything runs")
+        self.0.deps.get().expect("set by `spawn`")
     }
 
-    /// Looks through holdings once.
+    /// Runs one refill cycle.
     async fn refill(&self, scope: Scope) {
         if self.is_shutting_down() {
             return;
@@ -105,10 +104,10 @@
             self.request_shortfalls().await;
             return;
         }
-        // A store that does not answer shows only after a while, and requests come meanwhile.
+        // It takes a while until a store that does not answer counts as unreachable, and requests arrive meanwhile.
         let ended = AtomicBool::new(false);
         let update = async {
-            // Without an answer in time the next look begins with what is known.
+            // Without a response in time, the next cycle begins with what is known.
             let _ = update.await;
             ended.store(true, Ordering::Relaxed);
             self.0.refill_requested.notify_one();
@@ -116,9 +115,10 @@
         tokio::join!(update, self.request_shortfalls_until(&ended));
     }
 
-    /// Asks other instances for what requests lack, and again for each request that comes.
+    /// Asks other instances for what waiting requests lack, and again at each request for a refill, until `ended` is
+    /// set.
     ///
-    /// An ask is never dropped: what the other one has debited would be lost.
+    /// A call is never cancelled: the tokens that the other instance has debited would be lost.
     async fn request_shortfalls_until(&self, ended: &AtomicBool) {
         while !ended.load(Ordering::Relaxed) {
             self.request_shortfalls().await;
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Tells requests that wait that they may look again.
+    /// Tells waiting requests to try again.
     pub(super) fn notify_waiting(&self) {
-        self.0.refill_cycles.send_modify(|n| *n += 1);
+        self.0.finished_searches.send_modify(|n| *n += 1);
     }
 
     async fn request_shortfalls(&self) {
@@ -147,10 +147,10 @@
         waiting.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Writes the own lines where they should change.
+    /// Writes the own ledger entries that need a change.
     ///
-    /// What was read last is good enough to begin with: a transaction that loses against another
-    /// instance's brings the records as they are now.
+    /// The records as last read suffice for the first attempt: a transaction that conflicts with another instance's
+    /// returns the current ones.
     async fn update_store(&self, scope: Scope) {
         let unread = self.customers_to_read();
         let read = !unread.is_empty() || self.is_ledger_outdated();
@@ -204,12 +204,12 @@
         }
     }
 
-    /// Returns the transaction that brings the own lines to where they should be; empty when they are.
+    /// Returns the transaction that writes the own ledger entries that need a change; empty if none does.
     ///
     /// # Panics
     ///
-    /// Panics when a record lacks a line of the own book, though it is no newer than that book, or the book was read again since:
-    /// tokens could be spent twice.
+    /// Panics if a record does not include the own ledger entry although the record is no newer than the ledger, or the
+    /// ledger was read again since: tokens could be spent twice.
     pub(super) fn plan_txn(&self, scope: Scope) -> Txn {
         let (now, instances) = (self.0.clock.now(), self.deps().fleet.sharers() as u64);
         let mut txn = Txn::default();
@@ -231,15 +231,15 @@
             let old = budget.entry();
             ledger.entries.insert(name.clone(), old);
             let in_scope = scope != Scope::Waiting || budget.shortfall() > 0;
-            // Without its record no line changes: most of a large fleet's customers have their homes elsewhere.
+            // No entry changes without its record: in a large fleet, most customers have their homes elsewhere.
             let snapshot = budget.snapshot().map(|s| (s.record, s.revision));
             let Some((record, revision)) = snapshot.filter(|_| in_scope) else {
                 continue;
             };
             if !budget.snapshot_includes_entry() {
                 let newer = revision > ledger_revision.max(checked);
-                assert!(newer, "a line is part of its sum");
-                // A write whose answer was lost has landed since the book was read.
+                assert!(newer, "a record does not include the own ledger entry");
+                // A write whose response was lost has taken effect since the ledger was read.
                 unconfirmed = unconfirmed.max(revision);
                 continue;
             }
--- a/crates/proxy/src/budgets/reservation.rs
+++ b/crates/proxy/src/budgets/reservation.rs
@@ -1,15 +1,16 @@
-//! Tokens that a request holds, or waits for.
+//! Tokens that a request has reserved, or waits for.
 
 use super::Budgets;
 use crate::event::Event;
 
-/// Tokens reserved for a request; dropping it settles.
+/// Tokens reserved for a request. Dropping it settles the request.
 pub(crate) struct Reservation {
     pub(super) budgets: Budgets,
     pub(super) customer: String,
     pub(super) reserved: u64,
-    /// The prompt, once it was sent to an upstream that may answer it: counts once.
+    /// Tokens of the prompt, once it was sent to an upstream that may respond. They count once, even if sent again.
     pub(super) prompt: u64,
+    /// Tokens of the response that went to the caller.
     pub(super) delivered: u64,
 }
 
@@ -19,31 +20,31 @@
         self
     }
 
-    /// Counts the prompt, which an upstream is about to get.
+    /// Counts the prompt as spent; it is about to be sent to an upstream.
     pub(crate) fn record_prompt_sent(&mut self, prompt: u64) {
         self.prompt = prompt;
     }
 
-    /// Takes back the counting of the prompt: the upstreams that got it did not run it, or closed before anything
-    /// of an answer came. A customer pays for what it gets: counted, the prompts whose answers are lost
-    /// would take several percent of a budget in seconds while upstreams fail.
+    /// Stops counting the prompt: the upstreams that got it did not run it, or closed the connection before any part of
+    /// a response arrived. A customer pays for what it gets: if prompts without a response counted, they would use up
+    /// several percent of a budget within seconds while upstreams fail.
     pub(crate) fn clear_prompt(&mut self) {
         self.prompt = 0;
     }
 
-    /// Counts tokens of the answer that go to the caller.
+    /// Counts tokens of the response that go to the caller.
     pub(crate) fn record_delivered(&mut self, tokens: u64) {
         self.delivered += tokens;
     }
 
-    /// Passes the tokens on to an instance that draws from this one; returns the total given to it.
+    /// Transfers the tokens to an instance that draws from this one; returns the total transferred to it.
     pub(super) fn transfer_to(mut self, peer: &str) -> u64 {
         let reserved = std::mem::take(&mut self.reserved);
         self.budgets
             .with_budget(&self.customer, |b| b.transfer_reserved(peer, reserved))
     }
 
-    /// Returns the tokens that were spent.
+    /// Returns the spent tokens.
     pub(crate) fn spent(&self) -> u64 {
         self.prompt + self.delivered
     }
@@ -67,7 +68,7 @@
     }
 }
 
-/// Counts what a waiting request lacks, until it is dropped.
+/// Counts the tokens that a waiting request needs, until it is dropped.
 pub(super) struct WaitGuard<'a> {
     budgets: &'a Budgets,
     customer: &'a str,
--- a/crates/proxy/src/budgets/settlement.rs
+++ b/crates/proxy/src/budgets/settlement.rs
@@ -1,8 +1,8 @@
-//! What an instance that draws from a home tells it when requests have ended: what they spent, and what
-//! they left, which the home can lend to others at once.
+//! Settlements: when requests have ended, an instance that draws from a home forwards to it what they spent, and
+//! transfers to it what they left, which others can then draw at once.
 //!
-//! Without it the last part of a budget lies in as many pieces as there are instances, each smaller than a
-//! prompt, and the home takes what is spent for what may still be lent.
+//! Without settlements, the last part of a budget would be split over all instances into pieces smaller than a prompt,
+//! and the home would take spent tokens for unspent ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,33 +16,33 @@
 use crate::datagram::Datagram;
 use crate::fleet::Member;
 
-/// Requests that end within this time are told of together.
+/// Requests that end within this time are settled together.
 const BATCH_DELAY: Duration = Duration::from_millis(40);
-/// Each word is said so many times, since a datagram may be lost: totals come to the same said twice.
+/// How often each settlement is sent, because a datagram may be lost. Receiving a total twice changes nothing.
 const SEND_COUNT: u8 = 2;
-/// Customers in one datagram: it fits in a packet.
+/// Maximum number of customers in one datagram, so that it fits in a packet.
 const MAX_PER_DATAGRAM: usize = 6;
 
-/// One customer's word.
+/// The settlement of one customer's requests.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct Settlement {
     customer: String,
-    /// What the teller has given to the home.
+    /// Total of tokens that the sender has transferred to the home.
     #[serde(rename = "given")]
     transferred: CumulativeTotal,
-    /// What the teller has spent and passed on to the home.
+    /// Total of spent tokens that the sender has forwarded to the home.
     spent: CumulativeTotal,
 }
 
 impl Budgets {
-    /// Notes that a request of a customer has ended.
+    /// Schedules a settlement for a customer, one of whose requests has ended.
     pub(super) fn request_settlement(&self, customer: &str) {
         let mut pending = self.0.pending_settlements.lock().expect("no panic inside");
         pending.insert(customer.to_string(), SEND_COUNT);
         self.0.settlement_requested.notify_one();
     }
 
-    /// Tells homes of requests that have ended.
+    /// Sends the scheduled settlements to the homes.
     pub(super) async fn send_settlements(self) {
         let sender = &self.deps().sender;
         loop {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Takes the customers of which something is to be told, by the address of their home.
+    /// Returns the settlements that are due, by the address of the home.
     fn take_pending_settlements(&self) -> BTreeMap<SocketAddr, Vec<Settlement>> {
         let mut pending = self.0.pending_settlements.lock().expect("no panic inside");
         let customers: Vec<String> = pending.keys().cloned().collect();
@@ -71,7 +71,8 @@
         let mut settlements: BTreeMap<SocketAddr, Vec<Settlement>> = BTreeMap::new();
         for customer in customers {
             let homes = self.deps().fleet.homes(&customer, self.area(&customer));
-            // What is passed on to one that is gone is out of reach, and never on record: the own line tells of it.
+            // Tokens transferred to an instance that is gone would be out of reach, and spending forwarded to it would
+            // never be recorded: the own ledger entry reports it instead.
             let peers = &self.deps().peers;
             let home = homes.first().filter(|h| !peers.is_silent(h.addr));
             if let Some(home) = home {
@@ -93,7 +94,7 @@
         })
     }
 
-    /// Takes the word of an instance that draws from this one.
+    /// Applies the settlements of an instance that draws from this one.
     pub(crate) fn receive_settlements(&self, settlements: &[Settlement]) {
         let own_id = self.own_id();
         let mut covered = false;
--- a/crates/proxy/src/budgets/transfer.rs
+++ b/crates/proxy/src/budgets/transfer.rs
@@ -1,4 +1,4 @@
-//! Tokens between instances, and back to the store at a stop.
+//! Transfers of tokens between instances, and their return to the store at a planned stop.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 use crate::peers::{Gift, Want};
 use crate::roster::Area;
 
-/// A stopping instance tries the store for so long before it gives its tokens to others.
+/// How long a stopping instance waits for the store before it transfers its tokens to other instances.
 const SHUTDOWN_READ_TIMEOUT: Duration = Duration::from_millis(250);
-/// Other instances that are asked in one look.
+/// Maximum number of other instances asked for a customer's tokens in one search.
 const MAX_PEERS_ASKED: usize = 8;
 
 impl Budgets {
-    /// Asks other instances for what a customer's requests lack.
+    /// Asks other instances for the tokens that a customer's waiting requests lack.
     pub(super) async fn request_from_peers(&self, customer: &str) {
         for peer in self.peers_to_ask(customer).iter().take(MAX_PEERS_ASKED) {
             let Some(want) = self.transfer_request(customer) else {
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Returns the other instances in the order in which they are asked: the customer's homes, those of
-    /// the own zone, and among them each time others, since no one knows who has tokens.
+    /// Returns the other instances in the order in which they are asked: the customer's homes, those of the own zone,
+    /// and the rest. Each group is shuffled, because it is not known which instances hold tokens.
     fn peers_to_ask(&self, customer: &str) -> Vec<Arc<Member>> {
         let fleet = &self.deps().fleet;
         let homes = fleet.homes_besides(customer, Area::Fleet);
@@ -79,12 +79,13 @@
         self.0.log.note(Event::Transfer, detail);
     }
 
-    /// Returns whether a stop has begun to hand back tokens.
+    /// Returns whether a planned stop has begun to return tokens.
     pub(crate) fn is_shutting_down(&self) -> bool {
         self.0.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Takes tokens from an instance that leaves; returns whether this one serves their customer.
+    /// Receives the tokens of an instance that stops; returns whether they are meant for this incarnation and it knows
+    /// their customer.
     pub(crate) fn receive_transfer(&self, gift: &Gift) -> bool {
         let own_id = self.own_id();
         let mut customers = self.0.customers.lock().expect("no panic inside");
@@ -96,11 +97,12 @@
         gift.given.to == own_id
     }
 
-    /// Hands back what is not reserved, to the store or to other instances: the last act of a planned
-    /// stop. Returns whether all of it went.
+    /// Releases all tokens that are not reserved, to the store or to other instances: the last step of a planned stop.
+    /// Returns whether all of them were released.
     pub(crate) async fn release_all(&self) -> bool {
         self.0.shutting_down.store(true, Ordering::Relaxed);
-        // A read first: tokens in a write that may yet land can't be given to anybody else.
+        // A read shows whether the store answers. A write without a response may still take effect, so its tokens could
+        // not be transferred to other instances.
         let store_answered = timeout(
             SHUTDOWN_READ_TIMEOUT,
             self.read(&self.customers_to_release()),
@@ -128,7 +130,7 @@
                 return true;
             }
             match self.commit(txn).await {
-                // A transaction takes a part of many customers only.
+                // A transaction has room for a limited number of customers: the others follow.
                 CommitOutcome::Committed => {}
                 CommitOutcome::Failed => return false,
                 CommitOutcome::Conflict => conflicts += 1,
@@ -137,7 +139,7 @@
         false
     }
 
-    /// Gives all tokens to other instances, a customer's to one of them.
+    /// Transfers all tokens to other instances, those of a customer to one of them.
     async fn transfer_to_peers(&self) -> bool {
         let deps = self.deps();
         let peers = self.available_peers().await;
@@ -155,14 +157,14 @@
         complete
     }
 
-    /// Returns the instances that answer and stay: tokens sent to one that is gone are lost.
+    /// Returns the instances that answer and are not stopping: tokens sent to one that is gone are lost.
     async fn available_peers(&self) -> Vec<Member> {
         let deps = self.deps();
         let mut pings = JoinSet::new();
         for peer in deps.fleet.others() {
             let peers = deps.peers.clone();
             pings.spawn(async move {
-                // The list may show one that was there before.
+                // The list may still show its previous incarnation.
                 let id = peers.ping(peer.addr).await?;
                 Some(Member {
                     id,
@@ -174,7 +176,7 @@
         answered.into_iter().flatten().collect()
     }
 
-    /// Returns the customers of which tokens are left here, or were spent without a word in the store.
+    /// Returns the customers with tokens left here, or with spent tokens that are not reported yet.
     fn customers_to_release(&self) -> Vec<String> {
         let customers = self.0.customers.lock().expect("no panic inside");
         let holds = |b: &LocalBudget| b.balance() > 0 || b.has_unreported_spending();
@@ -182,7 +184,7 @@
         holders.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Debits all that is left of a customer's tokens, for another instance, and passes on what was spent.
+    /// Debits all tokens left of a customer for another instance, and forwards what was spent.
     fn final_transfer(&self, peer: &Member, customer: &str) -> Gift {
         self.with_budget(customer, |b| Gift {
             customer: customer.to_string(),
