--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -49,8 +49,8 @@
 const MAX_TOKEN_WAIT: Duration = Duration::from_millis(600);
 /// How long requests that the balance does not cover are refused immediately after a search for tokens has failed.
 const REFUSAL_PERIOD: Duration = Duration::from_millis(300);
-/// How long a customer whose home gets too many draws has a home in each availability zone. These return their tokens
-/// some seconds later, so switching back and forth costs writes.
+/// How long a customer whose home gets too many draws has a home in each availability zone. The zone homes return
+/// their tokens some seconds later, so switching back and forth costs writes.
 const ZONE_HOMES_PERIOD: Duration = Duration::from_secs(10);
 /// Maximum attempts at a transaction that conflicts with those of other instances, in one refill cycle or stop.
 const MAX_COMMIT_ATTEMPTS: usize = 6;
