--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -74,9 +74,9 @@
 
 /// Returns the times of a reservation and of a commit.
 fn decide(record: &ShardRecord) -> (f64, f64) {
-    let mut home = Shard::open("instance-1.0123456789abcdef", Params::default());
-    home.place(Role::Home, Vec::new(), None);
-    let mut pacer = WriteLimiter::open(0, 1 << 30, 1.0);
+    let mut home = Shard::new("instance-1.0123456789abcdef", Params::default());
+    home.set_role(Role::Home, Vec::new(), None);
+    let mut pacer = WriteLimiter::new(0, 1 << 30, 1.0);
     let mut out = Vec::new();
     let mut ask = 0;
     let mut reserve = |home: &mut Shard, pacer: &mut WriteLimiter| {
--- a/crates/budget/src/joint_grant.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use crate::msg::Action;
-use crate::record::{joint_parts, Account, ShardRecord};
+use crate::record::{parse_joint_key, Account, ShardRecord};
 use crate::shard::{Role, Shard};
 
 /// A step covers this much of the demand, in milliseconds.
@@ -91,7 +91,7 @@
 
     /// Returns whether it is witness to any joint grant of a holder.
     pub(crate) fn watches(&self, holder: &str) -> bool {
-        let of = |k: &String| joint_parts(k).is_some_and(|(h, _)| h == holder);
+        let of = |k: &String| parse_joint_key(k).is_some_and(|(h, _)| h == holder);
         self.opened.keys().any(of)
     }
 }
@@ -132,11 +132,11 @@
         let Some(local) = self.locals.get_mut(name) else {
             return;
         };
-        let step = (local.rate(now) * STEP_MS / 1000.0) as u64;
+        let step = (local.demand_rate(now) * STEP_MS / 1000.0) as u64;
         let Some(joint) = local.joint.as_mut().filter(|j| j.pending_step.is_none()) else {
             return;
         };
-        let Some((_, witness)) = joint_parts(&joint.key).filter(|_| left > 0) else {
+        let Some((_, witness)) = parse_joint_key(&joint.key).filter(|_| left > 0) else {
             return;
         };
         let upto = joint.opened + lack.max(step).min(left);
@@ -177,7 +177,7 @@
                 return false;
             };
             let unwatched = local.joint.as_ref().is_some_and(|j| !j.is_watched);
-            unwatched || self.available(n) < (local.rate(now) * STEP_MS / 2000.0) as u64
+            unwatched || self.available(n) < (local.demand_rate(now) * STEP_MS / 2000.0) as u64
         };
         let names: Vec<String> = self.hot.iter().filter(due).cloned().collect();
         for name in names {
@@ -189,7 +189,7 @@
     pub(crate) fn must_close(&self, name: &str) -> bool {
         let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
         joint.is_some_and(|j| {
-            let witness = joint_parts(&j.key).map(|(_, w)| w);
+            let witness = parse_joint_key(&j.key).map(|(_, w)| w);
             let alone = !self.peers.iter().any(|p| Some(p.as_str()) == witness);
             j.closing || self.role == Role::None || alone
         })
@@ -226,7 +226,7 @@
         };
         let own = self.granted(name).min(self.available(name));
         let total = self.stored(name).map_or(0, Account::total);
-        let steps = (local.rate(now) * STEP_MS / 1000.0 * STEPS_KEPT) as u64;
+        let steps = (local.demand_rate(now) * STEP_MS / 1000.0 * STEPS_KEPT) as u64;
         own.saturating_sub(steps.max(total / PART_KEPT))
     }
 
@@ -247,7 +247,7 @@
         let mut keys = Vec::new();
         for (name, account) in &record.accounts {
             for key in account.joint_grants.keys() {
-                let Some((holder, witness)) = joint_parts(key) else {
+                let Some((holder, witness)) = parse_joint_key(key) else {
                     continue;
                 };
                 if witness == self.me && self.witness_of.silent.contains(holder) {
@@ -269,17 +269,17 @@
         for (name, key) in self.to_close(record) {
             let opened = self.witness_of.close(&key);
             let account = record.accounts.get_mut(&name).expect("listed from it");
-            account.close_joint(&key, opened);
+            account.close_joint_grant(&key, opened);
         }
     }
 
     /// Writes this holder's joint grant: what is opened, what is added, or its end.
     pub(crate) fn write_joint(&self, name: &str, number: u64, adds: u64, account: &mut Account) {
-        let own = account.joint_of(&self.me).map(|(k, _)| k.clone());
+        let own = account.joint_grant_of(&self.me).map(|(k, _)| k.clone());
         let local = self.locals.get(name).and_then(|l| l.joint.as_ref());
         if let (Some(key), Some(local)) = (&own, local) {
             if self.must_close(name) {
-                account.close_joint(key, local.opened);
+                account.close_joint_grant(key, local.opened);
                 return;
             }
             let joint = account.joint_grants.get_mut(key).expect("found above");
@@ -303,7 +303,7 @@
             return;
         };
         let keys = record.accounts.values().flat_map(|a| a.joint_grants.keys());
-        let pairs: Vec<_> = keys.filter_map(|k| joint_parts(k)).collect();
+        let pairs: Vec<_> = keys.filter_map(|k| parse_joint_key(k)).collect();
         let me = self.me.as_str();
         let silent = &mut self.witness_of.silent;
         silent.retain(|h| pairs.iter().any(|(holder, w)| h == holder && *w == me));
@@ -316,7 +316,7 @@
         };
         let accounts = &stored.record.accounts;
         for (name, account) in accounts {
-            let Some((key, joint)) = account.joint_of(&self.me) else {
+            let Some((key, joint)) = account.joint_grant_of(&self.me) else {
                 continue;
             };
             let local = self.locals.entry(name.clone()).or_default();
--- a/crates/budget/src/local_account.rs
+++ b/crates/budget/src/local_account.rs
@@ -170,13 +170,13 @@
     }
 
     /// Returns tokens spent by this holder that the record does not show yet.
-    pub fn unposted(&self, me: &str) -> u64 {
+    pub fn unrecorded(&self, me: &str) -> u64 {
         let mine = self.pending.iter().filter(|p| p.settlement.holder == me);
         mine.map(|p| p.settlement.tokens).sum()
     }
 
     /// Remembers a finished request.
-    pub fn finish(&mut self, now: u64, request: String, mut done: FinishedRequest) {
+    pub fn add_finished(&mut self, now: u64, request: String, mut done: FinishedRequest) {
         done.expires_at = now + DONE_MS;
         if self.finished.insert(request.clone(), done).is_none() {
             self.finished_order.push_back(request);
@@ -197,7 +197,7 @@
     }
 
     /// Remembers that an entry will not use a reservation that may still arrive.
-    pub fn void(&mut self, entry: &str, request: &str) {
+    pub fn add_voided(&mut self, entry: &str, request: &str) {
         self.voided.push_back(format!("{entry}/{request}"));
         if self.voided.len() > VOID_KEPT {
             self.voided.pop_front();
@@ -205,13 +205,13 @@
     }
 
     /// Returns whether an entry gave a request up before it was reserved.
-    pub fn is_void(&self, entry: &str, request: &str) -> bool {
+    pub fn is_voided(&self, entry: &str, request: &str) -> bool {
         let name = format!("{entry}/{request}");
         self.voided.contains(&name)
     }
 
     /// Counts demand.
-    pub fn demand(&mut self, now: u64, tokens: u64) {
+    pub fn add_demand(&mut self, now: u64, tokens: u64) {
         let passed = now.saturating_sub(self.demand_at) as f64;
         self.demand_rate *= (-passed / RATE_MS).exp();
         self.demand_rate += tokens as f64 * 1000.0 / RATE_MS;
@@ -220,13 +220,13 @@
     }
 
     /// Returns the demand, in tokens a second.
-    pub fn rate(&self, now: u64) -> f64 {
+    pub fn demand_rate(&self, now: u64) -> f64 {
         let passed = now.saturating_sub(self.demand_at) as f64;
         self.demand_rate * (-passed / RATE_MS).exp()
     }
 
     /// Returns whether nothing is under way.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.holds.is_empty() && self.pending.is_empty() && self.waiting.is_empty()
     }
 }
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -70,7 +70,7 @@
 }
 
 /// Returns the holder and the witness of a joint grant's key.
-pub fn joint_parts(key: &str) -> Option<(&str, &str)> {
+pub fn parse_joint_key(key: &str) -> Option<(&str, &str)> {
     let mut parts = key.split('+');
     Some((parts.next()?, parts.next()?))
 }
@@ -149,7 +149,7 @@
     }
 
     /// Returns the tokens that are granted to holders or spent for good.
-    pub fn bound(&self) -> u64 {
+    pub fn committed(&self) -> u64 {
         let net = |l: &LedgerEntry| i128::from(l.granted) - i128::from(l.released);
         let granted: i128 = self.ledger.values().map(net).sum();
         let joint: i128 = self
@@ -161,31 +161,31 @@
     }
 
     /// Returns the joint grant of a holder.
-    pub fn joint_of(&self, holder: &str) -> Option<(&String, &JointGrant)> {
-        let of = |k: &str| joint_parts(k).is_some_and(|(h, _)| h == holder);
+    pub fn joint_grant_of(&self, holder: &str) -> Option<(&String, &JointGrant)> {
+        let of = |k: &str| parse_joint_key(k).is_some_and(|(h, _)| h == holder);
         self.joint_grants.iter().find(|(k, _)| of(k))
     }
 
     /// Ends a joint grant: what was opened becomes the holder's own, the rest is free.
-    pub fn close_joint(&mut self, key: &str, opened: u64) {
+    pub fn close_joint_grant(&mut self, key: &str, opened: u64) {
         let Some(joint) = self.joint_grants.remove(key) else {
             return;
         };
         let opened = opened.max(joint.opened).min(joint.granted);
-        if let Some((holder, _)) = joint_parts(key) {
+        if let Some((holder, _)) = parse_joint_key(key) {
             self.ledger.entry(holder.to_string()).or_default().granted += opened as i64;
         }
     }
 
     /// Returns what is unopened of a holder's joint grant.
     pub fn unopened(&self, holder: &str) -> u64 {
-        self.joint_of(holder)
+        self.joint_grant_of(holder)
             .map_or(0, |(_, j)| j.granted - j.opened.min(j.granted))
     }
 
     /// Returns the tokens that may still be granted.
     pub fn free(&self) -> u64 {
-        self.total().saturating_sub(self.bound())
+        self.total().saturating_sub(self.committed())
     }
 
     /// Returns the tokens spent.
@@ -194,7 +194,7 @@
     }
 
     /// Returns tokens received from and handed to other holders.
-    pub fn moved(&self, holder: &str) -> (u64, u64) {
+    pub fn transferred(&self, holder: &str) -> (u64, u64) {
         let mut got = 0;
         let mut sent = 0;
         for (pair, tokens) in &self.transfers {
@@ -213,11 +213,11 @@
     }
 
     fn balance(&self, holder: &str) -> i128 {
-        let (got, sent) = self.moved(holder);
+        let (got, sent) = self.transferred(holder);
         let (granted, spent) = self.ledger.get(holder).map_or((0, 0), |l| {
             (l.granted, i128::from(l.settled) + i128::from(l.released))
         });
-        let opened = self.joint_of(holder).map_or(0, |(_, j)| j.opened);
+        let opened = self.joint_grant_of(holder).map_or(0, |(_, j)| j.opened);
         i128::from(granted) + i128::from(got) + i128::from(opened) - i128::from(sent) - spent
     }
 
@@ -225,7 +225,7 @@
     ///
     /// Its transfers become grants of the other side, so that the sum stays as it was. The other
     /// side drops its own count of them when it sees the holder's tombstone.
-    fn fold(&mut self, holder: &str) {
+    fn retire_holder(&mut self, holder: &str) {
         let pairs: Vec<(String, u64)> = self
             .transfers
             .iter()
@@ -276,8 +276,8 @@
         if let Some(old) = self.releases.iter().find(|r| r.id == id) {
             return old.tokens;
         }
-        if let Some(key) = self.joint_of(holder).map(|(k, _)| k.clone()) {
-            self.close_joint(&key, 0);
+        if let Some(key) = self.joint_grant_of(holder).map(|(k, _)| k.clone()) {
+            self.close_joint_grant(&key, 0);
         }
         let tokens = self.unspent(holder);
         if let Some(line) = self.ledger.get_mut(holder) {
@@ -298,7 +298,7 @@
     /// An operator's release can make it so, and says so before it is done.
     pub fn is_covered(&self) -> bool {
         let total = self.total();
-        let covered = self.bound() <= total && self.settled() <= total;
+        let covered = self.committed() <= total && self.settled() <= total;
         covered || !self.releases.is_empty()
     }
 }
@@ -337,7 +337,7 @@
     }
 
     /// Returns whether a hold is settled.
-    pub fn has_post(&self, account: &str, holder: &str, hold: u64) -> bool {
+    pub fn is_settled(&self, account: &str, holder: &str, hold: u64) -> bool {
         let line = self
             .accounts
             .get(account)
@@ -351,15 +351,15 @@
     /// Folds up the lines of a holder that is gone and has nothing unspent anywhere.
     ///
     /// A line is kept while it strands tokens or was released: these must stay visible.
-    pub fn fold(&mut self, holder: &str) -> bool {
+    pub fn retire_holder(&mut self, holder: &str) -> bool {
         let released = |a: &Account| a.ledger.get(holder).is_some_and(|l| l.released > 0);
-        let joint = |a: &Account| a.joint_of(holder).is_some();
+        let joint = |a: &Account| a.joint_grant_of(holder).is_some();
         let done = |a: &Account| a.balance(holder) == 0 && !released(a) && !joint(a);
         if !self.accounts.values().all(done) {
             return false;
         }
         for account in self.accounts.values_mut() {
-            account.fold(holder);
+            account.retire_holder(holder);
         }
         self.writers.remove(holder);
         self.tombstones.push_back(holder.to_string());
@@ -370,12 +370,12 @@
     }
 
     /// Returns the number of bills in this record.
-    pub fn bills(&self) -> usize {
+    pub fn bill_count(&self) -> usize {
         self.accounts.values().map(|a| a.bills.len()).sum()
     }
 
     /// Copies the older half of the bills into a segment.
-    pub fn segment(&self) -> BillSegment {
+    pub fn next_segment(&self) -> BillSegment {
         let half = |a: &Account| a.bills[..a.bills.len().div_ceil(2)].to_vec();
         let bills = self.accounts.iter().map(|(n, a)| (n.clone(), half(a)));
         BillSegment {
@@ -385,7 +385,7 @@
     }
 
     /// Drops the bills that a stored segment holds; returns false if another one came first.
-    pub fn roll(&mut self, name: &str, segment: &BillSegment) -> bool {
+    pub fn apply_segment(&mut self, name: &str, segment: &BillSegment) -> bool {
         if self.last_segment != segment.prev {
             return false;
         }
--- a/crates/budget/src/record_sync.rs
+++ b/crates/budget/src/record_sync.rs
@@ -32,7 +32,7 @@
             out.push(Action::ReadSegment { name });
         } else if self.known.is_some() && self.must_roll(now, pacer) {
             self.write_segment(pacer, now, out);
-        } else if self.known.is_some() && self.has_work(now) && pacer.take(now) {
+        } else if self.known.is_some() && self.has_work(now) && pacer.try_acquire(now) {
             self.write(now, out);
         }
     }
@@ -111,7 +111,7 @@
             total: account.total(),
             granted: self.granted(name),
             weight,
-            rate: local.rate(now),
+            rate: local.demand_rate(now),
         });
         if self.params.joint_grants && self.witness.is_some() && !self.grants_jointly(now, name) {
             // The witness does not answer: as little as possible without it.
@@ -155,15 +155,15 @@
         } else {
             ROLL_BILLS_BUSY
         };
-        let full = |r: &ShardRecord| r.bills() > most;
+        let full = |r: &ShardRecord| r.bill_count() > most;
         self.role == Role::Home && self.rolled.is_none() && self.record().is_some_and(full)
     }
 
     fn write_segment(&mut self, pacer: &mut WriteLimiter, now: u64, out: &mut Vec<Action>) {
-        if !pacer.take(now) {
+        if !pacer.try_acquire(now) {
             return;
         }
-        let segment = self.record().expect("checked by must_roll").segment();
+        let segment = self.record().expect("checked by must_roll").next_segment();
         let name = format!("{}.{}", self.me, self.next_write);
         self.next_write += 1;
         self.rolled = Some((name.clone(), segment.clone()));
@@ -283,10 +283,10 @@
 
     fn write_rest(&self, record: &mut ShardRecord) {
         if let Some((name, segment)) = &self.rolled {
-            record.roll(name, segment);
+            record.apply_segment(name, segment);
         }
         for holder in &self.gone {
-            record.fold(holder);
+            record.retire_holder(holder);
         }
     }
 
@@ -418,7 +418,7 @@
         let record = &stored.record;
         for (name, local) in &mut self.locals {
             local.pending.retain_mut(|p| {
-                let posted = record.has_post(name, &p.settlement.holder, p.settlement.hold);
+                let posted = record.is_settled(name, &p.settlement.holder, p.settlement.hold);
                 if posted {
                     let how = Durability::Recorded;
                     out.extend(p.reply_to.drain(..).map(|ask| Action::SettleReply {
@@ -429,12 +429,12 @@
                 !posted
             });
             let me = &self.me;
-            local.holds.retain(|n, _| !record.has_post(name, me, *n));
+            local.holds.retain(|n, _| !record.is_settled(name, me, *n));
             let held = &local.holds;
             local.hold_by_request.retain(|_, n| held.contains_key(n));
         }
         self.kept
-            .retain(|(_, a, p)| !record.has_post(a, &p.holder, p.hold));
+            .retain(|(_, a, p)| !record.is_settled(a, &p.holder, p.hold));
     }
 
     fn answer_acts(&mut self, out: &mut Vec<Action>) {
@@ -467,7 +467,7 @@
             account.is_some_and(|a| a.ledger.contains_key(&self.me))
         };
         self.locals.retain(|n, l| {
-            let empty = l.is_quiet()
+            let empty = l.is_idle()
                 && l.joint.is_none()
                 && l.commands.is_empty()
                 && l.sent.is_empty()
--- a/crates/budget/src/reservation.rs
+++ b/crates/budget/src/reservation.rs
@@ -191,7 +191,7 @@
 
     /// Returns the tokens of an account that nobody has spent.
     fn left(&self, name: &str) -> u64 {
-        let unposted = self.locals.get(name).map_or(0, |l| l.unposted(&self.me));
+        let unposted = self.locals.get(name).map_or(0, |l| l.unrecorded(&self.me));
         let stored = self.stored(name);
         let left = stored.map_or(0, |a| a.total().saturating_sub(a.settled()));
         left.saturating_sub(unposted)
--- a/crates/budget/src/settle.rs
+++ b/crates/budget/src/settle.rs
@@ -11,7 +11,7 @@
     pub(crate) fn void(&mut self, now: u64, account: &str, request: &str, entry: &str) {
         let me = self.me.clone();
         let local = self.locals.entry(account.to_string()).or_default();
-        local.void(entry, request);
+        local.add_voided(entry, request);
         local.waiting.retain(|w| match &w.kind {
             ReservationKind::NewHold {
                 request_id: r,
@@ -91,7 +91,7 @@
 
     pub(crate) fn is_posted(&self, account: &str, post: &Settlement) -> bool {
         let record = self.record();
-        record.is_some_and(|r| r.has_post(account, &post.holder, post.hold))
+        record.is_some_and(|r| r.is_settled(account, &post.holder, post.hold))
     }
 
     /// Takes an entry off a request; the last one must cancel and settle it instead.
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -101,7 +101,7 @@
 
 impl Shard {
     /// Opens a home that knows nothing yet.
-    pub fn open(me: &str, params: Params) -> Shard {
+    pub fn new(me: &str, params: Params) -> Shard {
         Shard {
             me: me.to_string(),
             params,
@@ -130,7 +130,7 @@
     }
 
     /// Sets what this instance is to the shard, and which other holders seem to live.
-    pub fn place(&mut self, role: Role, peers: Vec<String>, witness: Option<String>) {
+    pub fn set_role(&mut self, role: Role, peers: Vec<String>, witness: Option<String>) {
         self.role = role;
         self.witness_of.silent.retain(|h| !peers.contains(h));
         self.peers = peers;
@@ -150,7 +150,7 @@
     }
 
     /// Returns the accounts with something here.
-    pub fn locals(&self) -> &BTreeMap<String, LocalAccount> {
+    pub fn local_accounts(&self) -> &BTreeMap<String, LocalAccount> {
         &self.locals
     }
 
@@ -168,10 +168,10 @@
     }
 
     /// Returns whether nothing is left to settle or hand back.
-    pub fn is_clear(&self) -> bool {
+    pub fn is_drained(&self) -> bool {
         let clear = |(name, l): (&String, &LocalAccount)| {
             let quiet =
-                l.is_quiet() && l.commands.is_empty() && l.open_recalls == 0 && l.joint.is_none();
+                l.is_idle() && l.commands.is_empty() && l.open_recalls == 0 && l.joint.is_none();
             let empty = l.returning == 0 && self.available(name) == 0;
             quiet && empty && !self.has_unwritten_transfers(name)
         };
@@ -201,7 +201,7 @@
             sent,
             local.returning,
             local.reserved(),
-            local.unposted(&self.me),
+            local.unrecorded(&self.me),
         ];
         let left = has - owes.iter().map(|t| i128::from(*t)).sum::<i128>();
         assert!(
@@ -330,7 +330,7 @@
                 return false;
             };
             let unwatched = l.joint.as_ref().is_some_and(|j| !j.is_watched);
-            let waits = !l.is_quiet()
+            let waits = !l.is_idle()
                 || !l.commands.is_empty()
                 || !l.deferred_recalls.is_empty()
                 || l.returning > 0;
@@ -361,7 +361,7 @@
             return;
         }
         let local = self.locals.get_mut(&account).expect("made above");
-        local.demand(now, req.tokens);
+        local.add_demand(now, req.tokens);
         local.waiting.push_back(WaitingReservation {
             reply_to: ask,
             kind: ReservationKind::NewHold {
@@ -495,7 +495,7 @@
     body: u64,
     entry: &str,
 ) -> Option<ReserveReply> {
-    if local.is_void(entry, request) {
+    if local.is_voided(entry, request) {
         return Some(ReserveReply::Voided);
     }
     if let Some(hold) = local.hold_by_request.get(request).copied() {
@@ -537,7 +537,7 @@
             tokens: post.tokens,
             expires_at: 0,
         };
-        local.finish(now, held.request_id.clone(), done);
+        local.add_finished(now, held.request_id.clone(), done);
     }
     for doubt in doubts {
         let tokens = doubt.tokens.min(rest);
--- a/crates/budget/src/shard_manager.rs
+++ b/crates/budget/src/shard_manager.rs
@@ -38,7 +38,7 @@
 
 impl ShardManager {
     /// Opens a bank that knows of no other instance.
-    pub fn open(
+    pub fn new(
         now: u64,
         me: &str,
         shards: u32,
@@ -51,7 +51,7 @@
             shards,
             writes_per_sec,
             homes: BTreeMap::new(),
-            pacer: WriteLimiter::open(now, writes_per_sec, 1.0),
+            pacer: WriteLimiter::new(now, writes_per_sec, 1.0),
             members: Vec::new(),
             leaving: false,
             absent: BTreeMap::new(),
@@ -74,7 +74,7 @@
             GrantSizing::Split { parts } => 1.0 / parts as f64,
             _ => f64::from(homes) / f64::from(self.shards),
         };
-        self.pacer.resize(self.writes_per_sec, part);
+        self.pacer.set_share(self.writes_per_sec, part);
     }
 
     /// Hands everything back, for a planned stop.
@@ -104,7 +104,7 @@
             .iter()
             .find(|c| c.id == self.me)
             .map(|c| &c.zone)?;
-        let ranked = placement::rank(shard, &self.members);
+        let ranked = placement::rank_candidates(shard, &self.members);
         let other = |c: &&&Candidate| c.zone == *zone && c.id != self.me;
         ranked.iter().find(other).map(|c| c.id.clone())
     }
@@ -116,18 +116,18 @@
         }
         let peers = self.members.iter().map(|c| c.id.clone()).collect();
         let witness = self.witness(shard);
-        self.home(shard).place(role, peers, witness);
+        self.home(shard).set_role(role, peers, witness);
     }
 
     fn home(&mut self, shard: u32) -> &mut Shard {
         let (me, params) = (&self.me, self.params);
-        let open = || Shard::open(me, params);
+        let open = || Shard::new(me, params);
         self.homes.entry(shard).or_insert_with(open)
     }
 
     /// Returns the shard of an account.
-    pub fn shard(&self, account: &str) -> u32 {
-        placement::shard(account, self.shards)
+    pub fn shard_of(&self, account: &str) -> u32 {
+        placement::shard_of(account, self.shards)
     }
 
     /// Takes one event of one shard.
@@ -176,7 +176,7 @@
     }
 
     /// Returns the shards that are open here.
-    pub fn homes(&self) -> &BTreeMap<u32, Shard> {
+    pub fn shards(&self) -> &BTreeMap<u32, Shard> {
         &self.homes
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Returns whether nothing is left to settle or hand back.
-    pub fn is_clear(&self) -> bool {
-        self.homes.values().all(Shard::is_clear)
+    pub fn is_drained(&self) -> bool {
+        self.homes.values().all(Shard::is_drained)
     }
 }
--- a/crates/budget/src/write_limiter.rs
+++ b/crates/budget/src/write_limiter.rs
@@ -15,26 +15,26 @@
 
 impl WriteLimiter {
     /// Opens a pacer with a part of a rate that a fleet shares.
-    pub fn open(now: u64, fleet_per_sec: u64, part: f64) -> WriteLimiter {
+    pub fn new(now: u64, fleet_per_sec: u64, part: f64) -> WriteLimiter {
         let mut pacer = WriteLimiter {
             per_sec: 1.0,
             burst: 1.0,
             level: f64::MAX,
             at: now,
         };
-        pacer.resize(fleet_per_sec, part);
+        pacer.set_share(fleet_per_sec, part);
         pacer
     }
 
     /// Changes the part of the fleet's rate.
-    pub fn resize(&mut self, fleet_per_sec: u64, part: f64) {
+    pub fn set_share(&mut self, fleet_per_sec: u64, part: f64) {
         self.per_sec = fleet_per_sec as f64 * part.clamp(PART_LEAST, 1.0);
         self.burst = (self.per_sec * 2.0).max(2.0);
         self.level = self.level.min(self.burst);
     }
 
     /// Takes a write; returns whether it may go now.
-    pub fn take(&mut self, now: u64) -> bool {
+    pub fn try_acquire(&mut self, now: u64) -> bool {
         self.refill(now);
         let may = self.level >= 1.0;
         if may {
--- a/crates/budget/tests/decisions.rs
+++ b/crates/budget/tests/decisions.rs
@@ -29,11 +29,11 @@
 
 impl Bench {
     fn open(id: &str) -> Bench {
-        let mut home = Shard::open(id, Params::default());
-        home.place(Role::Home, vec![id.to_string(), "b.1".to_string()], None);
+        let mut home = Shard::new(id, Params::default());
+        home.set_role(Role::Home, vec![id.to_string(), "b.1".to_string()], None);
         Bench {
             home,
-            pacer: WriteLimiter::open(0, 1_000, 1.0),
+            pacer: WriteLimiter::new(0, 1_000, 1.0),
             now: 0,
         }
     }
@@ -102,7 +102,7 @@
     assert!(matches!(bench.reserve("r", 100)[..], [Action::ReadRecord]));
     let out = bench.step(Event::RecordRead(stored(1, record(1_000))));
     let (base, next) = written(&out);
-    assert_eq!((base, next.accounts["c"].bound()), (1, 250));
+    assert_eq!((base, next.accounts["c"].committed()), (1, 250));
     let out = bench.step(Event::WriteCommitted { revision: 2 });
     assert!(matches!(
         reply(&out),
@@ -149,7 +149,7 @@
     let mut next = granted;
     next.post("c", &post("a.1", 1, "r", 60), false);
     bench.step(Event::WriteCommitted { revision: 3 });
-    bench.home.place(Role::None, Vec::new(), None);
+    bench.home.set_role(Role::None, Vec::new(), None);
     let out = bench.step(Event::Tick);
     written(&out);
     bench.step(Event::WriteOutcomeUnknown);
@@ -252,14 +252,22 @@
     account.ledger.entry("b.1".to_string()).or_default().granted = 50;
     account.transfers.insert("a.1>b.1".to_string(), 30);
     account.ledger.get_mut("a.1").expect("made above").settled = 70;
-    let before = (account.bound(), account.settled(), account.unspent("b.1"));
-    assert!(record.fold("a.1"));
+    let before = (
+        account.committed(),
+        account.settled(),
+        account.unspent("b.1"),
+    );
+    assert!(record.retire_holder("a.1"));
     let account = &record.accounts["c"];
     assert_eq!(
         before,
-        (account.bound(), account.settled(), account.unspent("b.1"))
+        (
+            account.committed(),
+            account.settled(),
+            account.unspent("b.1")
+        )
     );
-    assert!(!record.fold("b.1"), "it still holds tokens");
+    assert!(!record.retire_holder("b.1"), "it still holds tokens");
 }
 
 #[test]
@@ -271,7 +279,7 @@
     let account = record.accounts.get_mut("c").expect("made above");
     assert_eq!(account.release("x", "a.1", "burnt", "me"), 200);
     assert_eq!(account.release("x", "a.1", "burnt", "me"), 200);
-    assert_eq!((account.free(), account.bound()), (900, 100));
+    assert_eq!((account.free(), account.committed()), (900, 100));
 }
 
 /// Symptom: an act is taken for another one.
@@ -310,7 +318,9 @@
     bench.step(Event::WriteCommitted { revision: 2 });
     assert_eq!(alone.accounts["c"].unspent("a.1"), 100_000);
     let peers = vec!["a.1".to_string(), "b.1".to_string()];
-    bench.home.place(Role::Home, peers, Some("b.1".to_string()));
+    bench
+        .home
+        .set_role(Role::Home, peers, Some("b.1".to_string()));
     let out = bench.step(Event::Tick);
     let (_, together) = written(&out);
     bench.step(Event::WriteCommitted { revision: 3 });
@@ -342,7 +352,9 @@
     bench.now += 60_000;
     bench.step(Event::Tick);
     let peers = vec!["a.1".to_string(), "b.1".to_string()];
-    bench.home.place(Role::Home, peers, Some("b.1".to_string()));
+    bench
+        .home
+        .set_role(Role::Home, peers, Some("b.1".to_string()));
     bench.step(Event::RecordRead(stored(4, record.clone())));
     for _ in 0..3 {
         if let Some((base, next)) = written_in(&bench.step(Event::Tick)) {
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -276,7 +276,7 @@
 }
 
 async fn account(shared: &Shared, name: &str) -> Result<Account, Error> {
-    let shard = placement::shard(name, shared.settings.shards());
+    let shard = placement::shard_of(name, shared.settings.shards());
     let mut record = record(shared, shard).await?;
     let none = || Error::new(Kind::NotFound, format!("customer {name:?} has no budget"));
     record.accounts.remove(name).ok_or_else(none)
@@ -290,7 +290,7 @@
 }
 
 async fn bills(shared: &Shared, name: &str) -> Result<Res, Error> {
-    let shard = placement::shard(name, shared.settings.shards());
+    let shard = placement::shard_of(name, shared.settings.shards());
     let record = record(shared, shard).await?;
     let mut bills = Vec::new();
     let mut next = record.last_segment.clone();
--- a/crates/entry/src/bankd.rs
+++ b/crates/entry/src/bankd.rs
@@ -33,7 +33,7 @@
         ..Params::default()
     };
     let clock = shared.clock;
-    let bank = ShardManager::open(
+    let bank = ShardManager::new(
         clock.now(),
         &shared.me,
         settings.shards(),
@@ -236,7 +236,7 @@
                 self.bank.step_all(now, &Event::Tick)
             }
             Cmd::IsClear(tx) => {
-                let _ = tx.send(self.bank.is_clear());
+                let _ = tx.send(self.bank.is_drained());
                 Vec::new()
             }
             Cmd::Dump(tx) => {
@@ -247,7 +247,7 @@
     }
 
     fn step(&mut self, now: u64, account: &str, event: Event) -> Vec<ShardAction> {
-        let shard = self.bank.shard(account);
+        let shard = self.bank.shard_of(account);
         self.bank.step(now, shard, event)
     }
 
@@ -395,9 +395,9 @@
 
     fn dump(&self) -> Value {
         let mut shards = BTreeMap::new();
-        for (shard, home) in self.bank.homes() {
+        for (shard, home) in self.bank.shards() {
             let locals: BTreeMap<_, _> = home
-                .locals()
+                .local_accounts()
                 .iter()
                 .map(|(name, l)| {
                     let row = json!({
--- a/crates/entry/src/pipe/reserve.rs
+++ b/crates/entry/src/pipe/reserve.rs
@@ -140,7 +140,7 @@
 /// Returns the instances to ask for a budget: the home, the own zone's standby, the others.
 pub fn homes(shared: &Shared, account: &str) -> Vec<String> {
     let candidates = shared.candidates();
-    let shard = placement::shard(account, shared.settings.shards());
+    let shard = placement::shard_of(account, shared.settings.shards());
     let mut order = placement::home_and_standbys(shard, &candidates);
     if order.len() > 1 {
         order[1..].sort_by_key(|c| c.zone != shared.settings.zone);
--- a/crates/trial/src/caller.rs
+++ b/crates/trial/src/caller.rs
@@ -69,7 +69,7 @@
                 zone: self.nodes[*n].zone.to_string(),
             })
             .collect();
-        let shard = placement::shard(&self.account(account), SHARDS);
+        let shard = placement::shard_of(&self.account(account), SHARDS);
         let own = self.nodes[entry].zone.to_string();
         let mut order = placement::home_and_standbys(shard, &candidates);
         match self.policy.asks() {
@@ -112,7 +112,7 @@
             weight: 25,
         };
         let ask = self.ask(node, Ask::Reserve { job, tries });
-        let shard = self.nodes[node].bank.shard(&account);
+        let shard = self.nodes[node].bank.shard_of(&account);
         let deadline = self.now + HOME_WAIT;
         self.step(
             node,
@@ -159,7 +159,7 @@
             request_id: request.id.clone(),
             entry: self.nodes[entry].id.clone(),
         };
-        let shard = self.nodes[node].bank.shard(&account);
+        let shard = self.nodes[node].bank.shard_of(&account);
         self.step(node, shard, event);
     }
 
@@ -317,7 +317,7 @@
     pub(crate) fn settle(&mut self, node: usize, job: usize, post: Settlement) {
         let account = self.account(self.requests[self.jobs[job].request].account);
         let ask = Some(self.ask(node, Ask::Settle { job }));
-        let shard = self.nodes[node].bank.shard(&account);
+        let shard = self.nodes[node].bank.shard_of(&account);
         let event = Event::Settle {
             reply_to: ask,
             account,
--- a/crates/trial/src/check.rs
+++ b/crates/trial/src/check.rs
@@ -67,7 +67,7 @@
     let joints = stored
         .joint_grants
         .keys()
-        .filter_map(|k| budget::record::joint_parts(k));
+        .filter_map(|k| budget::record::parse_joint_key(k));
     let holders: BTreeSet<String> = lines.chain(joints.map(|(h, _)| h.to_string())).collect();
     let holders: BTreeSet<&String> = holders.iter().collect();
     let unopened = |h: &&String| stored.unopened(h);
@@ -81,7 +81,7 @@
     if billed > settled {
         return Err(format!("{name}: billed {billed}, settled {settled}"));
     }
-    if stored.bound() > stored.total() {
+    if stored.committed() > stored.total() {
         return Err(format!("{name}: granted more than was paid for"));
     }
     Ok(())
--- a/crates/trial/src/link.rs
+++ b/crates/trial/src/link.rs
@@ -18,7 +18,7 @@
         let name = self.account(account);
         let to = self.nodes[from].id.clone();
         let ask = self.ask(node, Ask::Recall { from, account });
-        let shard = self.nodes[node].bank.shard(&name);
+        let shard = self.nodes[node].bank.shard_of(&name);
         let event = Event::Recall {
             reply_to: ask,
             account: name,
@@ -41,7 +41,7 @@
             return;
         }
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard(&name);
+        let shard = self.nodes[node].bank.shard_of(&name);
         let event = Event::RecallReply {
             account: name,
             from: self.nodes[from].id.clone(),
@@ -52,7 +52,7 @@
 
     pub(crate) fn keep(&mut self, node: usize, from: usize, account: usize, post: Settlement) {
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard(&name);
+        let shard = self.nodes[node].bank.shard_of(&name);
         let hold = post.hold;
         let account = name.clone();
         self.step(
@@ -258,7 +258,7 @@
         upto: u64,
     ) {
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard(&name);
+        let shard = self.nodes[node].bank.shard_of(&name);
         let ask = Ask::Open {
             from,
             account,
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/world.rs
@@ -205,7 +205,7 @@
         let node = self.nodes.len();
         let id = format!("n{slot}.{node}");
         let params = self.policy.params(INSTANCES);
-        let bank = ShardManager::open(self.now, &id, SHARDS, WRITES_PER_SEC, params);
+        let bank = ShardManager::new(self.now, &id, SHARDS, WRITES_PER_SEC, params);
         self.nodes.push(Node {
             id,
             slot,
@@ -353,7 +353,7 @@
         if !self.nodes[node].told_leave {
             self.nodes[node].told_leave = true;
             self.nodes[node].bank.leave();
-        } else if self.nodes[node].bank.is_clear() {
+        } else if self.nodes[node].bank.is_drained() {
             self.note(|| format!("node {node} left"));
             self.nodes[node].state = State::Left;
             self.nodes[node].since = self.now;
@@ -458,7 +458,7 @@
         self.topups += 1;
         let id = format!("t{}", self.topups);
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard(&name);
+        let shard = self.nodes[node].bank.shard_of(&name);
         let ask = self.ask(node, Ask::Act);
         let act = OperatorCommand::TopUp { id, tokens };
         let account = name;
@@ -492,7 +492,7 @@
             let lines = account.ledger.keys().filter(|h| gone(h));
             sum += lines.map(|h| account.unspent(h)).sum::<u64>();
             let joints = account.joint_grants.iter().filter(|(k, _)| {
-                let parts = budget::record::joint_parts(k);
+                let parts = budget::record::parse_joint_key(k);
                 parts.is_some_and(|(h, w)| gone(h) && gone(w))
             });
             sum += joints.map(|(_, j)| j.granted - j.opened).sum::<u64>();
