--- a/crates/budget/src/archived_bills.rs
+++ b/crates/budget/src/archived_bills.rs
@@ -8,30 +8,30 @@
 use crate::record::{Bill, BillSegment};
 
 /// How long a request's id is looked for among older bills, in milliseconds.
-const WINDOW_MS: u64 = 600_000;
+const BILL_WINDOW_MS: u64 = 600_000;
 /// Segment names remembered as loaded.
-const LOADED_MOST: usize = 1_024;
+const MAX_LOADED_SEGMENTS: usize = 1_024;
 
 /// Older bills, as far as they are loaded.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Older {
+pub(crate) struct ArchivedBills {
     loaded: VecDeque<String>,
     bills: BTreeMap<(String, String), Bill>,
     latest_ms: u64,
     /// The segments of a walk that has not reached a loaded or an old one yet, latest first.
-    walked: Vec<String>,
+    walk: Vec<String>,
     next: Option<String>,
 }
 
-impl Older {
+impl ArchivedBills {
     /// Returns the segment to load next, if a record's segments are not all known.
-    pub(crate) fn lacks(&mut self, last: Option<&String>) -> Option<String> {
+    pub(crate) fn next_missing(&mut self, last: Option<&String>) -> Option<String> {
         let last = last?;
         if self.loaded.contains(last) {
             return None;
         }
-        if self.walked.first() != Some(last) {
-            self.walked = vec![last.clone()];
+        if self.walk.first() != Some(last) {
+            self.walk = vec![last.clone()];
             self.next = Some(last.clone());
         }
         self.next.clone()
@@ -43,17 +43,17 @@
     }
 
     /// Takes a segment that was asked for.
-    pub(crate) fn load(&mut self, segment: BillSegment) {
-        let newest = self.add(&segment);
+    pub(crate) fn add_loaded(&mut self, segment: BillSegment) {
+        let newest = self.add_bills(&segment);
         let prev = segment.prev.filter(|p| !self.loaded.contains(p));
         match prev {
-            Some(prev) if newest + WINDOW_MS >= self.latest_ms => {
-                self.walked.push(prev.clone());
+            Some(prev) if newest + BILL_WINDOW_MS >= self.latest_ms => {
+                self.walk.push(prev.clone());
                 self.next = Some(prev);
             }
             _ => {
-                for name in std::mem::take(&mut self.walked).into_iter().rev() {
-                    self.remember(name);
+                for name in std::mem::take(&mut self.walk).into_iter().rev() {
+                    self.mark_loaded(name);
                 }
                 self.next = None;
             }
@@ -61,19 +61,19 @@
     }
 
     /// Takes a segment that this home has written itself.
-    pub(crate) fn wrote(&mut self, name: &str, segment: &BillSegment) {
-        self.add(segment);
-        self.remember(name.to_string());
+    pub(crate) fn add_written(&mut self, name: &str, segment: &BillSegment) {
+        self.add_bills(segment);
+        self.mark_loaded(name.to_string());
     }
 
-    fn remember(&mut self, name: String) {
+    fn mark_loaded(&mut self, name: String) {
         self.loaded.push_back(name);
-        if self.loaded.len() > LOADED_MOST {
+        if self.loaded.len() > MAX_LOADED_SEGMENTS {
             self.loaded.pop_front();
         }
     }
 
-    fn add(&mut self, segment: &BillSegment) -> u64 {
+    fn add_bills(&mut self, segment: &BillSegment) -> u64 {
         let mut newest = 0;
         for (account, bills) in &segment.bills {
             for bill in bills {
@@ -83,7 +83,7 @@
             }
         }
         self.latest_ms = self.latest_ms.max(newest);
-        let oldest = self.latest_ms.saturating_sub(WINDOW_MS);
+        let oldest = self.latest_ms.saturating_sub(BILL_WINDOW_MS);
         self.bills.retain(|_, b| b.at_ms >= oldest);
         newest
     }
--- a/crates/budget/src/joint_grant.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -14,15 +14,15 @@
 use crate::shard::{Role, Shard};
 
 /// A step covers this much of the demand, in milliseconds.
-const STEP_MS: f64 = 1_500.0;
+const STEP_DEMAND_MS: f64 = 1_500.0;
 /// A witness that does not answer for this long is done without, in milliseconds.
-const PATIENCE_MS: u64 = 200;
+const WITNESS_TIMEOUT_MS: u64 = 200;
 /// Of its own, a holder with a witness keeps so many steps: what is opened ahead, and what requests give back.
-const STEPS_KEPT: f64 = 4.0;
+const MAX_UNWITNESSED_STEPS: f64 = 4.0;
 /// Or this part of the whole budget, where that is more: less is not worth a write.
-const PART_KEPT: u64 = 100;
+const UNWITNESSED_DIVISOR: u64 = 100;
 /// Closed joint grants whose keys are remembered, so that no late step opens them again.
-const CLOSED_KEPT: usize = 4_096;
+const MAX_CLOSED_GRANTS: usize = 4_096;
 
 /// The joint grant of one account at its holder.
 #[derive(Clone, Debug, Serialize)]
@@ -55,19 +55,19 @@
 
 /// What an instance knows as a witness.
 #[derive(Debug, Default)]
-pub(crate) struct Witness {
+pub(crate) struct WitnessState {
     /// Tokens opened of each joint grant, by its key.
     opened: BTreeMap<String, u64>,
     /// Joint grants that get no step any more.
     closed: BTreeSet<String>,
     closed_order: VecDeque<String>,
     /// Holders that fell silent.
-    pub(crate) silent: BTreeSet<String>,
+    pub(crate) unresponsive: BTreeSet<String>,
 }
 
-impl Witness {
+impl WitnessState {
     /// Gives its word for a step; returns all that is opened.
-    pub(crate) fn open(&mut self, key: &str, upto: u64) -> u64 {
+    pub(crate) fn approve_step(&mut self, key: &str, upto: u64) -> u64 {
         let opened = self.opened.entry(key.to_string()).or_default();
         if !self.closed.contains(key) {
             *opened = upto.max(*opened);
@@ -80,7 +80,7 @@
         if self.closed.insert(key.to_string()) {
             self.closed_order.push_back(key.to_string());
         }
-        if self.closed_order.len() > CLOSED_KEPT {
+        if self.closed_order.len() > MAX_CLOSED_GRANTS {
             if let Some(old) = self.closed_order.pop_front() {
                 self.closed.remove(&old);
                 self.opened.remove(&old);
@@ -98,41 +98,41 @@
 
 impl Shard {
     /// Returns the tokens that the account's joint grant has left to open, while that works.
-    pub(crate) fn joint_left(&self, now: u64, name: &str) -> u64 {
-        let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
-        let Some(joint) = joint.filter(|j| !j.closing && !is_late(now, j)) else {
+    pub(crate) fn joint_remaining(&self, now: u64, name: &str) -> u64 {
+        let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
+        let Some(joint) = joint.filter(|j| !j.closing && !witness_timed_out(now, j)) else {
             return 0;
         };
         let stored = self
-            .stored(name)
+            .stored_account(name)
             .and_then(|a| a.joint_grants.get(&joint.key));
         stored.map_or(0, |s| s.granted.saturating_sub(joint.opened))
     }
 
     /// Returns tokens that the joint grant has opened here, as long as the record shows it.
     pub(crate) fn joint_opened(&self, name: &str) -> u64 {
-        let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
+        let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         let shown = joint.filter(|j| {
-            self.stored(name)
+            self.stored_account(name)
                 .is_some_and(|a| a.joint_grants.contains_key(&j.key))
         });
         shown.map_or(0, |j| j.opened)
     }
 
     /// Returns whether grants of an account go to a joint grant.
-    pub(crate) fn grants_jointly(&self, now: u64, name: &str) -> bool {
-        let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
-        let usable = joint.is_none_or(|j| !j.closing && !is_late(now, j));
+    pub(crate) fn uses_joint_grant(&self, now: u64, name: &str) -> bool {
+        let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
+        let usable = joint.is_none_or(|j| !j.closing && !witness_timed_out(now, j));
         self.params.joint_grants && self.witness.is_some() && usable
     }
 
     /// Asks the witness for a step that covers a lack.
-    pub(crate) fn ask_step(&mut self, now: u64, name: &str, lack: u64, out: &mut Vec<Action>) {
-        let left = self.joint_left(now, name);
-        let Some(local) = self.locals.get_mut(name) else {
+    pub(crate) fn request_step(&mut self, now: u64, name: &str, lack: u64, out: &mut Vec<Action>) {
+        let left = self.joint_remaining(now, name);
+        let Some(local) = self.local_accounts.get_mut(name) else {
             return;
         };
-        let step = (local.demand_rate(now) * STEP_MS / 1000.0) as u64;
+        let step = (local.demand_rate(now) * STEP_DEMAND_MS / 1000.0) as u64;
         let Some(joint) = local.joint.as_mut().filter(|j| j.pending_step.is_none()) else {
             return;
         };
@@ -150,8 +150,8 @@
     }
 
     /// Takes the witness' answer; none when it did not come.
-    pub(crate) fn opened(&mut self, name: &str, key: &str, opened: Option<u64>) {
-        let local = self.locals.get_mut(name);
+    pub(crate) fn on_step_reply(&mut self, name: &str, key: &str, opened: Option<u64>) {
+        let local = self.local_accounts.get_mut(name);
         let joint = local.and_then(|l| l.joint.as_mut());
         let Some(joint) = joint.filter(|j| j.key == key && !j.closing) else {
             // It is being handed back: a step that comes now must not be spent.
@@ -171,23 +171,24 @@
     }
 
     /// Opens the next step before the last one is used up, and tells witnesses of new grants.
-    pub(crate) fn open_ahead(&mut self, now: u64, out: &mut Vec<Action>) {
+    pub(crate) fn open_steps_ahead(&mut self, now: u64, out: &mut Vec<Action>) {
         let due = |n: &&String| {
-            let Some(local) = self.locals.get(*n) else {
+            let Some(local) = self.local_accounts.get(*n) else {
                 return false;
             };
             let unwatched = local.joint.as_ref().is_some_and(|j| !j.is_watched);
-            unwatched || self.available(n) < (local.demand_rate(now) * STEP_MS / 2000.0) as u64
+            unwatched
+                || self.available(n) < (local.demand_rate(now) * STEP_DEMAND_MS / 2000.0) as u64
         };
-        let names: Vec<String> = self.hot.iter().filter(due).cloned().collect();
+        let names: Vec<String> = self.active_accounts.iter().filter(due).cloned().collect();
         for name in names {
-            self.ask_step(now, &name, 0, out);
+            self.request_step(now, &name, 0, out);
         }
     }
 
     /// Returns whether the account's joint grant is to be handed back by this holder.
-    pub(crate) fn must_close(&self, name: &str) -> bool {
-        let joint = self.locals.get(name).and_then(|l| l.joint.as_ref());
+    pub(crate) fn must_close_joint(&self, name: &str) -> bool {
+        let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         joint.is_some_and(|j| {
             let witness = parse_joint_key(&j.key).map(|(_, w)| w);
             let alone = !self.peers.iter().any(|p| Some(p.as_str()) == witness);
@@ -199,14 +200,14 @@
     ///
     /// A partner that is late on a busy machine counts as silent for a while, and grants are taken without it
     /// meanwhile: up to a quarter of a budget, which a crash much later would strand whole.
-    pub(crate) fn give_lone(&mut self, now: u64) {
-        if self.failures > 0 {
+    pub(crate) fn return_unwitnessed(&mut self, now: u64) {
+        if self.consecutive_failures > 0 {
             return;
         }
-        let names: Vec<String> = self.hot.iter().cloned().collect();
+        let names: Vec<String> = self.active_accounts.iter().cloned().collect();
         for name in names {
-            let lone = self.lone(now, &name);
-            let Some(local) = self.locals.get_mut(&name) else {
+            let lone = self.unwitnessed_excess(now, &name);
+            let Some(local) = self.local_accounts.get_mut(&name) else {
                 continue;
             };
             if lone > 0 && local.waiting.is_empty() && local.returning == 0 {
@@ -217,40 +218,46 @@
 
     /// Returns the tokens that were granted to this holder alone, beyond what a holder with a witness keeps of its own; 0 while it has
     /// none.
-    pub(crate) fn lone(&self, now: u64, name: &str) -> u64 {
-        if !self.grants_jointly(now, name) {
+    pub(crate) fn unwitnessed_excess(&self, now: u64, name: &str) -> u64 {
+        if !self.uses_joint_grant(now, name) {
             return 0;
         }
-        let Some(local) = self.locals.get(name) else {
+        let Some(local) = self.local_accounts.get(name) else {
             return 0;
         };
         let own = self.granted(name).min(self.available(name));
-        let total = self.stored(name).map_or(0, Account::total);
-        let steps = (local.demand_rate(now) * STEP_MS / 1000.0 * STEPS_KEPT) as u64;
-        own.saturating_sub(steps.max(total / PART_KEPT))
+        let total = self.stored_account(name).map_or(0, Account::total);
+        let steps =
+            (local.demand_rate(now) * STEP_DEMAND_MS / 1000.0 * MAX_UNWITNESSED_STEPS) as u64;
+        own.saturating_sub(steps.max(total / UNWITNESSED_DIVISOR))
     }
 
     /// Takes no further step of joint grants that the next write ends.
     ///
     /// A step that came while the write is on its way would be handed back and spent as well.
-    pub(crate) fn end_steps(&mut self) {
-        let ends = |n: &String| self.must_close(n);
-        let names: Vec<String> = self.hot.iter().filter(|n| ends(n)).cloned().collect();
+    pub(crate) fn stop_steps(&mut self) {
+        let ends = |n: &String| self.must_close_joint(n);
+        let names: Vec<String> = self
+            .active_accounts
+            .iter()
+            .filter(|n| ends(n))
+            .cloned()
+            .collect();
         for name in names {
-            let local = self.locals.get_mut(&name).expect("listed above");
+            let local = self.local_accounts.get_mut(&name).expect("listed above");
             local.joint.as_mut().expect("must_close found it").closing = true;
         }
     }
 
     /// Returns the joint grants that this witness is to hand back for silent holders.
-    fn to_close(&self, record: &ShardRecord) -> Vec<(String, String)> {
+    fn joints_to_close(&self, record: &ShardRecord) -> Vec<(String, String)> {
         let mut keys = Vec::new();
         for (name, account) in &record.accounts {
             for key in account.joint_grants.keys() {
                 let Some((holder, witness)) = parse_joint_key(key) else {
                     continue;
                 };
-                if witness == self.me && self.witness_of.silent.contains(holder) {
+                if witness == self.me && self.witness_state.unresponsive.contains(holder) {
                     keys.push((name.clone(), key.clone()));
                 }
             }
@@ -259,15 +266,17 @@
     }
 
     /// Returns whether joint grants of silent holders are to be handed back.
-    pub(crate) fn has_silent_joints(&self) -> bool {
-        !self.witness_of.silent.is_empty()
-            && self.record().is_some_and(|r| !self.to_close(r).is_empty())
+    pub(crate) fn has_joints_to_close(&self) -> bool {
+        !self.witness_state.unresponsive.is_empty()
+            && self
+                .record()
+                .is_some_and(|r| !self.joints_to_close(r).is_empty())
     }
 
     /// Hands joint grants of silent holders back; their steps end first.
-    pub(crate) fn close_silent(&mut self, record: &mut ShardRecord) {
-        for (name, key) in self.to_close(record) {
-            let opened = self.witness_of.close(&key);
+    pub(crate) fn close_joints_of_unresponsive(&mut self, record: &mut ShardRecord) {
+        for (name, key) in self.joints_to_close(record) {
+            let opened = self.witness_state.close(&key);
             let account = record.accounts.get_mut(&name).expect("listed from it");
             account.close_joint_grant(&key, opened);
         }
@@ -276,9 +285,9 @@
     /// Writes this holder's joint grant: what is opened, what is added, or its end.
     pub(crate) fn write_joint(&self, name: &str, number: u64, adds: u64, account: &mut Account) {
         let own = account.joint_grant_of(&self.me).map(|(k, _)| k.clone());
-        let local = self.locals.get(name).and_then(|l| l.joint.as_ref());
+        let local = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         if let (Some(key), Some(local)) = (&own, local) {
-            if self.must_close(name) {
+            if self.must_close_joint(name) {
                 account.close_joint_grant(key, local.opened);
                 return;
             }
@@ -298,20 +307,20 @@
     }
 
     /// Forgets silent holders whose joint grants are all handed back.
-    pub(crate) fn forget_silent(&mut self) {
-        let Some(record) = self.known.as_ref().map(|(s, _)| &s.record) else {
+    pub(crate) fn forget_unresponsive(&mut self) {
+        let Some(record) = self.snapshot.as_ref().map(|(s, _)| &s.record) else {
             return;
         };
         let keys = record.accounts.values().flat_map(|a| a.joint_grants.keys());
         let pairs: Vec<_> = keys.filter_map(|k| parse_joint_key(k)).collect();
         let me = self.me.as_str();
-        let silent = &mut self.witness_of.silent;
+        let silent = &mut self.witness_state.unresponsive;
         silent.retain(|h| pairs.iter().any(|(holder, w)| h == holder && *w == me));
     }
 
     /// Takes over which joint grant the record shows for each account.
     pub(crate) fn adopt_joints(&mut self) {
-        let Some((stored, _)) = &self.known else {
+        let Some((stored, _)) = &self.snapshot else {
             return;
         };
         let accounts = &stored.record.accounts;
@@ -319,9 +328,9 @@
             let Some((key, joint)) = account.joint_grant_of(&self.me) else {
                 continue;
             };
-            let local = self.locals.entry(name.clone()).or_default();
+            let local = self.local_accounts.entry(name.clone()).or_default();
             if local.joint.as_ref().is_none_or(|j| j.key != *key) {
-                self.hot.insert(name.clone());
+                self.active_accounts.insert(name.clone());
                 local.joint = Some(LocalJointGrant {
                     key: key.clone(),
                     opened: joint.opened,
@@ -331,7 +340,7 @@
                 });
             }
         }
-        for (name, local) in &mut self.locals {
+        for (name, local) in &mut self.local_accounts {
             let shown = |j: &LocalJointGrant| {
                 accounts
                     .get(name)
@@ -343,8 +352,8 @@
     }
 }
 
-fn is_late(now: u64, joint: &LocalJointGrant) -> bool {
+fn witness_timed_out(now: u64, joint: &LocalJointGrant) -> bool {
     joint
         .pending_step
-        .is_some_and(|(at, _)| now > at + PATIENCE_MS)
+        .is_some_and(|(at, _)| now > at + WITNESS_TIMEOUT_MS)
 }
--- a/crates/budget/src/local_account.rs
+++ b/crates/budget/src/local_account.rs
@@ -9,13 +9,13 @@
 use crate::msg::{AttemptRef, OperatorCommand, ReserveReply, Settlement};
 
 /// Finished requests remembered for callers that retry.
-const DONE_KEPT: usize = 1024;
+const MAX_FINISHED: usize = 1024;
 /// How long a finished request is remembered, in milliseconds.
-const DONE_MS: u64 = 600_000;
+const FINISHED_TTL_MS: u64 = 600_000;
 /// Requests remembered as given up before they were reserved.
-const VOID_KEPT: usize = 256;
+const MAX_VOIDED: usize = 256;
 /// The demand is averaged over about this long, in milliseconds.
-const RATE_MS: f64 = 5_000.0;
+const DEMAND_WINDOW_MS: f64 = 5_000.0;
 
 /// Tokens held back for one request.
 #[derive(Clone, Debug, Serialize)]
@@ -177,11 +177,11 @@
 
     /// Remembers a finished request.
     pub fn add_finished(&mut self, now: u64, request: String, mut done: FinishedRequest) {
-        done.expires_at = now + DONE_MS;
+        done.expires_at = now + FINISHED_TTL_MS;
         if self.finished.insert(request.clone(), done).is_none() {
             self.finished_order.push_back(request);
         }
-        while self.finished_order.len() > DONE_KEPT || self.oldest_is_stale(now) {
+        while self.finished_order.len() > MAX_FINISHED || self.oldest_is_stale(now) {
             if let Some(old) = self.finished_order.pop_front() {
                 self.finished.remove(&old);
             }
@@ -199,7 +199,7 @@
     /// Remembers that an entry will not use a reservation that may still arrive.
     pub fn add_voided(&mut self, entry: &str, request: &str) {
         self.voided.push_back(format!("{entry}/{request}"));
-        if self.voided.len() > VOID_KEPT {
+        if self.voided.len() > MAX_VOIDED {
             self.voided.pop_front();
         }
     }
@@ -213,8 +213,8 @@
     /// Counts demand.
     pub fn add_demand(&mut self, now: u64, tokens: u64) {
         let passed = now.saturating_sub(self.demand_at) as f64;
-        self.demand_rate *= (-passed / RATE_MS).exp();
-        self.demand_rate += tokens as f64 * 1000.0 / RATE_MS;
+        self.demand_rate *= (-passed / DEMAND_WINDOW_MS).exp();
+        self.demand_rate += tokens as f64 * 1000.0 / DEMAND_WINDOW_MS;
         self.demand_at = now;
         self.last_used_at = now;
     }
@@ -222,7 +222,7 @@
     /// Returns the demand, in tokens a second.
     pub fn demand_rate(&self, now: u64) -> f64 {
         let passed = now.saturating_sub(self.demand_at) as f64;
-        self.demand_rate * (-passed / RATE_MS).exp()
+        self.demand_rate * (-passed / DEMAND_WINDOW_MS).exp()
     }
 
     /// Returns whether nothing is under way.
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -8,7 +8,7 @@
 use crate::range_set::RangeSet;
 
 /// Folded holders whose names are remembered, so that a late bill of theirs isn't posted again.
-const TOMBSTONES: usize = 256;
+const MAX_TOMBSTONES: usize = 256;
 
 /// One shard: some accounts, written as one value.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -363,7 +363,7 @@
         }
         self.writers.remove(holder);
         self.tombstones.push_back(holder.to_string());
-        if self.tombstones.len() > TOMBSTONES {
+        if self.tombstones.len() > MAX_TOMBSTONES {
             self.tombstones.pop_front();
         }
         true
--- a/crates/budget/src/record_sync.rs
+++ b/crates/budget/src/record_sync.rs
@@ -6,82 +6,83 @@
 use crate::local_account::LocalAccount;
 use crate::msg::{Action, Durability, OperatorCommand, RecordSnapshot};
 use crate::record::{Account, BillSegment, ShardRecord};
-use crate::shard::{act_reply, Io, Proposal, Role, Shard};
+use crate::shard::{stored_operator_reply, PlatformCall, Role, Shard, UnresolvedWrite};
 use crate::write_limiter::WriteLimiter;
 
 /// Bills in a record above which the older half moves to a segment: each commit writes them all.
-const ROLL_BILLS: usize = 128;
+const MAX_RECORD_BILLS: usize = 128;
 /// The same, while the platform has no writes to spare.
-const ROLL_BILLS_BUSY: usize = 512;
+const MAX_RECORD_BILLS_BUSY: usize = 512;
 /// Read again when a write waits for the pacer no longer than this, in milliseconds.
-const IDLE_USE_MS: u64 = 300_000;
+const IDLE_ACCOUNT_MS: u64 = 300_000;
 
 impl Shard {
     /// Serves who waits, then starts the platform call that is due.
-    pub(crate) fn pump(&mut self, now: u64, pacer: &mut WriteLimiter, out: &mut Vec<Action>) {
+    pub(crate) fn advance(&mut self, now: u64, pacer: &mut WriteLimiter, out: &mut Vec<Action>) {
         self.serve_waiting(now, out);
-        if self.io != Io::Idle || now < self.retry_at {
+        if self.open_call != PlatformCall::Idle || now < self.retry_at {
             return;
         }
-        if self.want_read || (self.known.is_none() && self.has_work(now)) {
-            self.want_read = false;
-            self.io = Io::Read { since: now };
+        if self.read_requested || (self.snapshot.is_none() && self.needs_write(now)) {
+            self.read_requested = false;
+            self.open_call = PlatformCall::Read { started_at: now };
             out.push(Action::ReadRecord);
-        } else if let Some(name) = self.lacks_older() {
-            self.io = Io::Segment;
+        } else if let Some(name) = self.missing_segment() {
+            self.open_call = PlatformCall::Segment;
             out.push(Action::ReadSegment { name });
-        } else if self.known.is_some() && self.must_roll(now, pacer) {
+        } else if self.snapshot.is_some() && self.must_archive(now, pacer) {
             self.write_segment(pacer, now, out);
-        } else if self.known.is_some() && self.has_work(now) && pacer.try_acquire(now) {
-            self.write(now, out);
+        } else if self.snapshot.is_some() && self.needs_write(now) && pacer.try_acquire(now) {
+            self.write_record(now, out);
         }
     }
 
     /// Returns the segment of older bills to load before more is held or settled.
-    fn lacks_older(&mut self) -> Option<String> {
+    fn missing_segment(&mut self) -> Option<String> {
         let needs = |l: &LocalAccount| !l.pending.is_empty() || !l.waiting.is_empty();
-        if !self.hot_locals().any(|(_, l)| needs(l)) {
+        if !self.active_local_accounts().any(|(_, l)| needs(l)) {
             return None;
         }
-        let (stored, _) = self.known.as_ref()?;
-        self.older.lacks(stored.record.last_segment.as_ref())
+        let (stored, _) = self.snapshot.as_ref()?;
+        self.archived_bills
+            .next_missing(stored.record.last_segment.as_ref())
     }
 
     /// Takes a segment of older bills.
-    pub(crate) fn segment_read(&mut self, now: u64, segment: Option<BillSegment>) {
+    pub(crate) fn on_segment_read(&mut self, now: u64, segment: Option<BillSegment>) {
         match segment {
             Some(segment) => {
-                self.io = Io::Idle;
-                self.failures = 0;
-                self.older.load(segment);
+                self.open_call = PlatformCall::Idle;
+                self.consecutive_failures = 0;
+                self.archived_bills.add_loaded(segment);
             }
-            None => self.failed(now),
+            None => self.on_call_failed(now),
         }
     }
 
     /// Returns whether the record lacks something that only a write can bring.
-    fn has_work(&mut self, now: u64) -> bool {
-        self.standby_due = self.standby_due && self.standby_lacks(now);
+    fn needs_write(&mut self, now: u64) -> bool {
+        self.standby_check_due = self.standby_check_due && self.standby_needs_grant(now);
         let any = |(name, l): (&String, &LocalAccount)| {
             let local = !l.pending.is_empty() || !l.commands.is_empty() || l.returning > 0;
-            let lacks = self.wants(now, name) > 0 || self.has_unwritten_transfers(name);
-            local || lacks || self.must_close(name)
+            let lacks = self.tokens_to_grant(now, name) > 0 || self.has_unrecorded_transfers(name);
+            local || lacks || self.must_close_joint(name)
         };
-        let own = self.rolled.is_some() || self.hot_locals().any(any);
-        own || self.standby_due || self.has_silent_joints()
+        let own = self.written_segment.is_some() || self.active_local_accounts().any(any);
+        own || self.standby_check_due || self.has_joints_to_close()
     }
 
-    fn hot_locals(&self) -> impl Iterator<Item = (&String, &LocalAccount)> {
-        let hot = self.hot.iter();
-        hot.filter_map(|n| self.locals.get_key_value(n))
+    fn active_local_accounts(&self) -> impl Iterator<Item = (&String, &LocalAccount)> {
+        let hot = self.active_accounts.iter();
+        hot.filter_map(|n| self.local_accounts.get_key_value(n))
     }
 
     /// Returns whether a transfer is not in the record yet.
     ///
     /// A giver that leaves before would show the tokens as its own, and so as stranded.
-    pub(crate) fn has_unwritten_transfers(&self, name: &str) -> bool {
-        let local = &self.locals[name];
-        let stored = self.stored(name);
+    pub(crate) fn has_unrecorded_transfers(&self, name: &str) -> bool {
+        let local = &self.local_accounts[name];
+        let stored = self.stored_account(name);
         let shown = |pair: String| stored.and_then(|a| a.transfers.get(&pair)).copied();
         let me = &self.me;
         let sent = local.sent.iter().map(|(to, t)| (format!("{me}>{to}"), *t));
@@ -94,16 +95,16 @@
     }
 
     /// Returns the tokens to take for an account: for who waits here, or as a standby.
-    fn wants(&self, now: u64, name: &str) -> u64 {
+    fn tokens_to_grant(&self, now: u64, name: &str) -> u64 {
         let need = self.grantable(now, name);
-        let need = need.saturating_sub(self.joint_left(now, name));
+        let need = need.saturating_sub(self.joint_remaining(now, name));
         if need == 0 {
             return 0;
         }
-        let Some(account) = self.stored(name) else {
+        let Some(account) = self.stored_account(name) else {
             return 0;
         };
-        let local = &self.locals[name];
+        let local = &self.local_accounts[name];
         let weight = local.waiting.iter().map(|w| w.weight).max().unwrap_or(100);
         let size = self.params.sizing.size(SizingInput {
             need,
@@ -113,7 +114,7 @@
             weight,
             rate: local.demand_rate(now),
         });
-        if self.params.joint_grants && self.witness.is_some() && !self.grants_jointly(now, name) {
+        if self.params.joint_grants && self.witness.is_some() && !self.uses_joint_grant(now, name) {
             // The witness does not answer: as little as possible without it.
             return size.min(need.saturating_mul(2)).min(account.free());
         }
@@ -121,19 +122,19 @@
     }
 
     /// Returns what a standby should add to its own grant of an account.
-    fn standby_adds(&self, now: u64, name: &str, account: &Account) -> u64 {
+    fn standby_grant(&self, now: u64, name: &str, account: &Account) -> u64 {
         if self.role != Role::Standby || self.params.standby_pct == 0 {
             return 0;
         }
         let can_be_joint = self.params.joint_grants && self.witness.is_some();
-        if can_be_joint && !self.grants_jointly(now, name) {
+        if can_be_joint && !self.uses_joint_grant(now, name) {
             // Its joint grant is being handed back: a standby can wait for the next one, and a
             // grant of its own would strand whole.
             return 0;
         }
         let pct = u128::from(self.params.standby_pct);
         let target = (u128::from(account.free()) * pct / 100) as u64;
-        let has = self.available(name) + self.joint_left(now, name);
+        let has = self.available(name) + self.joint_remaining(now, name);
         if has < target / 2 {
             target - has
         } else {
@@ -141,22 +142,22 @@
         }
     }
 
-    fn standby_lacks(&self, now: u64) -> bool {
+    fn standby_needs_grant(&self, now: u64) -> bool {
         let Some(record) = self.record() else {
             return false;
         };
-        let lacks = |(name, a): (&String, &Account)| self.standby_adds(now, name, a) > 0;
+        let lacks = |(name, a): (&String, &Account)| self.standby_grant(now, name, a) > 0;
         record.accounts.iter().any(lacks)
     }
 
-    fn must_roll(&self, now: u64, pacer: &mut WriteLimiter) -> bool {
+    fn must_archive(&self, now: u64, pacer: &mut WriteLimiter) -> bool {
         let most = if pacer.has_spare(now) {
-            ROLL_BILLS
+            MAX_RECORD_BILLS
         } else {
-            ROLL_BILLS_BUSY
+            MAX_RECORD_BILLS_BUSY
         };
         let full = |r: &ShardRecord| r.bill_count() > most;
-        self.role == Role::Home && self.rolled.is_none() && self.record().is_some_and(full)
+        self.role == Role::Home && self.written_segment.is_none() && self.record().is_some_and(full)
     }
 
     fn write_segment(&mut self, pacer: &mut WriteLimiter, now: u64, out: &mut Vec<Action>) {
@@ -166,40 +167,40 @@
         let segment = self.record().expect("checked by must_roll").next_segment();
         let name = format!("{}.{}", self.me, self.next_write);
         self.next_write += 1;
-        self.rolled = Some((name.clone(), segment.clone()));
-        self.io = Io::Segment;
+        self.written_segment = Some((name.clone(), segment.clone()));
+        self.open_call = PlatformCall::Segment;
         out.push(Action::WriteSegment { name, segment });
     }
 
-    fn write(&mut self, now: u64, out: &mut Vec<Action>) {
-        let (stored, _) = self.known.as_ref().expect("checked by pump");
+    fn write_record(&mut self, now: u64, out: &mut Vec<Action>) {
+        let (stored, _) = self.snapshot.as_ref().expect("checked by pump");
         let base = stored.revision;
         let mut record = stored.record.clone();
         let number = self.next_write;
         self.next_write += 1;
         let mut giving = BTreeMap::new();
-        self.end_steps();
-        for (name, local) in self.hot_locals() {
+        self.stop_steps();
+        for (name, local) in self.active_local_accounts() {
             self.write_account(now, number, name, &mut record);
             if local.returning > 0 {
                 giving.insert(name.clone(), local.returning);
             }
         }
         self.write_standby(now, number, &mut record);
-        self.write_rest(&mut record);
-        self.close_silent(&mut record);
+        self.write_housekeeping(&mut record);
+        self.close_joints_of_unresponsive(&mut record);
         record.writers.insert(self.me.clone(), number);
         if !record.accounts.values().all(Account::is_covered) {
-            self.doubt_base(now, base);
+            self.recheck_base(now, base);
             return;
         }
-        self.doubtful.push(Proposal {
+        self.unresolved_writes.push(UnresolvedWrite {
             number,
-            base,
-            giving,
+            base_revision: base,
+            returning: giving,
             record: record.clone(),
         });
-        self.io = Io::Write { since: now };
+        self.open_call = PlatformCall::Write { started_at: now };
         out.push(Action::WriteRecord {
             base_revision: base,
             record,
@@ -215,27 +216,30 @@
     ///
     /// Panics when the record is the current one: something was spent that nobody granted, and
     /// stopping this instance strands a grant at worst.
-    fn doubt_base(&mut self, now: u64, base: i64) {
-        let read_at = self.known.as_ref().map_or(0, |(_, since)| *since);
-        if let Some((revision, doubted_at)) = self.suspect {
+    fn recheck_base(&mut self, now: u64, base: i64) {
+        let read_at = self.snapshot.as_ref().map_or(0, |(_, since)| *since);
+        if let Some((revision, doubted_at)) = self.overspend_base {
             assert!(
                 revision != base || read_at < doubted_at,
                 "{}: overspend on the current record, revision {base}",
                 self.me
             );
         }
-        if self.suspect.is_none_or(|(revision, _)| revision != base) {
-            self.suspect = Some((base, now));
+        if self
+            .overspend_base
+            .is_none_or(|(revision, _)| revision != base)
+        {
+            self.overspend_base = Some((base, now));
         }
-        self.want_read = true;
+        self.read_requested = true;
     }
 
     fn write_account(&self, now: u64, number: u64, name: &str, record: &mut ShardRecord) {
-        let local = &self.locals[name];
-        let wanted = self.wants(now, name);
+        let local = &self.local_accounts[name];
+        let wanted = self.tokens_to_grant(now, name);
         for pending in &local.pending {
             let has_older = self
-                .older
+                .archived_bills
                 .bill(name, &pending.settlement.request_id)
                 .is_some();
             record.post(name, &pending.settlement, has_older);
@@ -250,15 +254,15 @@
         }
         let account = record.accounts.entry(name.to_string()).or_default();
         for (to, tokens) in &local.sent {
-            merge(account, format!("{}>{to}", self.me), *tokens);
+            raise_transfer(account, format!("{}>{to}", self.me), *tokens);
         }
         for (from, tokens) in &local.received {
-            merge(account, format!("{from}>{}", self.me), *tokens);
+            raise_transfer(account, format!("{from}>{}", self.me), *tokens);
         }
         for (_, act) in &local.commands {
-            apply_act(account, act);
+            apply_command(account, act);
         }
-        let jointly = self.grants_jointly(now, name);
+        let jointly = self.uses_joint_grant(now, name);
         let (joint, own) = if jointly { (wanted, 0) } else { (0, wanted) };
         self.write_joint(name, number, joint, account);
         if own + local.returning > 0 {
@@ -272,8 +276,8 @@
             return;
         }
         for (name, account) in &mut record.accounts {
-            let adds = self.standby_adds(now, name, account).min(account.free());
-            if adds > 0 && self.grants_jointly(now, name) {
+            let adds = self.standby_grant(now, name, account).min(account.free());
+            if adds > 0 && self.uses_joint_grant(now, name) {
                 self.write_joint(name, number, adds, account);
             } else if adds > 0 {
                 account.ledger.entry(self.me.clone()).or_default().granted += adds as i64;
@@ -281,30 +285,35 @@
         }
     }
 
-    fn write_rest(&self, record: &mut ShardRecord) {
-        if let Some((name, segment)) = &self.rolled {
+    fn write_housekeeping(&self, record: &mut ShardRecord) {
+        if let Some((name, segment)) = &self.written_segment {
             record.apply_segment(name, segment);
         }
-        for holder in &self.gone {
+        for holder in &self.departed {
             record.retire_holder(holder);
         }
     }
 
     /// Takes over what a read found.
-    pub(crate) fn read(&mut self, now: u64, stored: Option<RecordSnapshot>, out: &mut Vec<Action>) {
-        let since = match self.io {
-            Io::Read { since } => since,
+    pub(crate) fn on_read(
+        &mut self,
+        now: u64,
+        stored: Option<RecordSnapshot>,
+        out: &mut Vec<Action>,
+    ) {
+        let since = match self.open_call {
+            PlatformCall::Read { started_at: since } => since,
             _ => now,
         };
-        self.io = Io::Idle;
-        self.failures = 0;
+        self.open_call = PlatformCall::Idle;
+        self.consecutive_failures = 0;
         self.retry_at = 0;
         self.adopt(or_empty(stored), since, out);
     }
 
     /// Takes over this home's own write.
-    pub(crate) fn written(&mut self, revision: i64, out: &mut Vec<Action>) {
-        let Some(proposal) = self.doubtful.last() else {
+    pub(crate) fn on_write_committed(&mut self, revision: i64, out: &mut Vec<Action>) {
+        let Some(proposal) = self.unresolved_writes.last() else {
             return;
         };
         let record = proposal.record.clone();
@@ -312,97 +321,104 @@
     }
 
     /// Takes over the write that came first.
-    pub(crate) fn write_lost(&mut self, stored: Option<RecordSnapshot>, out: &mut Vec<Action>) {
+    pub(crate) fn on_write_conflict(
+        &mut self,
+        stored: Option<RecordSnapshot>,
+        out: &mut Vec<Action>,
+    ) {
         self.end_write(or_empty(stored), out);
     }
 
     fn end_write(&mut self, stored: RecordSnapshot, out: &mut Vec<Action>) {
-        let since = match self.io {
-            Io::Write { since } => since,
+        let since = match self.open_call {
+            PlatformCall::Write { started_at: since } => since,
             _ => 0,
         };
-        self.io = Io::Idle;
-        self.failures = 0;
+        self.open_call = PlatformCall::Idle;
+        self.consecutive_failures = 0;
         self.retry_at = 0;
         self.adopt(stored, since, out);
     }
 
     /// Makes a record the known one, and finds out which of this home's writes it holds.
     fn adopt(&mut self, stored: RecordSnapshot, since: u64, out: &mut Vec<Action>) {
-        if let Some((old, _)) = &self.known {
+        if let Some((old, _)) = &self.snapshot {
             if stored.revision < old.revision {
                 // A store that went back can't be believed: what it granted may be granted twice.
                 return;
             }
         }
-        self.land(&stored);
-        self.end_roll(&stored.record);
-        self.known = Some((stored, since));
-        self.standby_due = true;
-        self.drop_folded();
-        self.forget_silent();
+        self.resolve_writes(&stored);
+        self.resolve_segment(&stored.record);
+        self.snapshot = Some((stored, since));
+        self.standby_check_due = true;
+        self.drop_retired();
+        self.forget_unresponsive();
         self.adopt_joints();
-        self.merge_transfers();
-        self.drop_posted(out);
-        self.answer_acts(out);
-        self.forget_idle();
+        self.adopt_transfers();
+        self.drop_recorded(out);
+        self.answer_operators(out);
+        self.drop_idle_accounts();
     }
 
     /// Drops a segment that the record names now, or can't name any more.
-    fn end_roll(&mut self, record: &ShardRecord) {
-        let Some((name, segment)) = self.rolled.take() else {
+    fn resolve_segment(&mut self, record: &ShardRecord) {
+        let Some((name, segment)) = self.written_segment.take() else {
             return;
         };
         if record.last_segment.as_ref() == Some(&name) {
-            self.older.wrote(&name, &segment);
+            self.archived_bills.add_written(&name, &segment);
         } else if segment.prev == record.last_segment {
-            self.rolled = Some((name, segment));
+            self.written_segment = Some((name, segment));
         }
     }
 
     /// Ends the doubt about writes that have landed or can land no more.
-    fn land(&mut self, stored: &RecordSnapshot) {
+    fn resolve_writes(&mut self, stored: &RecordSnapshot) {
         let landed = stored.record.writers.get(&self.me).copied().unwrap_or(0);
-        for proposal in std::mem::take(&mut self.doubtful) {
+        for proposal in std::mem::take(&mut self.unresolved_writes) {
             if proposal.number == landed {
-                for (name, tokens) in &proposal.giving {
-                    let local = self.locals.get_mut(name).expect("kept while giving");
+                for (name, tokens) in &proposal.returning {
+                    let local = self
+                        .local_accounts
+                        .get_mut(name)
+                        .expect("kept while giving");
                     local.returning -= tokens;
                 }
-            } else if proposal.base == stored.revision {
+            } else if proposal.base_revision == stored.revision {
                 // Still on its way, perhaps: it can land until the revision moves.
-                self.doubtful.push(proposal);
+                self.unresolved_writes.push(proposal);
             }
         }
     }
 
     /// Drops transfers with holders that were folded up: they are grants of this holder now.
-    fn drop_folded(&mut self) {
-        let Some((stored, _)) = &self.known else {
+    fn drop_retired(&mut self) {
+        let Some((stored, _)) = &self.snapshot else {
             return;
         };
         let tombstones = &stored.record.tombstones;
-        for local in self.locals.values_mut() {
+        for local in self.local_accounts.values_mut() {
             local.received.retain(|h, _| !tombstones.contains(h));
             local.sent.retain(|h, _| !tombstones.contains(h));
         }
     }
 
-    fn merge_transfers(&mut self) {
-        let Some((stored, _)) = &self.known else {
+    fn adopt_transfers(&mut self) {
+        let Some((stored, _)) = &self.snapshot else {
             return;
         };
         for (name, account) in &stored.record.accounts {
             if account.ledger.contains_key(&self.me) {
                 // A standby's grant came without a request; a stop must find and return it too.
-                self.locals.entry(name.clone()).or_default();
+                self.local_accounts.entry(name.clone()).or_default();
             }
             for (pair, tokens) in &account.transfers {
                 let Some((from, to)) = pair.split_once('>') else {
                     continue;
                 };
                 if to == self.me {
-                    let local = self.locals.entry(name.clone()).or_default();
+                    let local = self.local_accounts.entry(name.clone()).or_default();
                     let got = local.received.entry(from.to_string()).or_default();
                     *got = (*got).max(*tokens);
                 }
@@ -411,12 +427,12 @@
     }
 
     /// Drops settlements and holds that the record shows as settled.
-    fn drop_posted(&mut self, out: &mut Vec<Action>) {
-        let Some((stored, _)) = &self.known else {
+    fn drop_recorded(&mut self, out: &mut Vec<Action>) {
+        let Some((stored, _)) = &self.snapshot else {
             return;
         };
         let record = &stored.record;
-        for (name, local) in &mut self.locals {
+        for (name, local) in &mut self.local_accounts {
             local.pending.retain_mut(|p| {
                 let posted = record.is_settled(name, &p.settlement.holder, p.settlement.hold);
                 if posted {
@@ -433,20 +449,20 @@
             let held = &local.holds;
             local.hold_by_request.retain(|_, n| held.contains_key(n));
         }
-        self.kept
+        self.copies
             .retain(|(_, a, p)| !record.is_settled(a, &p.holder, p.hold));
     }
 
-    fn answer_acts(&mut self, out: &mut Vec<Action>) {
-        let Some((stored, _)) = &self.known else {
+    fn answer_operators(&mut self, out: &mut Vec<Action>) {
+        let Some((stored, _)) = &self.snapshot else {
             return;
         };
-        for (name, local) in &mut self.locals {
+        for (name, local) in &mut self.local_accounts {
             let Some(account) = stored.record.accounts.get(name) else {
                 continue;
             };
             local.commands.retain(|(ask, act)| {
-                let reply = act_reply(account, act);
+                let reply = stored_operator_reply(account, act);
                 let answered = reply.is_some();
                 out.extend(reply.map(|reply| Action::OperatorReply {
                     reply_to: *ask,
@@ -458,21 +474,21 @@
     }
 
     /// Forgets accounts that have had nothing here for a while.
-    fn forget_idle(&mut self) {
-        let Some((stored, since)) = &self.known else {
+    fn drop_idle_accounts(&mut self) {
+        let Some((stored, since)) = &self.snapshot else {
             return;
         };
         let holds = |n: &String| {
             let account = stored.record.accounts.get(n);
             account.is_some_and(|a| a.ledger.contains_key(&self.me))
         };
-        self.locals.retain(|n, l| {
+        self.local_accounts.retain(|n, l| {
             let empty = l.is_idle()
                 && l.joint.is_none()
                 && l.commands.is_empty()
                 && l.sent.is_empty()
                 && l.received.is_empty();
-            !(empty && l.returning == 0 && l.last_used_at + IDLE_USE_MS < *since && !holds(n))
+            !(empty && l.returning == 0 && l.last_used_at + IDLE_ACCOUNT_MS < *since && !holds(n))
         });
     }
 }
@@ -485,14 +501,14 @@
 }
 
 /// Only the larger word counts, so that giver and receiver may both report a transfer.
-fn merge(account: &mut Account, pair: String, tokens: u64) {
+fn raise_transfer(account: &mut Account, pair: String, tokens: u64) {
     if tokens > 0 {
         let line = account.transfers.entry(pair).or_default();
         *line = (*line).max(tokens);
     }
 }
 
-fn apply_act(account: &mut Account, act: &OperatorCommand) {
+fn apply_command(account: &mut Account, act: &OperatorCommand) {
     match act {
         OperatorCommand::TopUp { id, tokens } => {
             // A reused id is answered by `act_reply` from the record, which keeps the first act.
--- a/crates/budget/src/reservation.rs
+++ b/crates/budget/src/reservation.rs
@@ -4,18 +4,18 @@
 
 use crate::local_account::{Hold, LocalAccount, ReservationKind, WaitingReservation};
 use crate::msg::{Action, ReserveReply};
-use crate::shard::{Io, Shard};
+use crate::shard::{PlatformCall, Shard};
 
 /// When to come back for tokens that others hold or have reserved, in milliseconds.
-const RETRY_MS: u64 = 1_000;
+const RETRY_AFTER_MS: u64 = 1_000;
 /// When to come back while the platform is out, in milliseconds.
-const OUTAGE_RETRY_MS: u64 = 5_000;
+const OUTAGE_RETRY_AFTER_MS: u64 = 5_000;
 
 /// Failed calls in a row after which the platform counts as out.
 const OUTAGE_FAILURES: u32 = 3;
 
 /// What to do for one waiting entry.
-enum Verdict {
+enum Decision {
     Wait,
     Read,
     Recall(u64),
@@ -26,18 +26,21 @@
 impl Shard {
     pub(crate) fn serve_waiting(&mut self, now: u64, out: &mut Vec<Action>) {
         let waits = |(n, l): (&String, &LocalAccount)| (!l.waiting.is_empty()).then(|| n.clone());
-        let hot = self.hot.iter().filter_map(|n| self.locals.get_key_value(n));
+        let hot = self
+            .active_accounts
+            .iter()
+            .filter_map(|n| self.local_accounts.get_key_value(n));
         let names: Vec<String> = hot.filter_map(waits).collect();
         for name in names {
-            self.hold_what_fits(&name, out);
-            self.judge_rest(now, &name, out);
+            self.reserve_from_available(&name, out);
+            self.decide_remaining(now, &name, out);
         }
     }
 
     /// Serves everyone whose request fits into what is held here.
-    fn hold_what_fits(&mut self, name: &str, out: &mut Vec<Action>) {
+    fn reserve_from_available(&mut self, name: &str, out: &mut Vec<Action>) {
         let last = self.record().and_then(|r| r.last_segment.as_ref());
-        if self.failures == 0 && !self.older.covers(last) {
+        if self.consecutive_failures == 0 && !self.archived_bills.covers(last) {
             // Loaded in a moment: a request that was billed must not run again.
             return;
         }
@@ -45,7 +48,10 @@
         let mut available = self.available(name);
         let me = self.me.clone();
         let mut next_hold = self.next_hold;
-        let local = self.locals.get_mut(name).expect("listed by the caller");
+        let local = self
+            .local_accounts
+            .get_mut(name)
+            .expect("listed by the caller");
         for waiting in std::mem::take(&mut local.waiting) {
             if waiting.tokens > available {
                 local.waiting.push_back(waiting);
@@ -53,7 +59,7 @@
             }
             let ask = waiting.reply_to;
             let tokens = waiting.tokens;
-            let reply = match hold(local, waiting, next_hold) {
+            let reply = match open_or_extend_hold(local, waiting, next_hold) {
                 Some(hold) => {
                     available -= tokens;
                     next_hold = next_hold.max(hold + 1);
@@ -72,17 +78,23 @@
 
     /// Answers those whose request was billed at another home.
     fn answer_billed(&mut self, name: &str, out: &mut Vec<Action>) {
-        let local = self.locals.get_mut(name).expect("listed by the caller");
+        let local = self
+            .local_accounts
+            .get_mut(name)
+            .expect("listed by the caller");
         for waiting in std::mem::take(&mut local.waiting) {
             let reply = match &waiting.kind {
                 ReservationKind::NewHold {
                     request_id: request,
                     body_hash: body,
                     ..
-                } => self.billed_before(name, request, *body),
+                } => self.billed_reply(name, request, *body),
                 ReservationKind::ExtendHold { .. } => None,
             };
-            let local = self.locals.get_mut(name).expect("listed by the caller");
+            let local = self
+                .local_accounts
+                .get_mut(name)
+                .expect("listed by the caller");
             match reply {
                 Some(reply) => out.push(Action::ReserveReply {
                     reply_to: waiting.reply_to,
@@ -93,18 +105,21 @@
         }
     }
 
-    fn judge_rest(&mut self, now: u64, name: &str, out: &mut Vec<Action>) {
-        let local = self.locals.get_mut(name).expect("listed by the caller");
+    fn decide_remaining(&mut self, now: u64, name: &str, out: &mut Vec<Action>) {
+        let local = self
+            .local_accounts
+            .get_mut(name)
+            .expect("listed by the caller");
         for mut waiting in std::mem::take(&mut local.waiting) {
-            match self.judge(now, name, &waiting) {
-                Verdict::Wait => {}
-                Verdict::Read => self.want_read = true,
-                Verdict::Recall(lack) => {
+            match self.decide(now, name, &waiting) {
+                Decision::Wait => {}
+                Decision::Read => self.read_requested = true,
+                Decision::Recall(lack) => {
                     waiting.recall_sent = true;
-                    self.recall(name, lack, out);
+                    self.send_recalls(name, lack, out);
                 }
-                Verdict::Step(lack) => self.ask_step(now, name, lack, out),
-                Verdict::Refuse(reply) => {
+                Decision::Step(lack) => self.request_step(now, name, lack, out),
+                Decision::Refuse(reply) => {
                     let ask = waiting.reply_to;
                     out.push(Action::ReserveReply {
                         reply_to: ask,
@@ -113,62 +128,69 @@
                     continue;
                 }
             }
-            let local = self.locals.get_mut(name).expect("listed by the caller");
+            let local = self
+                .local_accounts
+                .get_mut(name)
+                .expect("listed by the caller");
             local.waiting.push_back(waiting);
         }
     }
 
-    fn judge(&self, now: u64, name: &str, waiting: &WaitingReservation) -> Verdict {
-        let retry_ms = if self.failures > 0 {
-            OUTAGE_RETRY_MS
+    fn decide(&self, now: u64, name: &str, waiting: &WaitingReservation) -> Decision {
+        let retry_ms = if self.consecutive_failures > 0 {
+            OUTAGE_RETRY_AFTER_MS
         } else {
-            RETRY_MS
+            RETRY_AFTER_MS
         };
-        let refuse = Verdict::Refuse(ReserveReply::OutOfReach { retry_ms });
+        let refuse = Decision::Refuse(ReserveReply::OutOfReach { retry_ms });
         if now >= waiting.deadline {
             return refuse;
         }
         let available = self.available(name);
         let lack = waiting.tokens.saturating_sub(available);
-        let left = self.joint_left(now, name);
+        let left = self.joint_remaining(now, name);
         if lack <= left {
-            return Verdict::Step(lack);
+            return Decision::Step(lack);
         }
         let lack = lack - left;
-        if (1..OUTAGE_FAILURES).contains(&self.failures) {
-            return Verdict::Wait;
+        if (1..OUTAGE_FAILURES).contains(&self.consecutive_failures) {
+            return Decision::Wait;
         }
-        let free = self.stored(name).map_or(0, |a| a.free());
-        if self.failures == 0 {
-            if self.known.is_none() {
-                return Verdict::Read;
+        let free = self.stored_account(name).map_or(0, |a| a.free());
+        if self.consecutive_failures == 0 {
+            if self.snapshot.is_none() {
+                return Decision::Read;
             }
-            if free >= lack && self.may_grant(name, lack) {
-                return Verdict::Wait;
+            if free >= lack && self.can_grant(name, lack) {
+                return Decision::Wait;
             }
-            if !self.is_fresh(waiting.requested_at) {
-                return Verdict::Read;
+            if !self.is_snapshot_since(waiting.requested_at) {
+                return Decision::Read;
             }
-            let left = self.left(name);
+            let left = self.remaining(name);
             if waiting.tokens > left {
-                return Verdict::Refuse(ReserveReply::Exhausted { left });
+                return Decision::Refuse(ReserveReply::Exhausted { left });
             }
         }
-        let open = self.locals.get(name).map_or(0, |l| l.open_recalls);
-        let write_open = matches!(self.io, Io::Write { .. });
+        let open = self.local_accounts.get(name).map_or(0, |l| l.open_recalls);
+        let write_open = matches!(self.open_call, PlatformCall::Write { .. });
         match (waiting.recall_sent, open) {
             (false, _) if self.params.recall && !self.donors(name).is_empty() => {
-                let granted = if self.failures == 0 { free } else { 0 };
-                Verdict::Recall(lack.saturating_sub(granted))
+                let granted = if self.consecutive_failures == 0 {
+                    free
+                } else {
+                    0
+                };
+                Decision::Recall(lack.saturating_sub(granted))
             }
-            (true, 1..) => Verdict::Wait,
-            _ if write_open && self.failures == 0 => Verdict::Wait,
+            (true, 1..) => Decision::Wait,
+            _ if write_open && self.consecutive_failures == 0 => Decision::Wait,
             _ => refuse,
         }
     }
 
-    fn may_grant(&self, name: &str, lack: u64) -> bool {
-        let Some(account) = self.stored(name) else {
+    fn can_grant(&self, name: &str, lack: u64) -> bool {
+        let Some(account) = self.stored_account(name) else {
             return false;
         };
         let basis = crate::grant::SizingInput {
@@ -183,29 +205,32 @@
     }
 
     /// Returns whether the record was read or written after a time.
-    fn is_fresh(&self, asked_at: u64) -> bool {
-        self.known
+    fn is_snapshot_since(&self, asked_at: u64) -> bool {
+        self.snapshot
             .as_ref()
             .is_some_and(|(_, since)| *since >= asked_at)
     }
 
     /// Returns the tokens of an account that nobody has spent.
-    fn left(&self, name: &str) -> u64 {
-        let unposted = self.locals.get(name).map_or(0, |l| l.unrecorded(&self.me));
-        let stored = self.stored(name);
+    fn remaining(&self, name: &str) -> u64 {
+        let unposted = self
+            .local_accounts
+            .get(name)
+            .map_or(0, |l| l.unrecorded(&self.me));
+        let stored = self.stored_account(name);
         let left = stored.map_or(0, |a| a.total().saturating_sub(a.settled()));
         left.saturating_sub(unposted)
     }
 
     /// Returns the largest sum of waiting requests that a grant can serve.
     pub(crate) fn grantable(&self, now: u64, name: &str) -> u64 {
-        let Some(account) = self.stored(name) else {
+        let Some(account) = self.stored_account(name) else {
             return 0;
         };
-        let free = account.free() + self.joint_left(now, name);
+        let free = account.free() + self.joint_remaining(now, name);
         let available = self.available(name);
         let mut sum = 0;
-        for waiting in &self.locals[name].waiting {
+        for waiting in &self.local_accounts[name].waiting {
             let lack = (sum + waiting.tokens).saturating_sub(available);
             if lack <= free {
                 sum += waiting.tokens;
@@ -214,9 +239,12 @@
         sum.saturating_sub(available)
     }
 
-    fn recall(&mut self, name: &str, lack: u64, out: &mut Vec<Action>) {
+    fn send_recalls(&mut self, name: &str, lack: u64, out: &mut Vec<Action>) {
         let donors = self.donors(name);
-        let local = self.locals.get_mut(name).expect("listed by the caller");
+        let local = self
+            .local_accounts
+            .get_mut(name)
+            .expect("listed by the caller");
         local.open_recalls += donors.len() as u32;
         for from in donors {
             out.push(Action::Recall {
@@ -229,7 +257,7 @@
 
     /// Returns the living holders that may hold unspent tokens.
     fn donors(&self, name: &str) -> Vec<String> {
-        let Some(account) = self.stored(name) else {
+        let Some(account) = self.stored_account(name) else {
             return Vec::new();
         };
         let peers = self.peers.iter().filter(|p| **p != self.me);
@@ -239,7 +267,11 @@
 }
 
 /// Opens or widens a hold; none when the hold to widen is gone.
-fn hold(local: &mut LocalAccount, waiting: WaitingReservation, next_hold: u64) -> Option<u64> {
+fn open_or_extend_hold(
+    local: &mut LocalAccount,
+    waiting: WaitingReservation,
+    next_hold: u64,
+) -> Option<u64> {
     match waiting.kind {
         ReservationKind::NewHold {
             request_id: request,
--- a/crates/budget/src/settle.rs
+++ b/crates/budget/src/settle.rs
@@ -2,7 +2,7 @@
 
 use crate::local_account::{Hold, PendingSettlement, ReservationKind};
 use crate::msg::{Action, AttemptRef, Durability, Settlement, UnconfirmedUsage, Warning};
-use crate::shard::{close_hold, reply_settled, Shard, PROBE_MS, RECOPY_MS};
+use crate::shard::{close_hold, push_settle_reply, Shard, CANCEL_RETRY_MS, COPY_RETRY_MS};
 
 impl Shard {
     /// Frees a reservation whose answer reached its entry too late, or never.
@@ -10,7 +10,7 @@
     /// Without this the tokens would stay reserved with nobody to settle them.
     pub(crate) fn void(&mut self, now: u64, account: &str, request: &str, entry: &str) {
         let me = self.me.clone();
-        let local = self.locals.entry(account.to_string()).or_default();
+        let local = self.local_accounts.entry(account.to_string()).or_default();
         local.add_voided(entry, request);
         local.waiting.retain(|w| match &w.kind {
             ReservationKind::NewHold {
@@ -48,18 +48,18 @@
         doubts: &[UnconfirmedUsage],
         out: &mut Vec<Action>,
     ) {
-        if self.is_posted(account, &post) {
-            reply_settled(ask, Durability::Recorded, out);
+        if self.is_recorded(account, &post) {
+            push_settle_reply(ask, Durability::Recorded, out);
             return;
         }
-        self.hot.insert(account.to_string());
+        self.active_accounts.insert(account.to_string());
         let copy_at = now
-            + if self.failures > 0 {
+            + if self.consecutive_failures > 0 {
                 0
             } else {
                 self.params.copy_delay_ms
             };
-        let local = self.locals.entry(account.to_string()).or_default();
+        let local = self.local_accounts.entry(account.to_string()).or_default();
         let same = |p: &&mut PendingSettlement| {
             p.settlement.holder == post.holder && p.settlement.hold == post.hold
         };
@@ -70,7 +70,7 @@
         if post.holder == self.me {
             let Some(held) = local.holds.remove(&post.hold) else {
                 // An unknown number of this holder: an earlier settlement is already forgotten.
-                reply_settled(ask, Durability::Recorded, out);
+                push_settle_reply(ask, Durability::Recorded, out);
                 return;
             };
             if post.tokens > held.tokens {
@@ -89,13 +89,13 @@
         });
     }
 
-    pub(crate) fn is_posted(&self, account: &str, post: &Settlement) -> bool {
+    pub(crate) fn is_recorded(&self, account: &str, post: &Settlement) -> bool {
         let record = self.record();
         record.is_some_and(|r| r.is_settled(account, &post.holder, post.hold))
     }
 
     /// Takes an entry off a request; the last one must cancel and settle it instead.
-    pub(crate) fn drop_out(
+    pub(crate) fn detach(
         &mut self,
         ask: u64,
         account: &str,
@@ -103,7 +103,7 @@
         entry: &str,
         out: &mut Vec<Action>,
     ) {
-        let local = self.locals.get_mut(account);
+        let local = self.local_accounts.get_mut(account);
         let held = local.and_then(|l| l.holds.get_mut(&hold));
         let others = held.is_some_and(|h| {
             let at = h.entries.iter().position(|e| e == entry);
@@ -119,8 +119,8 @@
         });
     }
 
-    pub(crate) fn copied(&mut self, account: &str, hold: u64, out: &mut Vec<Action>) {
-        let Some(local) = self.locals.get_mut(account) else {
+    pub(crate) fn on_copy_stored(&mut self, account: &str, hold: u64, out: &mut Vec<Action>) {
+        let Some(local) = self.local_accounts.get_mut(account) else {
             return;
         };
         for pending in local
@@ -129,7 +129,7 @@
             .filter(|p| p.settlement.hold == hold)
         {
             for ask in pending.reply_to.drain(..) {
-                reply_settled(Some(ask), Durability::Copied, out);
+                push_settle_reply(Some(ask), Durability::Copied, out);
             }
         }
     }
@@ -137,13 +137,13 @@
     /// Starts the wait for the callers of an entry that is gone.
     ///
     /// The reservation is not freed: the entry may be paused, and dispatch later.
-    pub(crate) fn entry_gone(&mut self, now: u64, entry: &str) {
-        if self.witness_of.watches(entry) {
-            self.witness_of.silent.insert(entry.to_string());
-            self.want_read = true;
+    pub(crate) fn on_instance_unresponsive(&mut self, now: u64, entry: &str) {
+        if self.witness_state.watches(entry) {
+            self.witness_state.unresponsive.insert(entry.to_string());
+            self.read_requested = true;
         }
         let probe_at = now + self.params.orphan_grace_ms;
-        for local in self.locals.values_mut() {
+        for local in self.local_accounts.values_mut() {
             for held in local.holds.values_mut() {
                 let before = held.entries.len();
                 held.entries.retain(|e| e != entry);
@@ -154,7 +154,7 @@
         }
     }
 
-    pub(crate) fn proof(
+    pub(crate) fn on_usage_reported(
         &mut self,
         now: u64,
         account: &str,
@@ -163,7 +163,7 @@
         at_ms: u64,
         out: &mut Vec<Action>,
     ) {
-        let local = self.locals.get(account);
+        let local = self.local_accounts.get(account);
         let Some(held) = local.and_then(|l| l.holds.get(&hold)) else {
             return;
         };
@@ -183,26 +183,29 @@
     /// Posts copies whose holder did not get them into the record in time.
     ///
     /// The record is read first: mostly the holder was faster, and no write is needed.
-    pub(crate) fn post_kept(&mut self, now: u64) {
-        let read_at = self.known.as_ref().map_or(0, |(_, since)| *since);
-        self.want_read |= self.kept.iter().any(|(at, ..)| *at <= now && *at > read_at);
-        let (due, later) = std::mem::take(&mut self.kept)
+    pub(crate) fn post_due_copies(&mut self, now: u64) {
+        let read_at = self.snapshot.as_ref().map_or(0, |(_, since)| *since);
+        self.read_requested |= self
+            .copies
+            .iter()
+            .any(|(at, ..)| *at <= now && *at > read_at);
+        let (due, later) = std::mem::take(&mut self.copies)
             .into_iter()
             .partition(|(at, ..)| *at <= read_at);
-        self.kept = later;
+        self.copies = later;
         for (_, account, post) in due {
             self.settle(now, None, &account, post, &[], &mut Vec::new());
         }
     }
 
-    pub(crate) fn copy_again(&mut self, now: u64, out: &mut Vec<Action>) {
-        for (account, local) in &mut self.locals {
+    pub(crate) fn send_due_copies(&mut self, now: u64, out: &mut Vec<Action>) {
+        for (account, local) in &mut self.local_accounts {
             for pending in &mut local.pending {
                 let waits = !pending.reply_to.is_empty() && pending.settlement.holder == self.me;
                 if waits && pending.copy_at <= now {
                     // In a zone that is cut off for long, thousands of bills wait: asking for all of
                     // them again and again would drown the instances of the zone.
-                    pending.copy_at = now + (RECOPY_MS << pending.copy_attempts.min(7));
+                    pending.copy_at = now + (COPY_RETRY_MS << pending.copy_attempts.min(7));
                     pending.copy_attempts += 1;
                     out.push(Action::SendCopy {
                         account: account.clone(),
@@ -213,11 +216,11 @@
         }
     }
 
-    pub(crate) fn probe(&mut self, now: u64, out: &mut Vec<Action>) {
-        for (account, local) in &mut self.locals {
+    pub(crate) fn cancel_due_attempts(&mut self, now: u64, out: &mut Vec<Action>) {
+        for (account, local) in &mut self.local_accounts {
             for (hold, held) in &mut local.holds {
                 if held.cancel_at.is_some_and(|at| at <= now) {
-                    held.cancel_at = Some(now + PROBE_MS);
+                    held.cancel_at = Some(now + CANCEL_RETRY_MS);
                     out.push(Action::CancelAttempt {
                         account: account.clone(),
                         hold: *hold,
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -7,8 +7,8 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::archived_bills::Older;
-use crate::joint_grant::Witness;
+use crate::archived_bills::ArchivedBills;
+use crate::joint_grant::WitnessState;
 use crate::local_account::{
     FinishedRequest, Hold, LocalAccount, ReservationKind, WaitingReservation,
 };
@@ -21,34 +21,34 @@
 use crate::write_limiter::WriteLimiter;
 
 /// First wait after a failed platform call, in milliseconds.
-const BACKOFF_MS: u64 = 100;
+const BACKOFF_BASE_MS: u64 = 100;
 /// Longest wait after failed platform calls, in milliseconds.
 const BACKOFF_MAX_MS: u64 = 5_000;
 /// How long a copy of another holder's settlement is kept before it is posted from here.
-const KEEP_MS: u64 = 3_000;
+const COPY_POST_DELAY_MS: u64 = 3_000;
 /// Pause between two attempts to learn what an orphaned request spent, in milliseconds.
-pub(crate) const PROBE_MS: u64 = 5_000;
+pub(crate) const CANCEL_RETRY_MS: u64 = 5_000;
 /// Pause between two requests for a copy of a settlement, in milliseconds.
-pub(crate) const RECOPY_MS: u64 = 500;
+pub(crate) const COPY_RETRY_MS: u64 = 500;
 /// How long a call for tokens waits for a step of a joint grant, in milliseconds.
-pub(crate) const CALL_MS: u64 = 300;
+pub(crate) const RECALL_STEP_WAIT_MS: u64 = 300;
 /// How long an account that was used is looked at, in milliseconds.
-const HOT_MS: u64 = 5_000;
+const ACTIVE_MS: u64 = 5_000;
 
 /// The platform call that is open.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Io {
+pub(crate) enum PlatformCall {
     /// None.
     Idle,
     /// A read.
     Read {
         /// When it began.
-        since: u64,
+        started_at: u64,
     },
     /// A write of the record.
     Write {
         /// When it began.
-        since: u64,
+        started_at: u64,
     },
     /// A write of a segment.
     Segment,
@@ -56,10 +56,10 @@
 
 /// A write whose effect on `giving` is not known yet.
 #[derive(Clone, Debug)]
-pub(crate) struct Proposal {
+pub(crate) struct UnresolvedWrite {
     pub(crate) number: u64,
-    pub(crate) base: i64,
-    pub(crate) giving: BTreeMap<String, u64>,
+    pub(crate) base_revision: i64,
+    pub(crate) returning: BTreeMap<String, u64>,
     pub(crate) record: ShardRecord,
 }
 
@@ -74,29 +74,29 @@
     /// The instance that gives its word for steps of new joint grants.
     pub(crate) witness: Option<String>,
     /// What this instance knows as a witness for others.
-    pub(crate) witness_of: Witness,
+    pub(crate) witness_state: WitnessState,
     /// The record as last read or written, with the time at which that call began.
-    pub(crate) known: Option<(RecordSnapshot, u64)>,
-    pub(crate) io: Io,
-    pub(crate) doubtful: Vec<Proposal>,
-    pub(crate) locals: BTreeMap<String, LocalAccount>,
+    pub(crate) snapshot: Option<(RecordSnapshot, u64)>,
+    pub(crate) open_call: PlatformCall,
+    pub(crate) unresolved_writes: Vec<UnresolvedWrite>,
+    pub(crate) local_accounts: BTreeMap<String, LocalAccount>,
     /// Accounts that something may have to be done for.
-    pub(crate) hot: BTreeSet<String>,
+    pub(crate) active_accounts: BTreeSet<String>,
     /// Whether a standby's own grants are to be looked at.
-    pub(crate) standby_due: bool,
+    pub(crate) standby_check_due: bool,
     pub(crate) next_hold: u64,
     pub(crate) next_write: u64,
-    pub(crate) failures: u32,
+    pub(crate) consecutive_failures: u32,
     pub(crate) retry_at: u64,
-    pub(crate) want_read: bool,
-    pub(crate) kept: Vec<(u64, String, Settlement)>,
-    pub(crate) rolled: Option<(String, BillSegment)>,
-    pub(crate) older: Older,
-    pub(crate) gone: Vec<String>,
-    pub(crate) next_look: u64,
+    pub(crate) read_requested: bool,
+    pub(crate) copies: Vec<(u64, String, Settlement)>,
+    pub(crate) written_segment: Option<(String, BillSegment)>,
+    pub(crate) archived_bills: ArchivedBills,
+    pub(crate) departed: Vec<String>,
+    pub(crate) next_standby_check: u64,
     /// A revision on which a write would have overspent, and when that was found: a read since
     /// then tells whether the revision was stale.
-    pub(crate) suspect: Option<(i64, u64)>,
+    pub(crate) overspend_base: Option<(i64, u64)>,
 }
 
 impl Shard {
@@ -108,35 +108,38 @@
             role: Role::None,
             peers: Vec::new(),
             witness: None,
-            witness_of: Witness::default(),
-            known: None,
-            io: Io::Idle,
-            doubtful: Vec::new(),
-            locals: BTreeMap::new(),
-            hot: BTreeSet::new(),
-            standby_due: false,
+            witness_state: WitnessState::default(),
+            snapshot: None,
+            open_call: PlatformCall::Idle,
+            unresolved_writes: Vec::new(),
+            local_accounts: BTreeMap::new(),
+            active_accounts: BTreeSet::new(),
+            standby_check_due: false,
             next_hold: 1,
             next_write: 1,
-            failures: 0,
+            consecutive_failures: 0,
             retry_at: 0,
-            want_read: false,
-            kept: Vec::new(),
-            rolled: None,
-            older: Older::default(),
-            gone: Vec::new(),
-            next_look: 0,
-            suspect: None,
+            read_requested: false,
+            copies: Vec::new(),
+            written_segment: None,
+            archived_bills: ArchivedBills::default(),
+            departed: Vec::new(),
+            next_standby_check: 0,
+            overspend_base: None,
         }
     }
 
     /// Sets what this instance is to the shard, and which other holders seem to live.
     pub fn set_role(&mut self, role: Role, peers: Vec<String>, witness: Option<String>) {
         self.role = role;
-        self.witness_of.silent.retain(|h| !peers.contains(h));
+        self.witness_state
+            .unresponsive
+            .retain(|h| !peers.contains(h));
         self.peers = peers;
         self.witness = witness;
-        self.standby_due = true;
-        self.hot.extend(self.locals.keys().cloned());
+        self.standby_check_due = true;
+        self.active_accounts
+            .extend(self.local_accounts.keys().cloned());
     }
 
     /// Returns what this instance is to the shard.
@@ -146,17 +149,17 @@
 
     /// Returns the record as last known.
     pub fn record(&self) -> Option<&ShardRecord> {
-        self.known.as_ref().map(|(s, _)| &s.record)
+        self.snapshot.as_ref().map(|(s, _)| &s.record)
     }
 
     /// Returns the accounts with something here.
     pub fn local_accounts(&self) -> &BTreeMap<String, LocalAccount> {
-        &self.locals
+        &self.local_accounts
     }
 
     /// Returns whether the last platform call failed.
     pub fn is_cut_off(&self) -> bool {
-        self.failures > 0
+        self.consecutive_failures > 0
     }
 
     /// Returns whether something waits for time or for the platform.
@@ -164,7 +167,7 @@
         let busy = |l: &LocalAccount| {
             !l.pending.is_empty() || !l.waiting.is_empty() || !l.commands.is_empty()
         };
-        self.io != Io::Idle || self.locals.values().any(busy)
+        self.open_call != PlatformCall::Idle || self.local_accounts.values().any(busy)
     }
 
     /// Returns whether nothing is left to settle or hand back.
@@ -173,9 +176,11 @@
             let quiet =
                 l.is_idle() && l.commands.is_empty() && l.open_recalls == 0 && l.joint.is_none();
             let empty = l.returning == 0 && self.available(name) == 0;
-            quiet && empty && !self.has_unwritten_transfers(name)
+            quiet && empty && !self.has_unrecorded_transfers(name)
         };
-        self.io == Io::Idle && self.kept.is_empty() && self.locals.iter().all(clear)
+        self.open_call == PlatformCall::Idle
+            && self.copies.is_empty()
+            && self.local_accounts.iter().all(clear)
     }
 
     /// Returns what this holder may still promise of an account.
@@ -186,7 +191,7 @@
     /// living holder: that act is allowed to, and is refused new work instead.
     pub fn available(&self, account: &str) -> u64 {
         let none = LocalAccount::default();
-        let local = self.locals.get(account).unwrap_or(&none);
+        let local = self.local_accounts.get(account).unwrap_or(&none);
         let stored = self.record().and_then(|r| r.accounts.get(account));
         let line = stored.and_then(|a| a.ledger.get(&self.me));
         let (granted, settled, released) =
@@ -221,7 +226,7 @@
         out: &mut Vec<Action>,
     ) {
         if let Some(account) = event.account() {
-            self.hot.insert(account.to_string());
+            self.active_accounts.insert(account.to_string());
         }
         match event {
             Event::Reserve {
@@ -253,23 +258,23 @@
                 account,
                 hold,
                 entry,
-            } => self.drop_out(ask, &account, hold, &entry, out),
+            } => self.detach(ask, &account, hold, &entry, out),
             Event::StoreCopy {
                 account,
                 settlement: post,
-            } => self.kept.push((now + KEEP_MS, account, post)),
+            } => self.copies.push((now + COPY_POST_DELAY_MS, account, post)),
             Event::Recall {
                 reply_to: ask,
                 account,
                 to,
                 tokens,
-            } => self.call(now, ask, &account, to, tokens, out),
+            } => self.on_recall(now, ask, &account, to, tokens, out),
             Event::OpenStep {
                 reply_to: ask,
                 key,
                 up_to: upto,
             } => {
-                let opened = self.witness_of.open(&key, upto);
+                let opened = self.witness_state.approve_step(&key, upto);
                 out.push(Action::StepReply {
                     reply_to: ask,
                     total_opened: opened,
@@ -280,53 +285,55 @@
                 key,
                 total_opened: opened,
             } => {
-                self.opened(&account, &key, opened);
-                self.answer_calls(now, &account, true, out);
+                self.on_step_reply(&account, &key, opened);
+                self.answer_deferred_recalls(now, &account, true, out);
             }
             Event::RecallReply {
                 account,
                 from,
                 total_sent: sent,
-            } => self.recalled(&account, from, sent),
+            } => self.on_recall_reply(&account, from, sent),
             Event::Operator {
                 reply_to: ask,
                 account,
                 command: act,
             } => {
-                let local = self.locals.entry(account).or_default();
+                let local = self.local_accounts.entry(account).or_default();
                 local.commands.push((ask, act));
             }
-            Event::RecordRead(stored) => self.read(now, stored, out),
-            Event::ReadFailed | Event::WriteRefused => self.failed(now),
-            Event::WriteCommitted { revision } => self.written(revision, out),
-            Event::WriteConflict(stored) => self.write_lost(stored, out),
+            Event::RecordRead(stored) => self.on_read(now, stored, out),
+            Event::ReadFailed | Event::WriteRefused => self.on_call_failed(now),
+            Event::WriteCommitted { revision } => self.on_write_committed(revision, out),
+            Event::WriteConflict(stored) => self.on_write_conflict(stored, out),
             Event::WriteOutcomeUnknown => {
-                self.failed(now);
-                self.want_read = true;
+                self.on_call_failed(now);
+                self.read_requested = true;
+            }
+            Event::SegmentWritten(done) => self.on_segment_written(now, done),
+            Event::CopyStored { account, hold } => self.on_copy_stored(&account, hold, out),
+            Event::InstanceUnresponsive { instance: entry } => {
+                self.on_instance_unresponsive(now, &entry)
             }
-            Event::SegmentWritten(done) => self.segment_written(now, done),
-            Event::CopyStored { account, hold } => self.copied(&account, hold, out),
-            Event::InstanceUnresponsive { instance: entry } => self.entry_gone(now, &entry),
             Event::UsageReported {
                 account,
                 hold,
                 tokens,
                 at_ms,
-            } => self.proof(now, &account, hold, tokens, at_ms, out),
-            Event::SegmentRead(segment) => self.segment_read(now, segment),
+            } => self.on_usage_reported(now, &account, hold, tokens, at_ms, out),
+            Event::SegmentRead(segment) => self.on_segment_read(now, segment),
             Event::Tick => self.tick(now, out),
         }
-        self.pump(now, pacer, out);
-        self.cool(now);
+        self.advance(now, pacer, out);
+        self.prune_active(now);
     }
 
     /// Forgets the accounts that nothing has to be done for.
     ///
     /// Without this every event would cost time by the number of budgets in the shard.
-    pub(crate) fn cool(&mut self, now: u64) {
-        let hot = std::mem::take(&mut self.hot);
+    pub(crate) fn prune_active(&mut self, now: u64) {
+        let hot = std::mem::take(&mut self.active_accounts);
         let busy = |n: &String| {
-            let Some(l) = self.locals.get(n) else {
+            let Some(l) = self.local_accounts.get(n) else {
                 return false;
             };
             let unwatched = l.joint.as_ref().is_some_and(|j| !j.is_watched);
@@ -334,12 +341,12 @@
                 || !l.commands.is_empty()
                 || !l.deferred_recalls.is_empty()
                 || l.returning > 0;
-            let recent = now < l.last_used_at + HOT_MS;
-            let lone = self.lone(now, n) > 0;
-            let unwritten = self.must_close(n) || self.has_unwritten_transfers(n);
+            let recent = now < l.last_used_at + ACTIVE_MS;
+            let lone = self.unwitnessed_excess(now, n) > 0;
+            let unwritten = self.must_close_joint(n) || self.has_unrecorded_transfers(n);
             unwatched || waits || recent || lone || unwritten
         };
-        self.hot = hot.into_iter().filter(busy).collect();
+        self.active_accounts = hot.into_iter().filter(busy).collect();
     }
 
     pub(crate) fn reserve(
@@ -352,15 +359,16 @@
     ) {
         let me = self.me.clone();
         let account = req.account;
-        let local = self.locals.entry(account.clone()).or_default();
-        if let Some(reply) = known_request(&me, local, &req.request_id, req.body_hash, &req.entry) {
+        let local = self.local_accounts.entry(account.clone()).or_default();
+        if let Some(reply) = reply_if_known(&me, local, &req.request_id, req.body_hash, &req.entry)
+        {
             out.push(Action::ReserveReply {
                 reply_to: ask,
                 reply,
             });
             return;
         }
-        let local = self.locals.get_mut(&account).expect("made above");
+        let local = self.local_accounts.get_mut(&account).expect("made above");
         local.add_demand(now, req.tokens);
         local.waiting.push_back(WaitingReservation {
             reply_to: ask,
@@ -389,7 +397,7 @@
         deadline: u64,
         out: &mut Vec<Action>,
     ) {
-        let local = self.locals.entry(account.to_string()).or_default();
+        let local = self.local_accounts.entry(account.to_string()).or_default();
         if !local.holds.contains_key(&hold) {
             let reply = ReserveReply::Voided;
             out.push(Action::ReserveReply {
@@ -410,59 +418,65 @@
         });
     }
 
-    pub(crate) fn failed(&mut self, now: u64) {
-        self.io = Io::Idle;
-        self.failures += 1;
-        let wait = (BACKOFF_MS << self.failures.min(6)).min(BACKOFF_MAX_MS);
+    pub(crate) fn on_call_failed(&mut self, now: u64) {
+        self.open_call = PlatformCall::Idle;
+        self.consecutive_failures += 1;
+        let wait = (BACKOFF_BASE_MS << self.consecutive_failures.min(6)).min(BACKOFF_MAX_MS);
         self.retry_at = now + wait / 2 + self.jitter(wait / 2);
     }
 
     /// Spreads retries, so that the instances don't all come back at once after an outage.
     pub(crate) fn jitter(&self, most: u64) -> u64 {
-        let seed = format!("{}/{}/{}", self.me, self.next_write, self.failures);
+        let seed = format!(
+            "{}/{}/{}",
+            self.me, self.next_write, self.consecutive_failures
+        );
         xxh3_64(seed.as_bytes()) % most.max(1)
     }
 
-    pub(crate) fn segment_written(&mut self, now: u64, done: bool) {
+    pub(crate) fn on_segment_written(&mut self, now: u64, done: bool) {
         if done {
-            self.io = Io::Idle;
-            self.failures = 0;
+            self.open_call = PlatformCall::Idle;
+            self.consecutive_failures = 0;
         } else {
-            self.rolled = None;
-            self.failed(now);
+            self.written_segment = None;
+            self.on_call_failed(now);
         }
     }
 
     pub(crate) fn tick(&mut self, now: u64, out: &mut Vec<Action>) {
-        self.post_kept(now);
-        self.open_ahead(now, out);
+        self.post_due_copies(now);
+        self.open_steps_ahead(now, out);
         let called =
             |(n, l): (&String, &LocalAccount)| (!l.deferred_recalls.is_empty()).then(|| n.clone());
-        let hot = self.hot.iter().filter_map(|n| self.locals.get_key_value(n));
+        let hot = self
+            .active_accounts
+            .iter()
+            .filter_map(|n| self.local_accounts.get_key_value(n));
         let called: Vec<String> = hot.filter_map(called).collect();
         for name in called {
-            self.answer_calls(now, &name, false, out);
+            self.answer_deferred_recalls(now, &name, false, out);
         }
-        self.copy_again(now, out);
-        self.probe(now, out);
-        self.give_back();
-        self.give_lone(now);
+        self.send_due_copies(now, out);
+        self.cancel_due_attempts(now, out);
+        self.return_unspent();
+        self.return_unwitnessed(now);
         let look = self.role == Role::Standby && self.params.standby_pct > 0;
-        if look && now >= self.next_look {
-            self.next_look = now + self.params.standby_check_ms;
-            self.want_read = true;
+        if look && now >= self.next_standby_check {
+            self.next_standby_check = now + self.params.standby_check_ms;
+            self.read_requested = true;
         }
     }
 
     /// Returns the answer for a request that the record, or an older bill, shows as billed.
-    pub(crate) fn billed_before(
+    pub(crate) fn billed_reply(
         &self,
         account: &str,
         request: &str,
         body: u64,
     ) -> Option<ReserveReply> {
-        let bill = self.stored(account).and_then(|a| a.bill(request));
-        let bill = bill.or_else(|| self.older.bill(account, request))?;
+        let bill = self.stored_account(account).and_then(|a| a.bill(request));
+        let bill = bill.or_else(|| self.archived_bills.bill(account, request))?;
         if bill.body_hash != body {
             return Some(ReserveReply::IdReused);
         }
@@ -482,13 +496,13 @@
     }
 
     /// Returns the account as the record shows it.
-    pub(crate) fn stored(&self, account: &str) -> Option<&Account> {
+    pub(crate) fn stored_account(&self, account: &str) -> Option<&Account> {
         self.record().and_then(|r| r.accounts.get(account))
     }
 }
 
 /// Returns the answer for a request that is known, or refused for good.
-fn known_request(
+fn reply_if_known(
     me: &str,
     local: &mut LocalAccount,
     request: &str,
@@ -558,7 +572,7 @@
     next_hold
 }
 
-pub(crate) fn reply_settled(ask: Option<u64>, how: Durability, out: &mut Vec<Action>) {
+pub(crate) fn push_settle_reply(ask: Option<u64>, how: Durability, out: &mut Vec<Action>) {
     out.extend(ask.map(|ask| Action::SettleReply {
         reply_to: ask,
         durability: how,
@@ -566,7 +580,10 @@
 }
 
 /// Returns the answer to an act as the record shows it.
-pub(crate) fn act_reply(account: &Account, act: &OperatorCommand) -> Option<OperatorReply> {
+pub(crate) fn stored_operator_reply(
+    account: &Account,
+    act: &OperatorCommand,
+) -> Option<OperatorReply> {
     match act {
         OperatorCommand::TopUp { id, tokens } => match account.topups.get(id) {
             Some(old) if old == tokens => Some(OperatorReply::Done(*tokens)),
--- a/crates/budget/src/shard_manager.rs
+++ b/crates/budget/src/shard_manager.rs
@@ -11,7 +11,7 @@
 
 /// Absence after which a holder without unspent tokens is folded up, in milliseconds: longer than
 /// any request, and than any entry tries to post its bill.
-const FOLD_MS: u64 = 3_600_000;
+const RETIRE_AFTER_MS: u64 = 3_600_000;
 
 /// An action with the shard that it belongs to.
 #[derive(Clone, Debug)]
@@ -26,14 +26,14 @@
 pub struct ShardManager {
     me: String,
     params: Params,
-    shards: u32,
+    shard_count: u32,
     writes_per_sec: u64,
-    homes: BTreeMap<u32, Shard>,
-    pacer: WriteLimiter,
+    shards: BTreeMap<u32, Shard>,
+    write_limiter: WriteLimiter,
     members: Vec<Candidate>,
     leaving: bool,
     /// Holders that nobody shows as present, and since when.
-    absent: BTreeMap<String, u64>,
+    absent_since: BTreeMap<String, u64>,
 }
 
 impl ShardManager {
@@ -48,13 +48,13 @@
         ShardManager {
             me: me.to_string(),
             params,
-            shards,
+            shard_count: shards,
             writes_per_sec,
-            homes: BTreeMap::new(),
-            pacer: WriteLimiter::new(now, writes_per_sec, 1.0),
+            shards: BTreeMap::new(),
+            write_limiter: WriteLimiter::new(now, writes_per_sec, 1.0),
             members: Vec::new(),
             leaving: false,
-            absent: BTreeMap::new(),
+            absent_since: BTreeMap::new(),
         }
     }
 
@@ -65,23 +65,23 @@
         }
         self.members = members;
         let mut homes = 0;
-        for shard in 0..self.shards {
-            self.place(shard);
+        for shard in 0..self.shard_count {
+            self.update_role(shard);
             homes += u32::from(self.role(shard) == Role::Home);
         }
         // Homes write most, so the fleet's share is split by the shards at home.
         let part = match self.params.sizing {
             GrantSizing::Split { parts } => 1.0 / parts as f64,
-            _ => f64::from(homes) / f64::from(self.shards),
+            _ => f64::from(homes) / f64::from(self.shard_count),
         };
-        self.pacer.set_share(self.writes_per_sec, part);
+        self.write_limiter.set_share(self.writes_per_sec, part);
     }
 
     /// Hands everything back, for a planned stop.
     pub fn leave(&mut self) {
         self.leaving = true;
-        for shard in 0..self.shards {
-            self.place(shard);
+        for shard in 0..self.shard_count {
+            self.update_role(shard);
         }
     }
 
@@ -109,43 +109,43 @@
         ranked.iter().find(other).map(|c| c.id.clone())
     }
 
-    fn place(&mut self, shard: u32) {
+    fn update_role(&mut self, shard: u32) {
         let role = self.role(shard);
-        if role == Role::None && !self.homes.contains_key(&shard) {
+        if role == Role::None && !self.shards.contains_key(&shard) {
             return;
         }
         let peers = self.members.iter().map(|c| c.id.clone()).collect();
         let witness = self.witness(shard);
-        self.home(shard).set_role(role, peers, witness);
+        self.shard_mut(shard).set_role(role, peers, witness);
     }
 
-    fn home(&mut self, shard: u32) -> &mut Shard {
+    fn shard_mut(&mut self, shard: u32) -> &mut Shard {
         let (me, params) = (&self.me, self.params);
         let open = || Shard::new(me, params);
-        self.homes.entry(shard).or_insert_with(open)
+        self.shards.entry(shard).or_insert_with(open)
     }
 
     /// Returns the shard of an account.
     pub fn shard_of(&self, account: &str) -> u32 {
-        placement::shard_of(account, self.shards)
+        placement::shard_of(account, self.shard_count)
     }
 
     /// Takes one event of one shard.
     pub fn step(&mut self, now: u64, shard: u32, event: Event) -> Vec<ShardAction> {
-        if !self.homes.contains_key(&shard) {
-            self.home(shard);
-            self.place(shard);
+        if !self.shards.contains_key(&shard) {
+            self.shard_mut(shard);
+            self.update_role(shard);
         }
         let mut actions = Vec::new();
-        let home = self.homes.get_mut(&shard).expect("opened above");
-        home.step(now, event, &mut self.pacer, &mut actions);
+        let home = self.shards.get_mut(&shard).expect("opened above");
+        home.step(now, event, &mut self.write_limiter, &mut actions);
         let output = |action| ShardAction { shard, action };
         actions.into_iter().map(output).collect()
     }
 
     /// Tells every shard the same.
     pub fn step_all(&mut self, now: u64, event: &Event) -> Vec<ShardAction> {
-        let shards: Vec<u32> = self.homes.keys().copied().collect();
+        let shards: Vec<u32> = self.shards.keys().copied().collect();
         let step = |s| self.step(now, s, event.clone());
         shards.into_iter().flat_map(step).collect()
     }
@@ -157,36 +157,40 @@
     /// bill for them may still be on its way from an entry. Folded too early, its line looks
     /// settled, and the bill is taken for a repetition and lost.
     pub fn set_presence(&mut self, now: u64, present: &[String], left: &[String]) {
-        let records = self.homes.values().filter_map(Shard::record);
+        let records = self.shards.values().filter_map(Shard::record);
         let holders: BTreeSet<String> = records.flat_map(ShardRecord::holders).collect();
-        self.absent.retain(|h, _| holders.contains(h));
+        self.absent_since.retain(|h, _| holders.contains(h));
         for holder in holders {
             if present.contains(&holder) || holder == self.me {
-                self.absent.remove(&holder);
+                self.absent_since.remove(&holder);
             } else {
-                self.absent.entry(holder).or_insert(now);
+                self.absent_since.entry(holder).or_insert(now);
             }
         }
-        let long = |(_, since): &(&String, &u64)| now >= *since + FOLD_MS;
-        let long_gone = self.absent.iter().filter(long).map(|(h, _)| h.clone());
+        let long = |(_, since): &(&String, &u64)| now >= *since + RETIRE_AFTER_MS;
+        let long_gone = self
+            .absent_since
+            .iter()
+            .filter(long)
+            .map(|(h, _)| h.clone());
         let gone: Vec<String> = left.iter().cloned().chain(long_gone).collect();
-        for home in self.homes.values_mut() {
-            home.gone.clone_from(&gone);
+        for home in self.shards.values_mut() {
+            home.departed.clone_from(&gone);
         }
     }
 
     /// Returns the shards that are open here.
     pub fn shards(&self) -> &BTreeMap<u32, Shard> {
-        &self.homes
+        &self.shards
     }
 
     /// Returns whether something waits for time or for the platform.
     pub fn is_busy(&self) -> bool {
-        self.homes.values().any(Shard::is_busy)
+        self.shards.values().any(Shard::is_busy)
     }
 
     /// Returns whether nothing is left to settle or hand back.
     pub fn is_drained(&self) -> bool {
-        self.homes.values().all(Shard::is_drained)
+        self.shards.values().all(Shard::is_drained)
     }
 }
