--- a/crates/budget/src/local_account.rs
+++ b/crates/budget/src/local_account.rs
@@ -9,13 +9,13 @@
 use crate::msg::{AttemptRef, OperatorCommand, ReserveReply, Settlement};
 
 /// Finished requests remembered for callers that retry.
-const DONE_KEPT: usize = 1024;
+const MAX_FINISHED: usize = 1024;
 /// How long a finished request is remembered, in milliseconds.
-const DONE_MS: u64 = 600_000;
+const FINISHED_TTL_MS: u64 = 600_000;
 /// Requests remembered as given up before they were reserved.
-const VOID_KEPT: usize = 256;
+const MAX_VOIDED: usize = 256;
 /// The demand is averaged over about this long, in milliseconds.
-const RATE_MS: f64 = 5_000.0;
+const DEMAND_WINDOW_MS: f64 = 5_000.0;
 
 /// Tokens held back for one request.
 #[derive(Clone, Debug, Serialize)]
@@ -170,18 +170,18 @@
     }
 
     /// Returns tokens spent by this holder that the record does not show yet.
-    pub fn unposted(&self, me: &str) -> u64 {
+    pub fn unrecorded(&self, me: &str) -> u64 {
         let mine = self.pending.iter().filter(|p| p.settlement.holder == me);
         mine.map(|p| p.settlement.tokens).sum()
     }
 
     /// Remembers a finished request.
-    pub fn finish(&mut self, now: u64, request: String, mut done: FinishedRequest) {
-        done.expires_at = now + DONE_MS;
+    pub fn add_finished(&mut self, now: u64, request: String, mut done: FinishedRequest) {
+        done.expires_at = now + FINISHED_TTL_MS;
         if self.finished.insert(request.clone(), done).is_none() {
             self.finished_order.push_back(request);
         }
-        while self.finished_order.len() > DONE_KEPT || self.oldest_is_stale(now) {
+        while self.finished_order.len() > MAX_FINISHED || self.oldest_is_stale(now) {
             if let Some(old) = self.finished_order.pop_front() {
                 self.finished.remove(&old);
             }
@@ -197,36 +197,36 @@
     }
 
     /// Remembers that an entry will not use a reservation that may still arrive.
-    pub fn void(&mut self, entry: &str, request: &str) {
+    pub fn add_voided(&mut self, entry: &str, request: &str) {
         self.voided.push_back(format!("{entry}/{request}"));
-        if self.voided.len() > VOID_KEPT {
+        if self.voided.len() > MAX_VOIDED {
             self.voided.pop_front();
         }
     }
 
     /// Returns whether an entry gave a request up before it was reserved.
-    pub fn is_void(&self, entry: &str, request: &str) -> bool {
+    pub fn is_voided(&self, entry: &str, request: &str) -> bool {
         let name = format!("{entry}/{request}");
         self.voided.contains(&name)
     }
 
     /// Counts demand.
-    pub fn demand(&mut self, now: u64, tokens: u64) {
+    pub fn add_demand(&mut self, now: u64, tokens: u64) {
         let passed = now.saturating_sub(self.demand_at) as f64;
-        self.demand_rate *= (-passed / RATE_MS).exp();
-        self.demand_rate += tokens as f64 * 1000.0 / RATE_MS;
+        self.demand_rate *= (-passed / DEMAND_WINDOW_MS).exp();
+        self.demand_rate += tokens as f64 * 1000.0 / DEMAND_WINDOW_MS;
         self.demand_at = now;
         self.last_used_at = now;
     }
 
     /// Returns the demand, in tokens a second.
-    pub fn rate(&self, now: u64) -> f64 {
+    pub fn demand_rate(&self, now: u64) -> f64 {
         let passed = now.saturating_sub(self.demand_at) as f64;
-        self.demand_rate * (-passed / RATE_MS).exp()
+        self.demand_rate * (-passed / DEMAND_WINDOW_MS).exp()
     }
 
     /// Returns whether nothing is under way.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         self.holds.is_empty() && self.pending.is_empty() && self.waiting.is_empty()
     }
 }
