--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -1,4 +1,5 @@
-//! The instances: each has a key in the store that a lease keeps, and lists the others' keys.
+//! Membership of the fleet: each instance registers itself under a key in the store, which a lease
+//! keeps alive, and follows the keys of all instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,38 +22,41 @@
 use crate::replication::Topic;
 use crate::roster::{HomeScope, Homes, Roster};
 
-/// Keys of instances, by availability zone and name.
+/// Prefix of the keys of instances; a key continues with the availability zone and the name.
 const PREFIX: &str = "oriolehitch/instances/";
-/// A lease outlives an outage of the store and a partition of its holder: the others need the list
-/// most just then. An instance that crashed is listed that much longer, which costs a message.
+/// Minimum time to live of a lease, in milliseconds. A lease must outlive an outage of the store
+/// and a partition of its holder, since that is when the other instances need the list most. In
+/// return, an instance that crashed stays listed for that time, which costs a message.
 const MIN_LEASE_TTL_MS: u64 = 30_000;
-/// How often a lease is renewed: three times within the shortest outage that it must outlive.
+/// Interval between renewals of a lease: three of them fit into the shortest outage that it must
+/// outlive.
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(8);
-/// Longest wait of one watch of the list, in milliseconds: what it brings late costs a message to an
-/// instance that is gone, or a share of what is bounded for all.
+/// Maximum duration of a watch of the list, in milliseconds. A change that is learned late costs a
+/// message to an instance that is gone, or a wrong share of a limit that all instances divide.
 const WATCH_TIMEOUT_MS: u64 = 10_000;
-/// Instances that start within so many seconds have started together: machines come back one after the other.
+/// Instances whose starts are at most this far apart have started together, in seconds: machines
+/// come back one after the other.
 const SAME_START_SECS: u64 = 15;
-/// All but one in so many are most of them.
+/// In a mass start, at most one in this many instances has started earlier.
 const MASS_START_DIVISOR: usize = 4;
-/// Pause before a failed registration is tried again.
+/// Delay before a failed registration is retried.
 const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// An instance as it lists itself.
+/// The entry of an instance in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Member {
-    /// Its incarnation.
+    /// The incarnation of the instance.
     pub(crate) id: String,
-    /// Where it listens for other instances.
+    /// The address on which it listens for other instances.
     pub(crate) addr: SocketAddr,
     /// Its availability zone.
     pub(crate) zone: String,
-    /// Bandwidth of its link, in megabits a second; none where it is not bounded.
+    /// Bandwidth of its link, in megabits per second; `None` if it is not limited.
     #[serde(default)]
     pub(crate) link_mbps: Option<u32>,
 }
 
-/// A handle on the list of instances.
+/// Handle on the membership of the fleet; clones share it.
 #[derive(Clone)]
 pub(crate) struct Fleet(Arc<Inner>);
 
@@ -61,22 +65,24 @@
     name: String,
     key: String,
     lease_ttl_ms: u64,
+    /// The other instances that the settings name, used until the list is known.
     seeds: Vec<Arc<Member>>,
     store: Arc<dyn Store>,
-    feed: FollowContext,
+    context: FollowContext,
     log: Arc<Log>,
     pool: Arc<Mutex<Pool>>,
     clock: Clock,
     members: Mutex<BTreeMap<String, Arc<Member>>>,
-    /// What follows from the members.
+    /// Derived from the members, each time that they change.
     roster: RwLock<Arc<Roster>>,
-    /// Whether most instances have started with this one, or after it.
+    /// Whether most instances have started together with this one, or later.
     mass_start: AtomicBool,
+    /// The lease of the last registration; 0 before the first one.
     lease: Mutex<i64>,
 }
 
-/// Returns the seconds since the Unix epoch at which an incarnation started, as its name tells.
-fn started_at(incarnation: &str) -> Option<u64> {
+/// Returns when an incarnation started, in seconds since the Unix epoch, as encoded in its name.
+fn start_secs(incarnation: &str) -> Option<u64> {
     let start = incarnation.rsplit('.').next()?.get(..8)?;
     u64::from_str_radix(start, 16).ok()
 }
@@ -89,16 +95,16 @@
 impl Fleet {
     pub(crate) fn open(
         name: &str,
-        me: Member,
+        own: Member,
         seeds: &[SocketAddr],
-        lease_least_ms: u64,
+        min_lease_ms: u64,
         store: Arc<dyn Store>,
-        feed: FollowContext,
+        context: FollowContext,
         log: Arc<Log>,
         pool: Arc<Mutex<Pool>>,
         clock: Clock,
     ) -> Fleet {
-        let own = me.addr;
+        let own_addr = own.addr;
         let seed = |addr: &SocketAddr| {
             Arc::new(Member {
                 id: addr.to_string(),
@@ -107,18 +113,18 @@
                 link_mbps: None,
             })
         };
-        let seeds = seeds.iter().filter(|a| **a != own).map(seed);
-        let key = format!("{}{name}", zone_prefix(&me.zone));
-        let roster = Roster::new(&BTreeMap::new(), &key, &me);
+        let seeds = seeds.iter().filter(|a| **a != own_addr).map(seed);
+        let key = format!("{}{name}", zone_prefix(&own.zone));
+        let roster = Roster::new(&BTreeMap::new(), &key, &own);
         Fleet(Arc::new(Inner {
             roster: RwLock::new(Arc::new(roster)),
             seeds: seeds.collect(),
-            own: me,
+            own,
             name: name.to_string(),
             key,
-            lease_ttl_ms: MIN_LEASE_TTL_MS.max(lease_least_ms),
+            lease_ttl_ms: MIN_LEASE_TTL_MS.max(min_lease_ms),
             store,
-            feed,
+            context,
             log,
             pool,
             clock,
@@ -128,28 +134,28 @@
         }))
     }
 
-    /// Returns this incarnation.
+    /// Returns the incarnation of this instance.
     pub(crate) fn incarnation(&self) -> &str {
         &self.0.own.id
     }
 
-    /// Returns the instance's name, which it keeps over restarts.
+    /// Returns the name of this instance, which it keeps across restarts.
     pub(crate) fn name(&self) -> &str {
         &self.0.name
     }
 
-    /// Returns the own availability zone.
+    /// Returns the availability zone of this instance.
     pub(crate) fn zone(&self) -> &str {
         &self.0.own.zone
     }
 
-    /// Returns the instances by the newest list.
+    /// Returns the roster of the latest list.
     pub(crate) fn roster(&self) -> Arc<Roster> {
-        Arc::clone(&self.0.roster.read().expect("no panic inside"))
+        Arc::clone(&self.0.roster.read().expect("lock not poisoned"))
     }
 
-    /// Returns the other instances, those of the own zone first; those that the settings name while the
-    /// list is not known.
+    /// Returns the other instances, those of the same zone first. While no other instance is
+    /// listed, these are the ones that the settings name.
     pub(crate) fn peers(&self) -> Vec<Arc<Member>> {
         let roster = self.roster();
         if roster.peers().is_empty() {
@@ -158,28 +164,30 @@
         roster.peers().to_vec()
     }
 
-    /// Returns the instances to draw a customer's tokens from; none where this one holds them itself.
-    pub(crate) fn preceding_homes(&self, customer: &str, area: HomeScope) -> Homes {
-        let mut homes = self.roster().homes(customer, area);
+    /// Returns the homes of a customer that rank before this instance, to draw tokens from; none if
+    /// this instance ranks first.
+    pub(crate) fn preceding_homes(&self, customer: &str, scope: HomeScope) -> Homes {
+        let mut homes = self.roster().homes(customer, scope);
         let own = homes.iter().position(|m| m.id == self.0.own.id);
         homes.truncate(own.unwrap_or(homes.len()));
         homes
     }
 
-    /// Returns the other instances that hold a customer's tokens when this one can't take any.
-    pub(crate) fn other_homes(&self, customer: &str, area: HomeScope) -> Homes {
-        let mut homes = self.roster().homes(customer, area);
+    /// Returns the homes of a customer other than this instance, for when it can't take tokens
+    /// itself.
+    pub(crate) fn other_homes(&self, customer: &str, scope: HomeScope) -> Homes {
+        let mut homes = self.roster().homes(customer, scope);
         homes.retain(|m| m.id != self.0.own.id);
         homes
     }
 
-    /// Returns whether this instance holds a customer's tokens for others, or the others are not known.
-    pub(crate) fn is_home(&self, customer: &str, area: HomeScope) -> bool {
+    /// Returns whether this instance is the first home of a customer, or no instance is listed.
+    pub(crate) fn is_home(&self, customer: &str, scope: HomeScope) -> bool {
         let roster = self.roster();
-        roster.is_primary_home(&roster.homes(customer, area))
+        roster.is_primary_home(&roster.homes(customer, scope))
     }
 
-    /// Returns the living incarnations, the own one among them.
+    /// Returns the listed incarnations, including the one of this instance.
     pub(crate) fn live_incarnations(&self) -> BTreeSet<String> {
         let roster = self.roster();
         let mut live: BTreeSet<String> = roster.incarnations().map(str::to_string).collect();
@@ -187,12 +195,12 @@
         live
     }
 
-    /// Returns how many instances share what is bounded for all of them.
+    /// Returns the number of instances, among which limits of the whole fleet are divided.
     pub(crate) fn instance_count(&self) -> usize {
         self.roster().len()
     }
 
-    /// Registers, keeps the lease, and follows the list.
+    /// Starts the tasks that keep this instance registered and follow the list.
     pub(crate) fn spawn(&self) {
         let fleet = self.clone();
         tokio::spawn(async move {
@@ -206,28 +214,29 @@
         let fleet = self.clone();
         tokio::spawn(async move {
             let store = Arc::clone(&fleet.0.store);
-            let feed = fleet.0.feed.clone();
-            let near = Some(zone_prefix(fleet.zone()));
-            let mut follow = Follower::open(
+            let context = fleet.0.context.clone();
+            let priority_prefix = Some(zone_prefix(fleet.zone()));
+            let mut follower = Follower::open(
                 store,
-                feed,
+                context,
                 Topic::Instances,
                 PREFIX,
-                near,
+                priority_prefix,
                 WATCH_TIMEOUT_MS,
             );
             loop {
-                fleet.apply(follow.next().await);
+                fleet.apply(follower.next().await);
             }
         });
     }
 
-    /// Writes the own key with a new lease.
+    /// Writes the key of this instance with a new lease.
     async fn register(&self) -> Result<i64, Failure> {
         let store = &self.0.store;
         let lease = store.grant_lease(self.0.lease_ttl_ms).await?;
-        let value = serde_json::to_vec(&self.0.own).expect("a member that JSON can hold");
-        // A write that loses tells what is there: most starts find no key of their own.
+        let value = serde_json::to_vec(&self.0.own).expect("a member can be serialized");
+        // Most starts find no key under their name, so the first attempt expects none. A
+        // transaction that loses returns the key that is there.
         let mut revision = 0;
         loop {
             let txn = Txn {
@@ -245,56 +254,61 @@
             match store.commit(txn).await? {
                 Commit::Done(_) => break,
                 Commit::Lost(items) => {
-                    let there = items.iter().find(|f| f.key == self.0.key);
-                    let there = there.map_or(0, |f| f.revision);
-                    // An earlier incarnation's write came late, or its key has ended, if not the first time.
+                    let found = items.iter().find(|f| f.key == self.0.key);
+                    let found = found.map_or(0, |f| f.revision);
+                    // After the first attempt this means that a write of an earlier incarnation
+                    // arrived late, or that its key expired.
                     if revision > 0 {
                         sleep(REGISTER_RETRY_DELAY).await;
                     }
-                    revision = there;
+                    revision = found;
+                }
+                Commit::LeaseEnded => {
+                    return Err(Failure::Refused("the lease has expired".to_string()))
                 }
-                Commit::LeaseEnded => return Err(Failure::Refused("lease ended".to_string())),
             }
         }
-        *self.0.lease.lock().expect("no panic inside") = lease;
+        *self.0.lease.lock().expect("lock not poisoned") = lease;
         Ok(lease)
     }
 
-    /// Renews the lease until it has ended; each renewal also tells whether the store answers.
+    /// Renews the lease until it has expired. Each renewal is also a probe of the store.
     async fn keep_lease_alive(&self, lease: i64) {
         let FollowContext {
-            store_health: reach,
+            store_health,
             relay,
             ..
-        } = &self.0.feed;
-        // A call that hangs must not hold up the next one: it ends long after the store is back.
-        let mut asked = JoinSet::new();
+        } = &self.0.context;
+        // A call that hangs must not delay the next one: it may end long after the store is
+        // available again.
+        let mut renewals = JoinSet::new();
         loop {
-            let turn =
-                reach.wait_until_probe_due(LEASE_RENEWAL_INTERVAL, relay.others_probe_store());
-            tokio::pin!(turn);
+            let probe_due = store_health
+                .wait_until_probe_due(LEASE_RENEWAL_INTERVAL, relay.others_probe_store());
+            tokio::pin!(probe_due);
             loop {
                 tokio::select! {
-                    () = &mut turn => break,
-                    Some(ended) = asked.join_next() => {
-                        // Without an answer the lease goes on, or has ended: the next call tells.
-                        if let Ok(Ok(false)) = ended {
+                    () = &mut probe_due => break,
+                    Some(renewed) = renewals.join_next() => {
+                        // If a call fails, the next one shows whether the lease has expired.
+                        if let Ok(Ok(false)) = renewed {
                             return;
                         }
                     }
                 }
             }
             let store = Arc::clone(&self.0.store);
-            asked.spawn(async move { store.renew_lease(lease).await });
+            renewals.spawn(async move { store.renew_lease(lease).await });
         }
     }
 
+    /// Applies an update of the list.
     fn apply(&self, update: Update) {
         let parse = |f: &Found| {
             let member = serde_json::from_slice::<Member>(&f.value).ok();
             member.map(Arc::new)
         };
-        let mut members = self.0.members.lock().expect("no panic inside");
+        let mut members = self.0.members.lock().expect("lock not poisoned");
         let before = members.len();
         match update {
             Update::Snapshot(items, _) => {
@@ -316,7 +330,7 @@
         let after = members.len();
         let roster = Roster::new(&members, &self.0.key, &self.0.own);
         let roster = Arc::new(roster);
-        *self.0.roster.write().expect("no panic inside") = Arc::clone(&roster);
+        *self.0.roster.write().expect("lock not poisoned") = Arc::clone(&roster);
         self.publish_instances(&members, &roster);
         self.update_mass_start(&members);
         drop(members);
@@ -326,51 +340,56 @@
         }
     }
 
-    /// Returns whether most instances have started with this one, or after it: the first time, or after a loss of all.
+    /// Returns whether most instances have started together with this one, or later: at the first
+    /// start of the fleet, or after all instances were lost.
     pub(crate) fn is_mass_start(&self) -> bool {
         self.0.mass_start.load(Ordering::Relaxed)
     }
 
-    /// Takes which instances have started with this one, or after it.
+    /// Updates whether most instances have started together with this one, or later.
     fn update_mass_start(&self, members: &BTreeMap<String, Arc<Member>>) {
-        let Some(own) = started_at(&self.0.own.id) else {
+        let Some(own_start) = start_secs(&self.0.own.id) else {
             return;
         };
         let earlier =
-            |m: &&Arc<Member>| started_at(&m.id).is_some_and(|at| at + SAME_START_SECS < own);
+            |m: &&Arc<Member>| start_secs(&m.id).is_some_and(|at| at + SAME_START_SECS < own_start);
         let earlier = members.values().filter(earlier).count();
-        let most = earlier * MASS_START_DIVISOR <= members.len();
-        self.0.mass_start.store(most, Ordering::Relaxed);
+        let mass_start = earlier * MASS_START_DIVISOR <= members.len();
+        self.0.mass_start.store(mass_start, Ordering::Relaxed);
     }
 
-    /// Takes which instances of the own zone may read the store for it, and which of all may send to cold upstreams.
+    /// Passes the list on to what depends on it: the choice of the instances that read the store
+    /// for their zone, and of those that may send to throttled upstreams.
     fn publish_instances(&self, members: &BTreeMap<String, Arc<Member>>, roster: &Roster) {
-        let near = zone_prefix(&self.0.own.zone);
+        let prefix = zone_prefix(&self.0.own.zone);
         let zone = members.iter().filter(|(_, m)| m.zone == self.0.own.zone);
         let zone = zone.map(|(key, m)| Candidate {
-            name: key.strip_prefix(&near).unwrap_or(key),
+            name: key.strip_prefix(&prefix).unwrap_or(key),
             link_mbps: m.link_mbps,
         });
         let zone: Vec<Candidate<'_>> = zone.collect();
-        let me = Candidate {
+        let own = Candidate {
             name: &self.0.name,
             link_mbps: self.0.own.link_mbps,
         };
-        let neighbours = roster.zone_peers().iter().map(|m| m.addr);
-        self.0.feed.relay.set_zone(&me, &zone, neighbours.collect());
-        let mut pool = self.0.pool.lock().expect("no panic inside");
+        let zone_peers = roster.zone_peers().iter().map(|m| m.addr);
+        self.0
+            .context
+            .relay
+            .set_zone(&own, &zone, zone_peers.collect());
+        let mut pool = self.0.pool.lock().expect("lock not poisoned");
         let now = self.0.clock.now();
         pool.set_instances(now, xxh3_64(self.0.key.as_bytes()), &roster.key_hashes());
     }
 
-    /// Ends the lease, and with it the own key.
+    /// Ends the lease, which deletes the key of this instance.
     pub(crate) async fn deregister(&self) {
-        let lease = *self.0.lease.lock().expect("no panic inside");
+        let lease = *self.0.lease.lock().expect("lock not poisoned");
         if lease == 0 {
             return;
         }
         if let Err(failure) = self.0.store.end_lease(lease).await {
-            // It ends by itself later.
+            // The lease expires by itself later.
             let detail = format_args!("what=lease why={failure:?}");
             self.0.log.note(Event::WriteFailed, detail);
         }
--- a/crates/proxy/src/roster.rs
+++ b/crates/proxy/src/roster.rs
@@ -1,4 +1,5 @@
-//! The listed instances and what follows from the list, worked out once for each list instead of at each request.
+//! The listed instances and what is derived from the list, computed once per list instead of once
+//! per request.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -10,37 +11,39 @@
 
 use crate::fleet::Member;
 
-/// Instances that keep what is known of something: one of them may be lost with all that it was told.
+/// Number of instances that own a record: one of them may be lost with everything that it has
+/// received.
 const RECORD_OWNERS: usize = 2;
 
-/// The instances that hold a customer's tokens, the one to ask first at first.
+/// The instances that hold a customer's tokens, in the order in which to ask them.
 pub(crate) type Homes = SmallVec<[Arc<Member>; HOME_CANDIDATES]>;
 
-/// Which instances a customer's homes are chosen from.
+/// The instances from which a customer's homes are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum HomeScope {
-    /// All.
+    /// All instances.
     Fleet,
-    /// Those of the own availability zone.
+    /// The instances of the own availability zone.
     Zone,
 }
 
 /// A listed instance.
 #[derive(Debug)]
 struct ListedInstance {
-    /// The hash of its key, which it keeps over restarts.
+    /// The hash of its key, which it keeps across restarts.
     key_hash: u64,
     member: Arc<Member>,
 }
 
-/// The instances of one list.
+/// The instances of one list, as one instance sees them.
 #[derive(Debug)]
 pub(crate) struct Roster {
-    /// In the order of their keys.
+    /// All listed instances, ordered by key.
     instances: Vec<ListedInstance>,
-    /// Without this instance; those of the own zone first, in the order of their keys from the own one on.
+    /// The instances other than this one: those of the same zone first, each group ordered by key,
+    /// starting after the own key and wrapping around.
     peers: Vec<Arc<Member>>,
-    /// How many of the others are in the own zone.
+    /// Number of peers in the same zone.
     zone_peer_count: usize,
     zone_peer_addrs: HashSet<SocketAddr>,
     zone: String,
@@ -49,85 +52,88 @@
 }
 
 impl Roster {
-    /// Returns the roster of a list, by keys, as one instance sees it, itself listed under `own_key` or not.
+    /// Returns the roster of a list of members by key, as seen by the instance `own`, which may be
+    /// listed under `own_key` or not.
     pub(crate) fn new(
         members: &BTreeMap<String, Arc<Member>>,
         own_key: &str,
-        me: &Member,
+        own: &Member,
     ) -> Roster {
         let listed = members.iter().map(|(key, member)| ListedInstance {
             key_hash: xxh3_64(key.as_bytes()),
             member: Arc::clone(member),
         });
-        // Each instance begins behind itself, so that not all turn to the same ones first.
+        // Each instance starts after its own key, so that not all contact the same peers first.
         let before = members.range(..own_key.to_string());
-        let behind = members.range(own_key.to_string()..).chain(before);
-        let others = behind.map(|(_, m)| m).filter(|m| m.id != me.id);
-        let (near, far): (Vec<_>, Vec<_>) = others.cloned().partition(|m| m.zone == me.zone);
+        let rotated = members.range(own_key.to_string()..).chain(before);
+        let peers = rotated.map(|(_, m)| m).filter(|m| m.id != own.id);
+        let (same_zone, other_zones): (Vec<_>, Vec<_>) =
+            peers.cloned().partition(|m| m.zone == own.zone);
         Roster {
             instances: listed.collect(),
-            zone_peer_count: near.len(),
-            zone_peer_addrs: near.iter().map(|m| m.addr).collect(),
-            peers: near.into_iter().chain(far).collect(),
-            zone: me.zone.clone(),
-            own_incarnation: me.id.clone(),
+            zone_peer_count: same_zone.len(),
+            zone_peer_addrs: same_zone.iter().map(|m| m.addr).collect(),
+            peers: same_zone.into_iter().chain(other_zones).collect(),
+            zone: own.zone.clone(),
+            own_incarnation: own.id.clone(),
             home_cache: Mutex::default(),
         }
     }
 
-    /// Returns the other instances, those of the own zone first, in the order of their keys from the own one on.
+    /// Returns the other instances: those of the same zone first, each group ordered by key,
+    /// starting after the own key and wrapping around.
     pub(crate) fn peers(&self) -> &[Arc<Member>] {
         &self.peers
     }
 
-    /// Returns the other instances of the own zone.
+    /// Returns the other instances of the same zone.
     pub(crate) fn zone_peers(&self) -> &[Arc<Member>] {
         &self.peers[..self.zone_peer_count]
     }
 
-    /// Returns whether an address is that of an instance in the own zone.
+    /// Returns whether an address belongs to another instance of the same zone.
     pub(crate) fn is_same_zone(&self, addr: SocketAddr) -> bool {
         self.zone_peer_addrs.contains(&addr)
     }
 
-    /// Returns how many instances there are, this one among them.
+    /// Returns the number of instances, including this one.
     pub(crate) fn len(&self) -> usize {
         self.peers.len() + 1
     }
 
-    /// Returns the incarnations that are listed.
+    /// Returns the listed incarnations.
     pub(crate) fn incarnations(&self) -> impl Iterator<Item = &str> {
         self.instances.iter().map(|l| l.member.id.as_str())
     }
 
-    /// Returns the hashed keys of the listed instances.
+    /// Returns the hashes of the keys of the listed instances.
     pub(crate) fn key_hashes(&self) -> Vec<u64> {
         self.instances.iter().map(|l| l.key_hash).collect()
     }
 
-    /// Returns the instances that hold a customer's tokens.
-    pub(crate) fn homes(&self, customer: &str, area: HomeScope) -> Homes {
-        let mut known = self.home_cache.lock().expect("no panic inside");
-        let key = (area, customer.to_string());
-        let homes = known.entry(key).or_insert_with(|| {
-            let in_area =
-                |l: &&ListedInstance| area == HomeScope::Fleet || l.member.zone == self.zone;
-            let instances = self.instances.iter().filter(in_area);
+    /// Returns the instances that hold a customer's tokens, in the order in which to ask them.
+    pub(crate) fn homes(&self, customer: &str, scope: HomeScope) -> Homes {
+        let mut cache = self.home_cache.lock().expect("lock not poisoned");
+        let key = (scope, customer.to_string());
+        let homes = cache.entry(key).or_insert_with(|| {
+            let in_scope =
+                |l: &&ListedInstance| scope == HomeScope::Fleet || l.member.zone == self.zone;
+            let instances = self.instances.iter().filter(in_scope);
             let homes = escrow::home_candidates(customer, instances, |l| l.key_hash);
             homes.iter().map(|l| Arc::clone(&l.member)).collect()
         });
         homes.clone()
     }
 
-    /// Returns whether this instance is the first of some homes, or the list does not name any.
+    /// Returns whether this instance is the first of some homes, or the list contains no home.
     pub(crate) fn is_primary_home(&self, homes: &Homes) -> bool {
         homes.first().is_none_or(|m| m.id == self.own_incarnation)
     }
 
-    /// Returns the instances that keep what is known of something, the one that decides about it first.
-    pub(crate) fn owners(&self, what: u64) -> SmallVec<[Arc<Member>; RECORD_OWNERS]> {
-        let keepers =
-            escrow::rendezvous_select::<_, RECORD_OWNERS>(what, &self.instances, |l| l.key_hash);
-        keepers.iter().map(|l| Arc::clone(&l.member)).collect()
+    /// Returns the instances that own a record; the first one decides on it.
+    pub(crate) fn owners(&self, key: u64) -> SmallVec<[Arc<Member>; RECORD_OWNERS]> {
+        let owners =
+            escrow::rendezvous_select::<_, RECORD_OWNERS>(key, &self.instances, |l| l.key_hash);
+        owners.iter().map(|l| Arc::clone(&l.member)).collect()
     }
 }
--- a/crates/proxy/src/store_health.rs
+++ b/crates/proxy/src/store_health.rs
@@ -1,4 +1,4 @@
-//! Whether the store answers, as all tasks see it.
+//! Whether the store is available, shared by all tasks.
 
 use std::fmt::Arguments;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -13,35 +13,43 @@
 use crate::event::Event;
 use crate::log::Log;
 
-/// While the store is out of reach, one call in this time asks whether it is back, for all tasks: calls that
-/// are refused are paid for like others.
+/// Interval between probes while the store is unavailable. One task probes on behalf of all, since
+/// calls that are refused are billed like others.
 const PROBE_INTERVAL: Duration = Duration::from_millis(400);
-/// The same where others ask, and say when it is back.
+/// Interval between probes while the store is unavailable, if other instances probe it too and
+/// announce when it is available again.
 const SHARED_PROBE_INTERVAL: Duration = Duration::from_secs(2);
-/// Without an answer for this long the store counts as out of reach, in milliseconds, once a call has
-/// failed.
+/// The store counts as unavailable when a call has failed and there has been no response for this
+/// time, in milliseconds.
 const UNAVAILABLE_AFTER_MS: u64 = 1_500;
-/// A store that is asked because of what others report has so long to answer, in milliseconds.
+/// Time that the store has to answer the probe that follows a report by other instances, in
+/// milliseconds.
 const CONFIRM_TIMEOUT_MS: u64 = 250;
-/// An instance whose last answer is older than this had not asked for anything, in milliseconds: one that reads
-/// the store by itself has a call under way all the time, and an end of it that often. Silence counts from
-/// its first call without an answer then.
+/// Maximum time between the last response and the start of a failed call, in milliseconds, for the
+/// store to count as failing since that response. An instance that reads the store itself always
+/// has a call in progress, and one of them ends at least this often. After a longer gap the
+/// instance had made no calls, so the store counts as failing only since the start of the failed
+/// call.
 const MAX_CALL_GAP_MS: u64 = 3_500;
 
-/// Whether the store answers.
+/// Whether the store is available.
 #[derive(Debug)]
 pub(crate) struct StoreHealth {
     clock: Clock,
     log: Arc<Log>,
     last_response_at: AtomicU64,
-    /// Since when calls have had no answer, in milliseconds; 0 when the last one had.
+    /// Since when calls have failed, in milliseconds; 0 if the last one was answered.
     failing_since: AtomicU64,
+    /// When the store last became available again, in milliseconds; 0 if it has always been
+    /// available.
     recovered_at: AtomicU64,
-    /// When readers said that the store is out of their reach, in milliseconds, with no answer here since; 0 for never.
+    /// When all readers first reported the store as unavailable to them after the last response
+    /// here, in milliseconds; 0 for never. A value before the last response is outdated.
     reported_unavailable_at: AtomicU64,
     unavailable: AtomicBool,
+    /// Wakes the tasks that wait until the store is available again.
     recovered: Notify,
-    /// Wakes the one that asks whether the store answers.
+    /// Wakes the task that probes the store.
     probe_requested: Notify,
 }
 
@@ -60,7 +68,7 @@
         }
     }
 
-    /// Notes an answer of the store.
+    /// Records a response of the store.
     pub(crate) fn record_response(&self) {
         let now = self.clock.now();
         self.last_response_at.store(now, Ordering::Relaxed);
@@ -72,103 +80,112 @@
         }
     }
 
-    /// Notes a call without an answer, and when it began.
-    pub(crate) fn record_failure(&self, began: u64, why: &Failure) {
+    /// Records a failed call and when it started.
+    pub(crate) fn record_failure(&self, started_at: u64, why: &Failure) {
         let now = self.clock.now();
-        let answered_at = self.last_response_at.load(Ordering::Relaxed);
+        let last_response_at = self.last_response_at.load(Ordering::Relaxed);
         if self.failing_since.load(Ordering::Relaxed) == 0 {
-            let asked = began <= answered_at + MAX_CALL_GAP_MS;
-            let since = if asked { answered_at } else { began };
+            let continuous = started_at <= last_response_at + MAX_CALL_GAP_MS;
+            let since = if continuous {
+                last_response_at
+            } else {
+                started_at
+            };
             self.failing_since.store(since.max(1), Ordering::Relaxed);
         }
-        let silent = now.saturating_sub(self.failing_since.load(Ordering::Relaxed));
-        let was_out = self.is_unavailable();
-        self.mark_unavailable(silent, format_args!("{why:?}"));
-        // Once it is out it is asked for often enough.
-        if !was_out {
+        let silent_ms = now.saturating_sub(self.failing_since.load(Ordering::Relaxed));
+        let was_unavailable = self.is_unavailable();
+        self.mark_unavailable(silent_ms, format_args!("{why:?}"));
+        // While the store is unavailable, it is probed often enough anyway.
+        if !was_unavailable {
             self.request_probe();
         }
     }
 
-    /// Takes the report of all readers that the store is unavailable to them. It is asked at once; one that has no answer by the
-    /// next report goes by it, instead of having requests wait for calls that get none.
+    /// Records that the store is unavailable to all readers, by their own reports. The first report
+    /// triggers a probe. If there is no response by a later report, the store counts as unavailable
+    /// here too, so that requests don't wait for calls that will not be answered.
     pub(crate) fn report_unavailable(&self) {
         if self.is_unavailable() {
             return;
         }
         let now = self.clock.now();
-        let answered_at = self.last_response_at.load(Ordering::Relaxed);
-        let told_at = self.reported_unavailable_at.load(Ordering::Relaxed);
-        if told_at <= answered_at {
+        let last_response_at = self.last_response_at.load(Ordering::Relaxed);
+        let reported_at = self.reported_unavailable_at.load(Ordering::Relaxed);
+        if reported_at <= last_response_at {
             self.reported_unavailable_at.store(now, Ordering::Relaxed);
             self.request_probe();
-        } else if now >= told_at + CONFIRM_TIMEOUT_MS {
-            self.mark_unavailable(now - answered_at, format_args!("told"));
+        } else if now >= reported_at + CONFIRM_TIMEOUT_MS {
+            self.mark_unavailable(now - last_response_at, format_args!("told"));
         }
     }
 
-    /// Takes the store for out of reach, if it was silent for long enough; returns whether it was in reach until now.
-    fn mark_unavailable(&self, silent: u64, why: Arguments<'_>) -> bool {
-        let lost =
-            silent >= UNAVAILABLE_AFTER_MS && !self.unavailable.swap(true, Ordering::Relaxed);
-        if lost {
-            let detail = format_args!("silent_ms={silent} last={why}");
+    /// Marks the store as unavailable if there has been no response for long enough; returns
+    /// whether it was available until now.
+    fn mark_unavailable(&self, silent_ms: u64, why: Arguments<'_>) -> bool {
+        let newly_unavailable =
+            silent_ms >= UNAVAILABLE_AFTER_MS && !self.unavailable.swap(true, Ordering::Relaxed);
+        if newly_unavailable {
+            let detail = format_args!("silent_ms={silent_ms} last={why}");
             self.log.note(Event::StoreLost, detail);
         }
-        lost
+        newly_unavailable
     }
 
-    /// Returns whether calls have had no answer since the last one that had.
+    /// Returns whether calls have failed since the last response.
     pub(crate) fn is_failing(&self) -> bool {
         self.failing_since.load(Ordering::Relaxed) > 0
     }
 
-    /// Has somebody ask whether the store answers.
+    /// Requests a probe of the store.
     pub(crate) fn request_probe(&self) {
         self.probe_requested.notify_one();
     }
 
-    /// Takes the word of another instance on when the store answered again.
-    pub(crate) fn report_recovery(&self, at: u64) {
-        let own = self.recovered_at.load(Ordering::Relaxed);
-        // The same return, by words that were under way for different times.
-        if at > own + UNAVAILABLE_AFTER_MS {
-            self.recovered_at.store(at, Ordering::Relaxed);
+    /// Records when the store became available again to another instance.
+    pub(crate) fn report_recovery(&self, recovered_at: u64) {
+        let known = self.recovered_at.load(Ordering::Relaxed);
+        // An earlier time means the same recovery, reported with a different network delay.
+        if recovered_at > known + UNAVAILABLE_AFTER_MS {
+            self.recovered_at.store(recovered_at, Ordering::Relaxed);
         }
     }
 
-    /// Waits until it is to be asked whether the store answers: seldom as long as nobody doubts it, and while it is out
-    /// of reach, where `others_ask`.
-    pub(crate) async fn wait_until_probe_due(&self, seldom: Duration, others_ask: bool) {
+    /// Waits until the store is to be probed: after `idle_interval` while it is available, else
+    /// after the probe interval, which is longer if other instances probe (`others_probe`). A
+    /// requested probe is due earlier, but not within the probe interval.
+    pub(crate) async fn wait_until_probe_due(&self, idle_interval: Duration, others_probe: bool) {
         let earliest = Instant::now() + PROBE_INTERVAL;
-        let most = match (self.is_unavailable(), others_ask) {
-            (false, _) => seldom,
+        let max_wait = match (self.is_unavailable(), others_probe) {
+            (false, _) => idle_interval,
             (true, false) => PROBE_INTERVAL,
             (true, true) => SHARED_PROBE_INTERVAL,
         };
-        // Either way it is asked.
-        let _ = timeout(most, self.probe_requested.notified()).await;
+        // The store is probed either way.
+        let _ = timeout(max_wait, self.probe_requested.notified()).await;
         sleep_until(earliest).await;
     }
 
-    /// Waits as long as the store is out of reach.
+    /// Waits while the store is unavailable.
     pub(crate) async fn wait_until_available(&self) {
         loop {
-            let back = self.recovered.notified();
+            let recovered = self.recovered.notified();
             if !self.is_unavailable() {
                 return;
             }
-            // The return may come between the look and the wait.
-            let _ = timeout(PROBE_INTERVAL, back).await;
+            // The store may become available between the check and the wait, so the wait is
+            // limited.
+            let _ = timeout(PROBE_INTERVAL, recovered).await;
         }
     }
 
-    /// Returns whether the store is out of reach.
+    /// Returns whether the store is unavailable.
     pub(crate) fn is_unavailable(&self) -> bool {
         self.unavailable.load(Ordering::Relaxed)
     }
 
-    /// Returns when the store answered again, in milliseconds; 0 when it was never out.
+    /// Returns when the store last became available again, in milliseconds; 0 if it has always been
+    /// available.
     pub(crate) fn recovered_at(&self) -> u64 {
         self.recovered_at.load(Ordering::Relaxed)
     }
