--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration in force: only ever replaced by a higher version.
+//! The operators' configuration in force, which is replaced only by a higher version.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex, RwLock};
@@ -19,39 +19,40 @@
 use crate::relay::Relay;
 use crate::replication::Topic;
 
-/// Revoked keys that are remembered until the version that revokes them is in force, bounding memory.
+/// Maximum number of revoked keys that are remembered until the version that revokes them is in
+/// force, to bound memory.
 const MAX_REVOKED_KEYS: usize = 1_024;
 
 /// A configuration in force.
 #[derive(Debug)]
 pub(crate) struct ActiveConfig {
-    /// As it is read.
+    /// The parsed configuration.
     pub(crate) routing: Routing,
-    /// As it stands in the store: other instances may ask for it.
+    /// The configuration as stored, for other instances that request it.
     pub(crate) raw: Bytes,
 }
 
-/// A handle on the configuration in force.
+/// Handle on the configuration in force; clones share it.
 #[derive(Clone)]
 pub(crate) struct Config(Arc<Inner>);
 
 struct Inner {
     deps: ConfigDeps,
     active: RwLock<Option<Arc<ActiveConfig>>>,
-    /// Keys that a version which is not in force here yet no longer holds, by their hashes.
+    /// Hashes of keys that a version revokes which is not in force here yet, with that version.
     revoked_keys: RwLock<HashMap<u64, u64>>,
 }
 
-/// How far the rate that a cold upstream bears may be exceeded by the fleet.
+/// How far the fleet may exceed the request rate that a cold upstream can handle.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ColdStartTolerance {
-    /// A factor.
+    /// Factor by which the rate is multiplied.
     pub(crate) factor: f64,
-    /// Requests besides.
+    /// Requests per second that are added to it.
     pub(crate) slack: f64,
 }
 
-/// What a configuration is put in force with.
+/// What a configuration is applied to, and what that takes.
 pub(crate) struct ConfigDeps {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) bank: Bank,
@@ -63,9 +64,9 @@
 }
 
 impl Config {
-    pub(crate) fn open(works: ConfigDeps) -> Config {
+    pub(crate) fn open(deps: ConfigDeps) -> Config {
         Config(Arc::new(Inner {
-            deps: works,
+            deps,
             active: RwLock::new(None),
             revoked_keys: RwLock::default(),
         }))
@@ -73,7 +74,7 @@
 
     /// Returns the configuration in force.
     pub(crate) fn active(&self) -> Option<Arc<ActiveConfig>> {
-        self.0.active.read().expect("no panic inside").clone()
+        self.0.active.read().expect("lock not poisoned").clone()
     }
 
     /// Returns the version in force; 0 for none.
@@ -81,7 +82,7 @@
         self.active().map_or(0, |a| a.routing.version)
     }
 
-    /// Takes a configuration from any source, and puts it in force if it is newer.
+    /// Puts a configuration from any source in force if it is newer than the one in force.
     pub(crate) fn apply_if_newer(&self, raw: &[u8], source: &str) {
         let same = self.active().is_some_and(|a| a.raw == raw);
         if same {
@@ -95,7 +96,7 @@
                 return;
             }
         };
-        let mut active = self.0.active.write().expect("no panic inside");
+        let mut active = self.0.active.write().expect("lock not poisoned");
         let before = active.as_ref().map_or(0, |a| a.routing.version);
         if active.is_some() && routing.version <= before {
             return;
@@ -118,7 +119,7 @@
         self.publish_change(previous.as_deref(), &next);
     }
 
-    /// Tells peers what is urgent of a version that is in force now.
+    /// Publishes to peers what is urgent in a version that is in force now.
     fn publish_change(&self, previous: Option<&ActiveConfig>, next: &ActiveConfig) {
         let version = next.routing.version;
         self.0.deps.relay.set_config_version(version);
@@ -140,25 +141,25 @@
     }
 
     fn set_cold_starts(&self, routing: &Routing) {
-        let bounds = self.0.deps.cold_start_tolerance;
+        let tolerance = self.0.deps.cold_start_tolerance;
         let cold = |s: &conf::Service| ColdStart {
             duration_ms: s.cold_ms,
             max_per_sec: (s.cold_per_sec > 0.0)
-                .then_some(s.cold_per_sec * bounds.factor + bounds.slack),
+                .then_some(s.cold_per_sec * tolerance.factor + tolerance.slack),
         };
         let services = routing.services.iter();
         let cold = services.map(|(name, s)| (name.clone(), cold(s)));
-        let mut pool = self.0.deps.pool.lock().expect("no panic inside");
+        let mut pool = self.0.deps.pool.lock().expect("lock not poisoned");
         pool.set_cold_starts(cold.collect());
     }
 
-    /// Takes a peer's report that a version revokes a key: it is refused from now on, though that version itself may
-    /// come later.
+    /// Records a peer's report that a version revokes a key. The key is refused from now on, even
+    /// if that version itself arrives later.
     pub(crate) fn revoke_key(&self, key: u64, version: u64) {
         if version <= self.version() {
             return;
         }
-        let mut revoked = self.0.revoked_keys.write().expect("no panic inside");
+        let mut revoked = self.0.revoked_keys.write().expect("lock not poisoned");
         if revoked.len() < MAX_REVOKED_KEYS {
             revoked.insert(key, version);
         }
@@ -168,24 +169,25 @@
     }
 
     fn forget_revoked_keys(&self, version: u64) {
-        let mut revoked = self.0.revoked_keys.write().expect("no panic inside");
+        let mut revoked = self.0.revoked_keys.write().expect("lock not poisoned");
         revoked.retain(|_, by| *by > version);
     }
 
-    /// Returns the version, newer than the one in force, that no longer holds a key; none where nothing says so.
+    /// Returns the version, newer than the one in force, that revokes a key; `None` if none is
+    /// known.
     pub(crate) fn revoking_version(&self, key: &str) -> Option<u64> {
-        let revoked = self.0.revoked_keys.read().expect("no panic inside");
+        let revoked = self.0.revoked_keys.read().expect("lock not poisoned");
         if revoked.is_empty() {
             return None;
         }
         revoked.get(&key_hash(key)).copied()
     }
 
-    /// Follows the store.
+    /// Starts the task that follows the configuration and the other keys that operators write.
     pub(crate) fn spawn(
         &self,
         store: Arc<dyn Store>,
-        feed: FollowContext,
+        context: FollowContext,
         evacuations: Evacuations,
     ) {
         let config = self.clone();
@@ -193,10 +195,16 @@
             let dialect = &config.0.deps.dialect;
             let key = dialect.config_key().to_string();
             let prefix = dialect.operator_prefix().to_string();
-            let mut follow =
-                Follower::open(store, feed, Topic::Config, &prefix, None, WATCH_TIMEOUT_MS);
+            let mut follower = Follower::open(
+                store,
+                context,
+                Topic::Config,
+                &prefix,
+                None,
+                WATCH_TIMEOUT_MS,
+            );
             loop {
-                let found = match follow.next().await {
+                let found = match follower.next().await {
                     Update::Snapshot(items, revision) => {
                         evacuations.apply_snapshot(&items, revision);
                         items.into_iter().find(|f| f.key == key)
@@ -215,6 +223,7 @@
     }
 }
 
+/// Returns the last value among the changes of a key.
 fn last_value(changes: Vec<Change>, key: &str) -> Option<kv::Found> {
     let of_key = changes.into_iter().filter(|c| c.key == key);
     of_key.filter_map(|c| c.now).next_back()
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -1,8 +1,9 @@
-//! Datagrams between instances: what each has at the upstreams, and what requests have spent.
+//! Datagrams between instances, among them the load that each puts on the upstreams and the tokens
+//! that requests have spent.
 //!
-//! An upstream's own report is late, and each instance sees a part of its requests only: without the former
-//! several instances send long prompts to one engine at the same time. A lost datagram costs one
-//! round; nothing depends on it.
+//! An upstream reports its own load late, and each instance sees only a part of its requests.
+//! Without load reports, several instances would send long prompts to one engine at the same time.
+//! A lost datagram costs one round; nothing depends on it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,37 +25,39 @@
 use crate::suspect_gossip::PeerNetwork;
 use crate::traffic::Traffic;
 
-/// Pause between two rounds of a small fleet: a long prompt is read in some hundred milliseconds.
+/// Interval between load reports in a small fleet: a long prompt is processed in some hundred
+/// milliseconds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(80);
-/// A fleet of more instances than this has longer rounds, so that each sends as many datagrams a
-/// second.
+/// In a fleet of more instances than this, the interval grows with their number, so that each
+/// instance sends the same number of datagrams per second.
 const SMALL_FLEET: usize = 9;
-/// Instances that get load reports: each of so many gets the next one before the one before has expired.
+/// Maximum number of peers that get load reports: with this many, each still gets the next report
+/// before the previous one has expired.
 const MAX_LOAD_PEERS: usize = 90;
-/// Largest datagram that is read, in bytes.
+/// Maximum size of a received datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 16 << 10;
 
-/// What one instance sends to another.
+/// A message from one instance to another that may be lost.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Datagram {
-    /// What it has at the upstreams.
+    /// The load that the sender puts on the upstreams.
     Loads(LoadReport),
-    /// What requests have spent and left of budgets.
+    /// What requests have spent of budgets, and what they have left.
     Settled(Vec<Settled>),
-    /// How far it has read the store for its zone.
+    /// How far the sender has read the store for its zone.
     Head(Head),
-    /// Requests under which upstreams have ended.
+    /// Records of requests that were running on upstreams when these crashed.
     Suspects(Vec<suspect::SuspectRecord>),
-    /// Small and urgent news.
+    /// Small and urgent changes.
     Notices {
-        /// The version of the configuration that is in force at the sender.
+        /// The version of the configuration in force at the sender.
         version: u64,
         batch: Vec<Notice>,
     },
 }
 
 impl Datagram {
-    /// Returns what it is for, as reports name it.
+    /// Returns the purpose under which the traffic report counts it.
     fn purpose(&self) -> &'static str {
         match self {
             Datagram::Loads(_) => "loads",
@@ -77,28 +80,31 @@
 impl Sender {
     /// Sends a datagram to some instances.
     pub(crate) fn send(&self, datagram: &Datagram, to: impl IntoIterator<Item = SocketAddr>) {
-        let bytes = serde_json::to_vec(datagram).expect("numbers and texts that JSON can hold");
+        let bytes = serde_json::to_vec(datagram).expect("a datagram can be serialized");
         let roster = self.fleet.roster();
         for addr in to {
-            let near = roster.is_same_zone(addr);
-            self.traffic.count(datagram.purpose(), near, bytes.len());
-            // One that can't be sent is as good as a lost one.
+            let same_zone = roster.is_same_zone(addr);
+            self.traffic
+                .count(datagram.purpose(), same_zone, bytes.len());
+            // A datagram that can't be sent is treated as lost.
             let _ = self.socket.try_send_to(&bytes, addr);
         }
     }
 }
 
-/// What one instance has at the upstreams.
+/// The load that one instance puts on the upstreams.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct LoadReport {
+    /// Identifies the sender by a random number.
     #[serde(rename = "from")]
     sender: u64,
-    /// Upstreams by the hash of their names, with milliseconds of reading and requests there.
+    /// Per upstream, the hash of its incarnation, the processing time of pending prompts in
+    /// milliseconds, and the number of requests in flight.
     #[serde(rename = "held")]
     loads: Vec<(u64, u32, u32)>,
 }
 
-/// Binds the socket.
+/// Binds the socket for datagrams.
 ///
 /// # Errors
 ///
@@ -107,21 +113,30 @@
     UdpSocket::bind(addr).await
 }
 
-/// Tells the others, and listens to them.
-pub(crate) fn spawn(others: &PeerNetwork, pool: Arc<Mutex<Pool>>, desk: PeerService, clock: Clock) {
-    let sender = &others.sender;
+/// Starts the tasks that send datagrams to the other instances and receive theirs.
+pub(crate) fn spawn(
+    network: &PeerNetwork,
+    pool: Arc<Mutex<Pool>>,
+    service: PeerService,
+    clock: Clock,
+) {
+    let sender = &network.sender;
     let receiver = Receiver {
         pool: Arc::clone(&pool),
-        service: desk.clone(),
+        service: service.clone(),
         sender: sender.clone(),
         clock,
     };
     tokio::spawn(receiver.listen());
-    tokio::spawn(broadcast_heads(sender.clone(), desk.notice_handler.relay));
+    tokio::spawn(broadcast_heads(
+        sender.clone(),
+        service.notice_handler.relay,
+    ));
     tokio::spawn(broadcast_loads(sender.clone(), pool, clock));
 }
 
-/// Tells the instances of the own zone how far this one has read the store, while it reads for them.
+/// Sends to the instances of the same zone how far this one has read the store, while it reads for
+/// them.
 async fn broadcast_heads(sender: Sender, relay: Relay) {
     loop {
         let Some(head) = relay.next_head().await else {
@@ -133,31 +148,36 @@
     }
 }
 
+/// Sends the load that this instance puts on the upstreams.
 async fn broadcast_loads(sender: Sender, pool: Arc<Mutex<Pool>>, clock: Clock) {
-    let from = rand::random();
-    let mut silent = false;
+    let sender_id = rand::random();
+    let mut reported_none = false;
     loop {
         let mut load_peers = sender.fleet.peers();
         load_peers.truncate(MAX_LOAD_PEERS);
         let rounds = (load_peers.len() / SMALL_FLEET + 1) as u32;
         sleep(ROUND_INTERVAL * rounds).await;
-        let held = pool.lock().expect("no panic inside").own_loads(clock.now());
-        // An instance that has nothing says so once.
-        if held.is_empty() && silent {
+        let loads = pool
+            .lock()
+            .expect("lock not poisoned")
+            .own_loads(clock.now());
+        // An instance without load reports that only once.
+        if loads.is_empty() && reported_none {
             continue;
         }
-        silent = held.is_empty();
-        let row = |(hash, h): (u64, InstanceLoad)| (hash, h.pending_prefill_ms as u32, h.inflight);
+        reported_none = loads.is_empty();
+        let to_row =
+            |(hash, h): (u64, InstanceLoad)| (hash, h.pending_prefill_ms as u32, h.inflight);
         let report = LoadReport {
-            sender: from,
-            loads: held.into_iter().map(row).collect(),
+            sender: sender_id,
+            loads: loads.into_iter().map(to_row).collect(),
         };
         let to = load_peers.into_iter().map(|m| m.addr);
         sender.send(&Datagram::Loads(report), to);
     }
 }
 
-/// Receives datagrams of other instances, and passes them on to what they are for.
+/// Receives datagrams of other instances and passes them on.
 struct Receiver {
     pool: Arc<Mutex<Pool>>,
     service: PeerService,
@@ -170,7 +190,7 @@
         let Sender { socket, fleet, .. } = &self.sender;
         let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error here is another instance's closed port, told by its host.
+            // An error here comes from the host of another instance whose port is closed.
             let Ok((n, from)) = socket.recv_from(&mut buf).await else {
                 sleep(ROUND_INTERVAL).await;
                 continue;
@@ -179,45 +199,46 @@
                 Ok(Datagram::Loads(report)) => {
                     receive_loads(&self.pool, &report, self.clock.now());
                 }
-                Ok(Datagram::Settled(told)) => self.service.bank.take_settled(&told),
+                Ok(Datagram::Settled(settled)) => self.service.bank.take_settled(&settled),
                 Ok(Datagram::Head(head)) => {
                     self.service.notice_handler.relay.receive_head(from, head)
                 }
-                Ok(Datagram::Suspects(words)) => {
-                    let lacks = self.service.suspects.merge(fleet, &words);
-                    if !lacks.is_empty() {
-                        self.sender.send(&Datagram::Suspects(lacks), [from]);
+                Ok(Datagram::Suspects(records)) => {
+                    let missing = self.service.suspects.merge(fleet, &records);
+                    if !missing.is_empty() {
+                        self.sender.send(&Datagram::Suspects(missing), [from]);
                     }
                 }
                 Ok(Datagram::Notices { version, batch }) => {
-                    let near = fleet.roster().is_same_zone(from);
-                    let lacks = self
+                    let same_zone = fleet.roster().is_same_zone(from);
+                    let missing = self
                         .service
                         .notice_handler
-                        .receive_batch(from, near, version, batch);
-                    if !lacks.is_empty() {
+                        .receive_batch(from, same_zone, version, batch);
+                    if !missing.is_empty() {
                         let version = self.service.notice_handler.config.version();
-                        let batch = lacks;
+                        let batch = missing;
                         self.sender
                             .send(&Datagram::Notices { version, batch }, [from]);
                     }
                 }
-                // Not one of ours, or of another version.
+                // It comes from another program or from an incompatible version.
                 Err(_) => {}
             }
         }
     }
 }
 
+/// Sets the load that another instance puts on the upstreams.
 fn receive_loads(pool: &Mutex<Pool>, report: &LoadReport, now: u64) {
-    let row = |(hash, reading, inflight): &(u64, u32, u32)| {
-        let held = InstanceLoad {
-            pending_prefill_ms: f64::from(*reading),
+    let to_load = |(hash, prefill_ms, inflight): &(u64, u32, u32)| {
+        let load = InstanceLoad {
+            pending_prefill_ms: f64::from(*prefill_ms),
             inflight: *inflight,
         };
-        (*hash, held)
+        (*hash, load)
     };
-    let held: HashMap<u64, InstanceLoad> = report.loads.iter().map(row).collect();
-    let mut pool = pool.lock().expect("no panic inside");
-    pool.set_peer_loads(now, report.sender, &held);
+    let loads: HashMap<u64, InstanceLoad> = report.loads.iter().map(to_load).collect();
+    let mut pool = pool.lock().expect("lock not poisoned");
+    pool.set_peer_loads(now, report.sender, &loads);
 }
--- a/crates/proxy/src/evacuation.rs
+++ b/crates/proxy/src/evacuation.rs
@@ -1,4 +1,5 @@
-//! Zones that operators evacuate: their upstreams get nothing until they are taken back.
+//! Zones that operators have evacuated: their upstreams get no requests until the zone is back in
+//! use.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -13,7 +14,7 @@
 use crate::log::Log;
 use crate::notices::Notices;
 
-/// A handle on the zones that are evacuated.
+/// Handle on the evacuated zones; clones share it.
 #[derive(Clone)]
 pub(crate) struct Evacuations(Arc<Inner>);
 
@@ -42,14 +43,14 @@
         }))
     }
 
-    /// Takes all that operators have written, as it was at a revision.
+    /// Applies a complete list of the keys that operators have written, as of a revision.
     pub(crate) fn apply_snapshot(&self, items: &[Found], revision: i64) {
         let zone = |f: &Found| {
             let zone = self.0.dialect.evacuated_zone(&f.key)?;
             Some((zone.to_string(), f.revision))
         };
-        let there: BTreeMap<String, i64> = items.iter().filter_map(zone).collect();
-        for (zone, revision) in &there {
+        let listed: BTreeMap<String, i64> = items.iter().filter_map(zone).collect();
+        for (zone, revision) in &listed {
             self.publish(zone, *revision, true);
         }
         for notice in self.0.notices.evacuations() {
@@ -57,15 +58,15 @@
                 zone, evacuated, ..
             } = notice
             {
-                // A notice of a later revision outweighs this list.
-                if evacuated && !there.contains_key(&zone) {
+                // If the notice has a later revision, it takes precedence over this list.
+                if evacuated && !listed.contains_key(&zone) {
                     self.publish(&zone, revision, false);
                 }
             }
         }
     }
 
-    /// Takes changes of what operators have written.
+    /// Applies changes of keys that operators have written.
     pub(crate) fn apply_changes(&self, changes: &[Change]) {
         for change in changes {
             if let Some(zone) = self.0.dialect.evacuated_zone(&change.key) {
@@ -74,6 +75,7 @@
         }
     }
 
+    /// Publishes the state of a zone to peers, and applies it if it is new.
     fn publish(&self, zone: &str, revision: i64, evacuated: bool) {
         let notice = Notice::Evacuation {
             zone: zone.to_string(),
@@ -85,9 +87,9 @@
         }
     }
 
-    /// Has the upstreams of a zone get nothing more, or work again.
+    /// Stops or resumes sending requests to the upstreams of a zone.
     pub(crate) fn set_evacuated(&self, zone: &str, evacuated: bool, source: &str) {
-        let mut pool = self.0.pool.lock().expect("no panic inside");
+        let mut pool = self.0.pool.lock().expect("lock not poisoned");
         if pool.evacuated_zones().contains(zone) == evacuated {
             return;
         }
--- a/crates/proxy/src/notices.rs
+++ b/crates/proxy/src/notices.rs
@@ -1,4 +1,5 @@
-//! Small and urgent news: what this instance learns, broadcasts and acts on.
+//! Notices, that is, small and urgent changes: what this instance learns, sends to peers and acts
+//! on.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -18,38 +19,40 @@
 use crate::suspect_gossip::{PeerNetwork, StartupPeers};
 use crate::upstream_list::UpstreamList;
 
-/// Pause between two rounds in which news are sent: what is learnt meanwhile goes with them.
+/// Delay between two rounds in which new notices are sent: those that are learned in between are
+/// sent together.
 const ROUND_INTERVAL: Duration = Duration::from_millis(60);
-/// How often one peer in turn is sent what all should know: one that was cut off knows it again within the time after which
-/// it counts as reachable.
+/// Interval at which a random peer is sent what all instances should know: one that was cut off
+/// knows it again within the time after which it counts as reachable.
 const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A handle on the notices that this instance knows.
+/// Handle on the notices that this instance knows; clones share it.
 #[derive(Clone, Default)]
 pub(crate) struct Notices(Arc<Inner>);
 
 #[derive(Default)]
 struct Inner {
     gossip: Mutex<Gossip>,
-    /// Wakes the task that sends news.
+    /// Wakes the task that sends new notices.
     changed: Notify,
 }
 
 impl Notices {
     fn gossip(&self) -> MutexGuard<'_, Gossip> {
-        self.0.gossip.lock().expect("no panic inside")
+        self.0.gossip.lock().expect("lock not poisoned")
     }
 
-    /// Takes what this instance has learnt, and sends it to peers; returns whether it is new.
+    /// Adds a notice that this instance has learned and sends it to peers; returns whether it is
+    /// new.
     pub(crate) fn publish(&self, notice: Notice) -> bool {
-        let news = self.gossip().insert(notice);
-        if news {
+        let is_new = self.gossip().insert(notice);
+        if is_new {
             self.0.changed.notify_one();
         }
-        news
+        is_new
     }
 
-    /// Takes a batch from a peer.
+    /// Adds a batch of notices from a peer.
     pub(crate) fn receive(&self, batch: Vec<Notice>) -> Received {
         let received = self.gossip().receive(batch);
         if !received.accepted.is_empty() {
@@ -63,28 +66,29 @@
         self.gossip().set_upstream_count(count);
     }
 
-    /// Returns the notice about an upstream's removal from the list, as the revision of that.
+    /// Returns the revision at which an upstream's entry was removed; `None` if no notice says so.
     pub(crate) fn removed_at(&self, upstream: &str) -> Option<i64> {
         self.gossip().removed_at(upstream)
     }
 
-    /// Returns the zones that are or were evacuated, with the revisions at which that was so.
+    /// Returns the notices about zones that are or were evacuated.
     pub(crate) fn evacuations(&self) -> Vec<Notice> {
         let all = self.gossip().all().into_iter();
         all.filter(|n| matches!(n, Notice::Evacuation { .. }))
             .collect()
     }
 
-    /// Sends news to peers.
-    pub(crate) fn spawn(&self, others: &PeerNetwork, config: &Config) {
-        tokio::spawn(self.clone().send_updates(others.clone(), config.clone()));
+    /// Starts the tasks that send notices to peers.
+    pub(crate) fn spawn(&self, network: &PeerNetwork, config: &Config) {
+        tokio::spawn(self.clone().send_updates(network.clone(), config.clone()));
         tokio::spawn(
             self.clone()
-                .send_anti_entropy(others.clone(), config.clone()),
+                .send_anti_entropy(network.clone(), config.clone()),
         );
     }
 
-    async fn send_updates(self, others: PeerNetwork, config: Config) {
+    /// Sends new notices to some peers, in several rounds.
+    async fn send_updates(self, network: PeerNetwork, config: Config) {
         loop {
             self.0.changed.notified().await;
             loop {
@@ -93,49 +97,51 @@
                     break;
                 }
                 for batch in due {
-                    send(&others, &config, batch, FANOUT);
+                    send(&network, &config, batch, FANOUT);
                 }
                 sleep(ROUND_INTERVAL).await;
             }
         }
     }
 
-    async fn send_anti_entropy(self, others: PeerNetwork, config: Config) {
+    /// Sends what all instances should know to one random peer at a time.
+    async fn send_anti_entropy(self, network: PeerNetwork, config: Config) {
         loop {
             sleep(ANTI_ENTROPY_INTERVAL).await;
             let page = self.gossip().anti_entropy_batch();
             if !page.is_empty() {
-                send(&others, &config, page, 1);
+                send(&network, &config, page, 1);
             }
         }
     }
 }
 
-/// Sends a batch to some peers, chosen at random.
-fn send(others: &PeerNetwork, config: &Config, batch: Vec<Notice>, peers: usize) {
-    let (listed, roster) = (others.fleet.peers(), others.fleet.roster());
+/// Sends a batch to `count` peers chosen at random. Of several peers, most are in the same zone.
+fn send(network: &PeerNetwork, config: &Config, batch: Vec<Notice>, count: usize) {
+    let (listed, roster) = (network.fleet.peers(), network.fleet.roster());
     let mut rng = rand::rng();
-    let near = roster.zone_peers();
-    let near = near.choose_multiple(&mut rng, SAME_ZONE_FANOUT.min(peers - 1));
-    let mut chosen: Vec<SocketAddr> = near.map(|m| m.addr).collect();
-    for any in listed.choose_multiple(&mut rng, peers) {
-        if chosen.len() < peers && !chosen.contains(&any.addr) {
+    let zone_peers = roster.zone_peers();
+    let zone_peers = zone_peers.choose_multiple(&mut rng, SAME_ZONE_FANOUT.min(count - 1));
+    let mut chosen: Vec<SocketAddr> = zone_peers.map(|m| m.addr).collect();
+    for any in listed.choose_multiple(&mut rng, count) {
+        if chosen.len() < count && !chosen.contains(&any.addr) {
             chosen.push(any.addr);
         }
     }
     let version = config.version();
-    others
+    network
         .sender
         .send(&Datagram::Notices { version, batch }, chosen);
 }
 
-/// Returns the name of a key among instances: keys themselves are never sent.
+/// Returns the hash by which instances identify a key to each other: keys themselves are never
+/// sent.
 pub(crate) fn key_hash(key: &str) -> u64 {
     let digest = Sha256::digest(key.as_bytes());
     u64::from_be_bytes(digest[..8].try_into().expect("eight bytes"))
 }
 
-/// What news act on.
+/// Applies notices to what they are about.
 #[derive(Clone)]
 pub(crate) struct NoticeHandler {
     pub(crate) notices: Notices,
@@ -146,33 +152,36 @@
 }
 
 impl NoticeHandler {
-    /// Starts a task that asks peers for the request rate limits of upstreams, for an instance that has just started.
-    pub(crate) fn spawn_limit_query(&self, others: &PeerNetwork) {
-        let (effects, others) = (self.clone(), others.clone());
+    /// Starts the task that queries peers for the request rate limits of upstreams, since this
+    /// instance has just started.
+    pub(crate) fn spawn_limit_query(&self, network: &PeerNetwork) {
+        let (handler, network) = (self.clone(), network.clone());
         tokio::spawn(async move {
             let mut startup_peers = StartupPeers::new();
-            while let Some(addr) = startup_peers.next(&others.fleet).await {
-                if let Ok(limits) = others.peers.fetch_limits(addr).await {
+            while let Some(addr) = startup_peers.next(&network.fleet).await {
+                if let Ok(limits) = network.peers.fetch_limits(addr).await {
                     startup_peers.record_answer();
-                    effects.apply(limits);
+                    handler.apply(limits);
                 }
             }
         });
     }
 
-    /// Takes a batch from a peer that runs a version of the configuration; returns what that peer lacks.
+    /// Applies a batch from a peer that runs a version of the configuration; returns the notices
+    /// that the peer is missing.
     pub(crate) fn receive_batch(
         &self,
         from: SocketAddr,
-        near: bool,
+        same_zone: bool,
         version: u64,
         batch: Vec<Notice>,
     ) -> Vec<Notice> {
-        self.relay.record_config_holder(from, version, near);
+        self.relay.record_config_holder(from, version, same_zone);
         self.apply(batch)
     }
 
-    /// Takes notices that a peer knows, and acts on those that are new; returns what that peer lacks.
+    /// Adds the notices of a peer and acts on those that are new; returns the notices that the peer
+    /// is missing.
     pub(crate) fn apply(&self, batch: Vec<Notice>) -> Vec<Notice> {
         let received = self.notices.receive(batch);
         for notice in received.accepted {
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams, from the store or from an instance that reaches it.
+//! The list of upstreams, read from the store or from an instance that can read it.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -21,10 +21,10 @@
 use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 
-/// New upstreams of one change that are logged one by one.
+/// Maximum number of new upstreams in one update that are logged one by one.
 const MAX_LOGGED_UPSTREAMS: usize = 16;
 
-/// A handle on the list of upstreams.
+/// Handle on the list of upstreams; clones share it.
 #[derive(Clone)]
 pub(crate) struct UpstreamList(Arc<Inner>);
 
@@ -42,8 +42,10 @@
     entries_deferred: Notify,
 }
 
+/// The list as far as it was read.
 #[derive(Default)]
 struct ListState {
+    /// The revision up to which the whole list is known; 0 before the first one.
     revision: i64,
     entries: BTreeMap<String, ListedEntry>,
     missing: MissingEntries,
@@ -53,15 +55,15 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct ListedEntry {
     value: Bytes,
-    /// The store's revision of it, or a later one at which it was there.
+    /// The store's revision of the entry, or a later one at which it existed.
     revision: i64,
 }
 
 impl ListState {
-    /// Returns whether an entry that is missing is taken for gone.
-    fn accept_removal(&mut self, now: u64, back_at: u64) -> bool {
+    /// Returns whether a missing entry counts as removed.
+    fn accept_removal(&mut self, now: u64, recovered_at: u64) -> bool {
         let listed = self.entries.len();
-        self.missing.accept_removal(now, back_at, listed)
+        self.missing.accept_removal(now, recovered_at, listed)
     }
 }
 
@@ -90,32 +92,33 @@
         }))
     }
 
-    /// Returns whether the list was ever read, or a part of it.
+    /// Returns whether at least a part of the list was read.
     pub(crate) fn is_loaded(&self) -> bool {
-        let seen = self.state();
-        seen.revision > 0 || !seen.entries.is_empty()
+        let state = self.state();
+        state.revision > 0 || !state.entries.is_empty()
     }
 
-    /// Returns the incarnations of upstreams that some source said are leaving.
+    /// Returns the incarnations of upstreams that are leaving according to any source.
     pub(crate) fn leaving_incarnations(&self) -> Vec<String> {
         let leaving = self
             .0
             .pool
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .leaving_incarnations();
         leaving.into_iter().collect()
     }
 
-    /// Notes that an incarnation of an upstream is leaving, by whatever source.
+    /// Records that an incarnation of an upstream is leaving according to `source`, and publishes
+    /// it.
     pub(crate) fn mark_leaving(&self, incarnation: &str, source: &str) {
-        let news = self
+        let is_new = self
             .0
             .pool
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .mark_leaving(incarnation);
-        if news {
+        if is_new {
             self.0.dialer.forget(incarnation);
             let detail = format_args!("upstream={incarnation} source={source}");
             self.0.log.note(Event::UpstreamLeaving, detail);
@@ -128,10 +131,10 @@
         self.0.notices.publish(Notice::Leaving { upstream });
     }
 
-    /// Merges a peer's state of an incarnation's request rate limit and logs a change.
+    /// Merges the request rate limit of an incarnation as known by a peer, and logs a change.
     pub(crate) fn merge_limit(&self, incarnation: &str, limit: VersionedLimit) {
         let now = self.0.clock.now();
-        let mut pool = self.0.pool.lock().expect("no panic inside");
+        let mut pool = self.0.pool.lock().expect("lock not poisoned");
         let changed = pool.merge_limit(now, incarnation, limit);
         drop(pool);
         if changed {
@@ -147,13 +150,14 @@
             .0
             .pool
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .versioned_limits();
         let notice = |(upstream, limit): (String, VersionedLimit)| limit_notice(upstream, limit);
         limits.into_iter().map(notice).collect()
     }
 
-    /// Records the request rate limit, or its absence, in an upstream's answer to a request, and gossips a change.
+    /// Records the request rate limit in an upstream's answer to a request, or its absence, and
+    /// publishes a change.
     pub(crate) fn set_limit(
         &self,
         key: UpstreamKey,
@@ -161,7 +165,7 @@
         limit: Option<RateLimit>,
     ) -> Option<VersionedLimit> {
         let now = self.0.clock.now();
-        let mut pool = self.0.pool.lock().expect("no panic inside");
+        let mut pool = self.0.pool.lock().expect("lock not poisoned");
         let changed = pool.set_limit(now, key, sent_at, limit)?;
         let incarnation = pool.incarnation(key);
         drop(pool);
@@ -169,42 +173,42 @@
         Some(changed)
     }
 
-    /// Takes a peer's report that an upstream's entry was removed at a revision.
+    /// Handles a peer's report that an upstream's entry was removed at a revision.
     pub(crate) fn record_removal(&self, id: &str, revision: i64) {
         let key = format!("{}{id}", self.0.dialect.upstream_prefix());
         self.handle_missing_unless_rewritten(&key, revision);
     }
 
-    /// Returns whether a peer has said that an entry was removed later than it was written.
+    /// Returns whether an entry is known to have been removed after it was written at a revision.
     fn is_removed(&self, key: &str, revision: i64) -> bool {
         let id = self.0.dialect.upstream_id(key);
         self.0
             .notices
             .removed_at(id)
-            .is_some_and(|gone| gone > revision)
+            .is_some_and(|removed_at| removed_at > revision)
     }
 
-    /// Follows the store.
-    pub(crate) fn spawn(&self, store: Arc<dyn Store>, feed: FollowContext) {
+    /// Starts the tasks that follow the list.
+    pub(crate) fn spawn(&self, store: Arc<dyn Store>, context: FollowContext) {
         tokio::spawn(self.clone().recheck_deferred());
-        let listing = self.clone();
+        let list = self.clone();
         tokio::spawn(async move {
-            let prefix = listing.0.dialect.upstream_prefix().to_string();
-            let mut follow = Follower::open(
+            let prefix = list.0.dialect.upstream_prefix().to_string();
+            let mut follower = Follower::open(
                 store,
-                feed,
+                context,
                 Topic::Upstreams,
                 &prefix,
                 None,
                 WATCH_TIMEOUT_MS,
             );
             loop {
-                listing.apply(follow.next().await);
+                list.apply(follower.next().await);
             }
         });
     }
 
-    /// Takes what was read of the store, here or by a peer.
+    /// Applies what was read from the store, here or by a peer.
     pub(crate) fn apply(&self, update: Update) {
         match update {
             Update::Snapshot(items, revision) => {
@@ -217,14 +221,15 @@
         }
     }
 
+    /// Applies the complete list as of a revision, unless a newer one is known.
     fn apply_snapshot(&self, mut items: BTreeMap<String, ListedEntry>, revision: i64) {
         items.retain(|key, entry| !self.is_removed(key, entry.revision));
         let known = {
-            let seen = self.state();
-            if revision < seen.revision {
+            let state = self.state();
+            if revision < state.revision {
                 return;
             }
-            seen.entries.clone()
+            state.entries.clone()
         };
         let mut new = Vec::new();
         for (key, entry) in &items {
@@ -237,12 +242,13 @@
         for key in known.keys().filter(|k| !items.contains_key(*k)) {
             self.handle_missing(key, revision);
         }
-        let mut seen = self.state();
-        seen.entries.extend(items);
-        seen.revision = revision;
-        self.0.notices.set_upstream_count(seen.entries.len());
+        let mut state = self.state();
+        state.entries.extend(items);
+        state.revision = revision;
+        self.0.notices.set_upstream_count(state.entries.len());
     }
 
+    /// Applies changes, which are complete up to `revision`; 0 if there may be others.
     fn apply_changes(&self, changes: Vec<Change>, revision: i64) {
         let mut new = Vec::new();
         for change in changes {
@@ -251,41 +257,42 @@
                 Some(found) => {
                     new.extend(self.apply_entry(&found.key, &found.value));
                     let (key, entry) = to_listed_entry(found);
-                    let mut seen = self.state();
-                    seen.entries.insert(key, entry);
+                    let mut state = self.state();
+                    state.entries.insert(key, entry);
                 }
                 None => self.handle_missing(&change.key, change.revision),
             }
         }
         self.log_new(&new);
-        let mut seen = self.state();
-        seen.revision = seen.revision.max(revision);
-        self.0.notices.set_upstream_count(seen.entries.len());
+        let mut state = self.state();
+        state.revision = state.revision.max(revision);
+        self.0.notices.set_upstream_count(state.entries.len());
     }
 
-    /// Takes that an entry is missing at a revision.
+    /// Handles an entry that is missing as of a revision: it is removed, or checked again later.
     fn handle_missing(&self, key: &str, revision: i64) {
-        let (now, back_at) = (self.0.clock.now(), self.0.store_health.recovered_at());
-        let gone = {
-            let mut seen = self.state();
-            let listed = seen.entries.contains_key(key);
-            let gone = listed && seen.accept_removal(now, back_at);
-            if gone {
-                seen.entries.remove(key);
+        let (now, recovered_at) = (self.0.clock.now(), self.0.store_health.recovered_at());
+        let removed = {
+            let mut state = self.state();
+            let listed = state.entries.contains_key(key);
+            let removed = listed && state.accept_removal(now, recovered_at);
+            if removed {
+                state.entries.remove(key);
             } else if listed {
-                seen.missing.defer(key, revision);
+                state.missing.defer(key, revision);
                 self.0.entries_deferred.notify_one();
             }
-            gone
+            removed
         };
-        if gone {
+        if removed {
             self.delist(key);
             let upstream = self.0.dialect.upstream_id(key).to_string();
             self.0.notices.publish(Notice::Gone { upstream, revision });
         }
     }
 
-    /// Checks deferred missing entries again once upstreams have had time to write expired entries again.
+    /// Checks deferred missing entries again once upstreams have had time to rewrite expired
+    /// entries.
     async fn recheck_deferred(self) {
         loop {
             let at = self.state().missing.recheck_at();
@@ -301,7 +308,8 @@
         }
     }
 
-    /// Treats a listed entry as missing at a revision, unless it was written at that revision or later.
+    /// Handles a listed entry as missing as of a revision, unless it was written at that revision
+    /// or later.
     fn handle_missing_unless_rewritten(&self, key: &str, revision: i64) {
         let entry = self.state().entries.get(key).cloned();
         if entry.is_some_and(|e| e.revision < revision) {
@@ -310,11 +318,11 @@
     }
 
     fn state(&self) -> MutexGuard<'_, ListState> {
-        self.0.state.lock().expect("no panic inside")
+        self.0.state.lock().expect("lock not poisoned")
     }
 
-    /// Takes an entry; returns the detail of the log line where it names a new upstream. One that can't be read, for others write there
-    /// too, names no upstream to use.
+    /// Applies an entry; if the upstream is new, returns the detail of its log line. Other programs
+    /// write these keys, too: an upstream whose entry can't be parsed counts as not listed.
     fn apply_entry(&self, key: &str, value: &[u8]) -> Option<String> {
         let spec = match self.0.dialect.upstream(key, value) {
             Ok(spec) => spec,
@@ -335,13 +343,13 @@
             self.publish_leaving(&incarnation);
         }
         let now = self.0.clock.now();
-        let listed = self
+        let change = self
             .0
             .pool
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .upsert(now, spec);
-        let event = match listed {
+        let event = match change {
             EntryChange::Unchanged => return None,
             EntryChange::Restarted { ended } => {
                 self.0.dialer.cut(&ended);
@@ -358,7 +366,8 @@
         None
     }
 
-    /// Logs new upstreams: of many that come together only how many, for their lines would crowd out all others.
+    /// Logs new upstreams. If there are many at once, only their number is logged, since their
+    /// lines would displace all others.
     fn log_new(&self, details: &[String]) {
         if details.len() > MAX_LOGGED_UPSTREAMS {
             let count = format_args!("count={}", details.len());
@@ -369,9 +378,10 @@
         }
     }
 
+    /// Removes an upstream by the key of its entry.
     fn delist(&self, key: &str) {
         let id = self.0.dialect.upstream_id(key);
-        let ended = self.0.pool.lock().expect("no panic inside").delist(id);
+        let ended = self.0.pool.lock().expect("lock not poisoned").delist(id);
         if let Some(incarnation) = ended {
             self.0.dialer.forget(&incarnation);
             let detail = format_args!("upstream={incarnation}");
@@ -381,6 +391,7 @@
     }
 }
 
+/// Returns the notice that publishes the request rate limit of an upstream.
 fn limit_notice(upstream: String, limit: VersionedLimit) -> Notice {
     Notice::Limit {
         upstream,
@@ -389,7 +400,7 @@
     }
 }
 
-/// Returns the entry that was found under a key.
+/// Returns a key and its entry as read from the store.
 fn to_listed_entry(found: Found) -> (String, ListedEntry) {
     let value = Bytes::from(found.value);
     let revision = found.revision;
