--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,4 +1,5 @@
-//! Between instances, over jsonrpsee: tokens that one lacks, and news that one can't read itself.
+//! Calls between instances, over JSON-RPC: for tokens that one is missing, and for changes that one
+//! can't read from the store.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -30,41 +31,46 @@
 use crate::suspects::{Suspects, TrialRequest, TrialResponse};
 use crate::traffic::Traffic;
 
-/// An instance answers within a few milliseconds, or is not there: a request waits for it.
+/// Timeout of a call that a request waits for: an instance answers within a few milliseconds, or is
+/// not there.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_millis(250);
-/// An answer that comes later than that is still taken up to this time: it may bring tokens that were
-/// debited, and would be lost to the budget.
+/// Responses are accepted up to this time even if nobody waits for them any more: they may transfer
+/// tokens that were debited and would otherwise be lost to the budget.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// What a reader passes on may be a whole configuration, over a link that is full, to a dozen instances at once.
-/// The store is asked after this time, which leaves the most of the two seconds in which a change is in force.
+/// Timeout of a call for what a peer has read from the store. The response may be a whole
+/// configuration, sent over a saturated link to a dozen instances at once. If it fails, the store
+/// is read instead, which still leaves most of the two seconds within which a change must be in
+/// force.
 const DELTA_TIMEOUT: Duration = Duration::from_millis(400);
-/// An instance that did not answer is not called for this time.
+/// Time for which an instance that did not answer is not called again.
 const BACKOFF: Duration = Duration::from_millis(1_500);
-/// How often an instance that can't read the store asks another one for news: well within the two
-/// seconds in which a change is in force.
+/// Interval at which an instance that can't read the store asks another one for changes: well
+/// within the two seconds within which a change must be in force.
 const SYNC_INTERVAL: Duration = Duration::from_millis(400);
 
-/// A call for tokens.
+/// A request for tokens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TokenRequest {
-    /// The asker's incarnation.
+    /// The incarnation of the requesting instance.
     pub(crate) from: String,
     pub(crate) customer: String,
-    /// Tokens that requests wait for.
+    /// Tokens that requests are waiting for.
     pub(crate) tokens: u64,
-    /// Tokens that the asker has left.
+    /// Tokens that the requesting instance has left.
     pub(crate) balance: u64,
-    /// The asker's demand, in tokens a second.
+    /// Demand at the requesting instance, in tokens per second.
     pub(crate) rate: u64,
 }
 
-/// Tokens of an instance that leaves and can't hand them back to the store.
+/// Tokens that a stopping instance hands over to another one because it can't return them to the
+/// store.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct TokenHandover {
     pub(crate) customer: String,
-    /// All that the giver has ever given to the one that gets this.
+    /// Total of all tokens that the sender has ever transferred to the receiver.
     pub(crate) given: CumulativeTotal,
-    /// What the giver has spent and passed on to it: nobody else would write it into the record.
+    /// Total that the sender has spent and forwarded to the receiver, since nobody else would write
+    /// it to the record.
     pub(crate) spent: CumulativeTotal,
 }
 
@@ -79,18 +85,20 @@
     }
 }
 
-/// What an instance that asks for news has.
+/// A request for changes by an instance that can't read the store, with what it knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SyncRequest {
     version: u64,
     leaving: Vec<String>,
 }
 
-/// What the asker lacks.
+/// What the instance that sent a [`SyncRequest`] may be missing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SyncResponse {
+    /// The configuration as stored, if it is newer.
     config: Option<String>,
-    /// The revision up to which the list of upstreams is known there; 0 where it may be old.
+    /// The revision up to which the responding instance knows the list of upstreams; 0 if its
+    /// knowledge may be outdated.
     #[serde(rename = "upstreams")]
     upstreams_revision: i64,
     leaving: Vec<String>,
@@ -98,7 +106,7 @@
     limits: Vec<Notice>,
 }
 
-/// What the instance answers from.
+/// Answers the calls of other instances.
 #[derive(Clone)]
 pub(crate) struct PeerService {
     pub(crate) bank: Bank,
@@ -108,12 +116,13 @@
 }
 
 impl PeerService {
-    fn sync_response(&self, have: &SyncRequest) -> SyncResponse {
-        for id in &have.leaving {
+    /// Records what the requesting instance knows, and returns what it may be missing.
+    fn sync_response(&self, request: &SyncRequest) -> SyncResponse {
+        for id in &request.leaving {
             self.notice_handler.upstreams.mark_leaving(id, "peer");
         }
         let active = self.notice_handler.config.active();
-        let newer = active.filter(|a| a.routing.version > have.version);
+        let newer = active.filter(|a| a.routing.version > request.version);
         SyncResponse {
             config: newer.map(|a| String::from_utf8_lossy(&a.raw).into_owned()),
             upstreams_revision: self.notice_handler.relay.current_revision(Topic::Upstreams),
@@ -135,111 +144,119 @@
     Ok((server, addr))
 }
 
-/// Answers other instances.
-pub(crate) fn serve(server: Server, desk: PeerService) -> ServerHandle {
-    let mut module = RpcModule::new(desk);
-    let take = module.register_method("take", |params, desk, _| -> RpcResult<CumulativeTotal> {
-        let want: TokenRequest = params.one()?;
-        Ok(desk.bank.give(&want))
+/// Starts the server that answers other instances.
+pub(crate) fn serve(server: Server, service: PeerService) -> ServerHandle {
+    let mut module = RpcModule::new(service);
+    let take = module.register_method("take", |params, service, _| -> RpcResult<CumulativeTotal> {
+        let request: TokenRequest = params.one()?;
+        Ok(service.bank.give(&request))
     });
-    take.expect("a new name");
-    let gift = module.register_method("gift", |params, desk, _| -> RpcResult<bool> {
-        let gift: TokenHandover = params.one()?;
-        Ok(desk.bank.accept(&gift))
+    take.expect("method names are unique");
+    let gift = module.register_method("gift", |params, service, _| -> RpcResult<bool> {
+        let handover: TokenHandover = params.one()?;
+        Ok(service.bank.accept(&handover))
     });
-    gift.expect("a new name");
-    let draw = module.register_async_method("draw", |params, desk, _| async move {
+    gift.expect("method names are unique");
+    let draw = module.register_async_method("draw", |params, service, _| async move {
         let draw: Draw = params.one()?;
-        RpcResult::Ok(desk.bank.drawn(&draw).await)
+        RpcResult::Ok(service.bank.drawn(&draw).await)
     });
-    draw.expect("a new name");
-    let ping = module.register_method("ping", |_, desk, _| -> RpcResult<Option<String>> {
-        Ok((!desk.bank.is_leaving()).then(|| desk.bank.me()))
+    draw.expect("method names are unique");
+    let ping = module.register_method("ping", |_, service, _| -> RpcResult<Option<String>> {
+        Ok((!service.bank.is_leaving()).then(|| service.bank.me()))
     });
-    ping.expect("a new name");
-    let news = module.register_method("news", |params, desk, _| -> RpcResult<SyncResponse> {
-        let have: SyncRequest = params.one()?;
-        Ok(desk.sync_response(&have))
+    ping.expect("method names are unique");
+    let news = module.register_method("news", |params, service, _| -> RpcResult<SyncResponse> {
+        let request: SyncRequest = params.one()?;
+        Ok(service.sync_response(&request))
     });
-    news.expect("a new name");
-    let lacking =
-        module.register_method("lacking", |params, desk, _| -> RpcResult<DeltaResponse> {
-            let ask: DeltaRequest = params.one()?;
-            let passed = desk.notice_handler.relay.serve_delta(&ask);
-            desk.traffic.count("lists", true, passed.size_bytes());
-            Ok(passed)
-        });
-    lacking.expect("a new name");
-    let suspects = module
-        .register_method("suspects", |_, desk, _| -> RpcResult<Vec<SuspectRecord>> {
-            Ok(desk.suspects.list())
-        });
-    suspects.expect("a new name");
-    let limits = module.register_method("limits", |_, desk, _| -> RpcResult<Vec<Notice>> {
-        Ok(desk.notice_handler.upstreams.limit_notices())
+    news.expect("method names are unique");
+    let lacking = module.register_method(
+        "lacking",
+        |params, service, _| -> RpcResult<DeltaResponse> {
+            let request: DeltaRequest = params.one()?;
+            let response = service.notice_handler.relay.serve_delta(&request);
+            service.traffic.count("lists", true, response.size_bytes());
+            Ok(response)
+        },
+    );
+    lacking.expect("method names are unique");
+    let suspects = module.register_method(
+        "suspects",
+        |_, service, _| -> RpcResult<Vec<SuspectRecord>> { Ok(service.suspects.list()) },
+    );
+    suspects.expect("method names are unique");
+    let limits = module.register_method("limits", |_, service, _| -> RpcResult<Vec<Notice>> {
+        Ok(service.notice_handler.upstreams.limit_notices())
     });
-    limits.expect("a new name");
-    let trial = module.register_method("trial", |params, desk, _| -> RpcResult<TrialResponse> {
-        let ask: TrialRequest = params.one()?;
-        Ok(desk.suspects.answer_trial_request(&ask))
+    limits.expect("method names are unique");
+    let trial = module.register_method("trial", |params, service, _| -> RpcResult<TrialResponse> {
+        let request: TrialRequest = params.one()?;
+        Ok(service.suspects.answer_trial_request(&request))
     });
-    trial.expect("a new name");
+    trial.expect("method names are unique");
     server.start(module)
 }
 
-/// One instance that is called.
+/// The connection to one instance.
 struct Connection {
     client: HttpClient,
-    /// Not called again before this: a call that hangs keeps requests waiting.
+    /// The instance is not called before this time, since requests wait for a call that hangs. The
+    /// next call after it uses a new connection.
     backoff_until: Option<Instant>,
-    /// Its last call had no answer: it may be gone though it is listed.
+    /// Whether the last call was not answered: the instance may be gone although it is listed.
     unresponsive: bool,
 }
 
-/// Calls other instances.
+/// Calls other instances; clones share the connections.
 #[derive(Clone, Default)]
 pub(crate) struct Peers(Arc<Mutex<HashMap<SocketAddr, Connection>>>);
 
 impl Peers {
+    /// Returns the client for an instance.
+    ///
+    /// # Errors
+    ///
+    /// Returns why the instance can't be called now.
     fn client(&self, addr: SocketAddr) -> Result<HttpClient, String> {
-        let mut clients = self.0.lock().expect("no panic inside");
-        let mut silent = false;
-        if let Some(line) = clients.get(&addr) {
-            silent = line.unresponsive;
-            let rests = line.backoff_until.is_some_and(|t| Instant::now() < t);
-            if rests {
-                return Err("did not answer a moment ago".to_string());
+        let mut connections = self.0.lock().expect("lock not poisoned");
+        let mut unresponsive = false;
+        if let Some(connection) = connections.get(&addr) {
+            unresponsive = connection.unresponsive;
+            let backing_off = connection.backoff_until.is_some_and(|t| Instant::now() < t);
+            if backing_off {
+                return Err("backing off after a call without response".to_string());
             }
-            if line.backoff_until.is_none() {
-                return Ok(line.client.clone());
+            if connection.backoff_until.is_none() {
+                return Ok(connection.client.clone());
             }
         }
         let client = HttpClientBuilder::default()
             .request_timeout(RESPONSE_TIMEOUT)
             .build(format!("http://{addr}"))
             .map_err(|e| e.to_string())?;
-        let line = Connection {
+        let connection = Connection {
             client: client.clone(),
             backoff_until: None,
-            unresponsive: silent,
+            unresponsive,
         };
-        clients.insert(addr, line);
+        connections.insert(addr, connection);
         Ok(client)
     }
 
-    /// Returns whether an instance did not answer when it was called last.
+    /// Returns whether an instance did not answer the last call.
     pub(crate) fn is_unresponsive(&self, addr: SocketAddr) -> bool {
-        let lines = self.0.lock().expect("no panic inside");
-        lines.get(&addr).is_some_and(|l| l.unresponsive)
+        let connections = self.0.lock().expect("lock not poisoned");
+        connections.get(&addr).is_some_and(|c| c.unresponsive)
     }
 
-    /// Leaves an instance alone for a while; its next call gets a new connection, since the old one
-    /// may hang for good.
+    /// Stops calling an instance for a while. The next call uses a new connection, since the old
+    /// one may hang forever.
     pub(crate) fn back_off(&self, addr: SocketAddr) {
-        let mut lines = self.0.lock().expect("no panic inside");
-        if let Some(line) = lines.get_mut(&addr) {
-            line.backoff_until = Some(Instant::now() + BACKOFF);
-            line.unresponsive = true;
+        let mut connections = self.0.lock().expect("lock not poisoned");
+        if let Some(connection) = connections.get_mut(&addr) {
+            connection.backoff_until = Some(Instant::now() + BACKOFF);
+            connection.unresponsive = true;
         }
     }
 
@@ -250,71 +267,72 @@
         param: &impl Serialize,
     ) -> Result<T, String> {
         let client = self.client(addr)?;
-        let answer = request(&client, method, param).await;
-        match answer {
+        let response = send_request(&client, method, param).await;
+        match response {
             Ok(_) => self.record_response(addr),
             Err(_) => self.back_off(addr),
         }
-        answer
+        response
     }
 
     fn record_response(&self, addr: SocketAddr) {
-        let mut lines = self.0.lock().expect("no panic inside");
-        if let Some(line) = lines.get_mut(&addr) {
-            line.unresponsive = false;
+        let mut connections = self.0.lock().expect("lock not poisoned");
+        if let Some(connection) = connections.get_mut(&addr) {
+            connection.unresponsive = false;
         }
     }
 
-    /// Calls where an answer that comes late brings nothing.
+    /// Calls with the short timeout, where a late response is of no use.
     async fn call_with_timeout<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         method: &str,
         param: &impl Serialize,
     ) -> Result<T, String> {
-        let answer = timeout(CALL_TIMEOUT, self.call(addr, method, param)).await;
-        answer.unwrap_or_else(|_| {
+        let response = timeout(CALL_TIMEOUT, self.call(addr, method, param)).await;
+        response.unwrap_or_else(|_| {
             self.back_off(addr);
-            Err("no answer in time".to_string())
+            Err("timed out".to_string())
         })
     }
 
-    /// Asks an instance for tokens; it has debited them when it answers.
+    /// Requests tokens from an instance, which has debited them when it responds.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer: tokens that it debited come with its next one.
+    /// Returns why there is no response. Tokens that the instance has debited are included in its
+    /// next one.
     pub(crate) async fn request_tokens(
         &self,
         addr: SocketAddr,
-        want: &TokenRequest,
+        request: &TokenRequest,
     ) -> Result<CumulativeTotal, String> {
-        self.call(addr, "take", want).await
+        self.call(addr, "take", request).await
     }
 
     /// Draws the tokens of one request from its customer's home, which has debited them when it
-    /// answers.
+    /// responds.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer: tokens that it debited come with its next one.
+    /// Returns why there is no response. Tokens that the home has debited are included in its next
+    /// one.
     pub(crate) async fn draw_tokens(&self, addr: SocketAddr, draw: &Draw) -> Result<Drawn, String> {
         self.call(addr, "draw", draw).await
     }
 
-    /// Returns the incarnation of an instance that answers, and stays.
+    /// Returns the incarnation of an instance; `None` if it does not respond, or is stopping.
     pub(crate) async fn ping(&self, addr: SocketAddr) -> Option<String> {
-        // No answer says enough.
         self.call_with_timeout(addr, "ping", &())
             .await
             .unwrap_or(None)
     }
 
-    /// Asks an instance under which requests upstreams have ended.
+    /// Fetches the records of requests that were present at crashes of upstreams.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns why there is no response.
     pub(crate) async fn fetch_suspects(
         &self,
         addr: SocketAddr,
@@ -322,91 +340,94 @@
         self.call_with_timeout(addr, "suspects", &()).await
     }
 
-    /// Asks an instance for the request rate limits of its listed upstreams.
+    /// Fetches the request rate limits of the upstreams that an instance has listed.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns why there is no response.
     pub(crate) async fn fetch_limits(&self, addr: SocketAddr) -> Result<Vec<Notice>, String> {
         self.call_with_timeout(addr, "limits", &()).await
     }
 
-    /// Asks an instance that keeps a request whether it may be tried.
+    /// Requests a trial of a request from an owner of its record.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns why there is no response.
     pub(crate) async fn request_trial(
         &self,
         addr: SocketAddr,
-        ask: &TrialRequest,
+        request: &TrialRequest,
     ) -> Result<TrialResponse, String> {
-        self.call_with_timeout(addr, "trial", ask).await
+        self.call_with_timeout(addr, "trial", request).await
     }
 
-    /// Gives an instance tokens that were debited here.
+    /// Hands over tokens that were debited here to an instance.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer: the tokens are lost to the budget then, unless another gift follows.
+    /// Returns why there is no response. The tokens are then lost to the budget unless another
+    /// handover follows.
     pub(crate) async fn hand_over_tokens(
         &self,
         addr: SocketAddr,
-        gift: &TokenHandover,
+        handover: &TokenHandover,
     ) -> Result<bool, String> {
-        self.call_with_timeout(addr, "gift", gift).await
+        self.call_with_timeout(addr, "gift", handover).await
     }
 
-    /// Asks an instance that reads the store for what is newer than what is known here.
+    /// Fetches what is newer than what is known here from an instance that may know more.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns why there is no response.
     pub(crate) async fn fetch_delta(
         &self,
         addr: SocketAddr,
-        ask: &DeltaRequest,
+        request: &DeltaRequest,
     ) -> Result<DeltaResponse, String> {
         let client = self.client(addr)?;
-        // One that is slow with this may be quick with tokens: nothing is held against it.
-        let answer = timeout(DELTA_TIMEOUT, request(&client, "lacking", ask)).await;
-        answer.unwrap_or_else(|_| Err("no answer in time".to_string()))
+        // No back-off: an instance that is slow to send this may still be fast to send tokens.
+        let response = timeout(DELTA_TIMEOUT, send_request(&client, "lacking", request)).await;
+        response.unwrap_or_else(|_| Err("timed out".to_string()))
     }
 
-    /// Asks other instances for news whenever the store is out of reach.
+    /// Starts the task that asks other instances for changes while the store is unavailable.
     pub(crate) fn spawn_sync(
         &self,
         fleet: Fleet,
-        desk: PeerService,
-        reach: Arc<StoreHealth>,
+        service: PeerService,
+        store_health: Arc<StoreHealth>,
         log: Arc<Log>,
     ) {
         let peers = self.clone();
         tokio::spawn(async move {
             loop {
                 sleep(SYNC_INTERVAL).await;
-                let others = fleet.peers();
-                if !reach.is_unavailable() || others.is_empty() {
+                let members = fleet.peers();
+                if !store_health.is_unavailable() || members.is_empty() {
                     continue;
                 }
-                // One that is known to have what is lacking here is asked first, else any: the whole zone may be cut off.
-                let any = others.choose(&mut rand::rng()).map(|m| m.addr);
-                if let Some(peer) = desk.notice_handler.relay.config_holder().or(any) {
-                    peers.sync_from(peer, &desk, &log).await;
+                // An instance known to have a newer configuration is preferred. Otherwise any one
+                // is asked, since the whole zone may be cut off.
+                let any = members.choose(&mut rand::rng()).map(|m| m.addr);
+                if let Some(peer) = service.notice_handler.relay.config_holder().or(any) {
+                    peers.sync_from(peer, &service, &log).await;
                 }
             }
         });
     }
 
-    async fn sync_from(&self, addr: SocketAddr, desk: &PeerService, log: &Log) {
-        let have = SyncRequest {
-            version: desk.notice_handler.config.version(),
-            leaving: desk.notice_handler.upstreams.leaving_incarnations(),
+    /// Asks an instance for changes and applies them.
+    async fn sync_from(&self, addr: SocketAddr, service: &PeerService, log: &Log) {
+        let request = SyncRequest {
+            version: service.notice_handler.config.version(),
+            leaving: service.notice_handler.upstreams.leaving_incarnations(),
         };
-        let news: SyncResponse = match self.call_with_timeout(addr, "news", &have).await {
-            Ok(news) => news,
+        let response: SyncResponse = match self.call_with_timeout(addr, "news", &request).await {
+            Ok(response) => response,
             Err(why) => {
-                desk.notice_handler.relay.forget_peer(addr);
+                service.notice_handler.relay.forget_peer(addr);
                 log.note(
                     Event::NewsFromPeer,
                     format_args!("from={addr} failed={why}"),
@@ -414,53 +435,60 @@
                 return;
             }
         };
-        // Before the configuration, with which this instance may begin to serve.
-        desk.notice_handler.apply(news.evacuations);
-        desk.notice_handler.apply(news.limits);
-        if let Some(config) = news.config {
+        // These must be applied before the configuration, after which this instance may start to
+        // serve requests.
+        service.notice_handler.apply(response.evacuations);
+        service.notice_handler.apply(response.limits);
+        if let Some(config) = response.config {
             log.note(Event::NewsFromPeer, format_args!("from={addr} what=config"));
-            desk.notice_handler
+            service
+                .notice_handler
                 .config
                 .apply_if_newer(config.as_bytes(), "peer");
         }
-        for upstream in &news.leaving {
-            desk.notice_handler.upstreams.mark_leaving(upstream, "peer");
+        for upstream in &response.leaving {
+            service
+                .notice_handler
+                .upstreams
+                .mark_leaving(upstream, "peer");
         }
-        let relay = &desk.notice_handler.relay;
-        if news.upstreams_revision > relay.revision(Topic::Upstreams) {
-            if let Some(passed) = self.fetch_upstreams(addr, relay).await {
-                let update = relay.apply_delta(Topic::Upstreams, passed);
-                desk.notice_handler.upstreams.apply(update);
+        let relay = &service.notice_handler.relay;
+        if response.upstreams_revision > relay.revision(Topic::Upstreams) {
+            if let Some(response) = self.fetch_upstreams(addr, relay).await {
+                let update = relay.apply_delta(Topic::Upstreams, response);
+                service.notice_handler.upstreams.apply(update);
             }
         }
     }
 
-    /// Fetches what is newer of the list of upstreams, all pages of it; `None` when an answer is missing.
+    /// Fetches what is newer in the list of upstreams, all pages of it; `None` if one of them
+    /// fails.
     async fn fetch_upstreams(&self, addr: SocketAddr, relay: &Relay) -> Option<DeltaResponse> {
         let revision = relay.revision(Topic::Upstreams);
-        let mut ask = DeltaRequest::first_page(Topic::Upstreams, revision);
-        let mut passed = self.fetch_delta(addr, &ask).await.ok()?;
-        while let Some(next) = passed.next.take() {
-            ask.after = Some(next);
-            let page = self.fetch_delta(addr, &ask).await.ok()?;
-            if !passed.delta.append(page.delta) {
+        let mut request = DeltaRequest::first_page(Topic::Upstreams, revision);
+        let mut response = self.fetch_delta(addr, &request).await.ok()?;
+        while let Some(next) = response.next.take() {
+            request.after = Some(next);
+            let page = self.fetch_delta(addr, &request).await.ok()?;
+            if !response.delta.append(page.delta) {
                 return None;
             }
-            passed.next = page.next;
+            response.next = page.next;
         }
-        Some(passed)
+        Some(response)
     }
 }
 
-async fn request<T: DeserializeOwned>(
+/// Calls a method of an instance.
+async fn send_request<T: DeserializeOwned>(
     client: &HttpClient,
     method: &str,
     param: &impl Serialize,
 ) -> Result<T, String> {
     let mut params = ArrayParams::new();
     params.insert(param).map_err(|e| e.to_string())?;
-    let answer = client.request(method, params).await;
-    answer.map_err(|e| e.to_string())
+    let response = client.request(method, params).await;
+    response.map_err(|e| e.to_string())
 }
 
 #[cfg(test)]
