--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,4 +1,5 @@
-//! One attempt at an upstream: chosen, connected, sent, and the head of its answer read.
+//! One attempt to get a response from an upstream: choosing it, connecting, sending the request and
+//! reading the head of the response.
 
 use std::sync::Arc;
 use std::time::SystemTime;
@@ -21,18 +22,19 @@
 use crate::request_info::AttemptContext;
 use crate::router::Router;
 
-/// A request that may be repeated is given up at an upstream that is silent for so many times its
-/// objective, and for so many times what was expected: slower ones answer still.
-const SILENT_OBJECTIVES: f64 = 3.0;
-const SILENT_EXPECTED: f64 = 6.0;
-/// When to come back when no upstream is left, in milliseconds: crashed ones are left alone for
-/// so long at first.
+/// An attempt of a retryable request is given up if there is no response head within both of these
+/// multiples: of the route's latency objective, and of the latency that was expected. Before that,
+/// a slow upstream may still respond.
+const RESPONSE_TIMEOUT_OBJECTIVES: f64 = 3.0;
+const RESPONSE_TIMEOUT_EXPECTED: f64 = 6.0;
+/// Retry time if no upstream is available, in milliseconds: an unreachable upstream is ejected for
+/// a similar time at first.
 const RETRY_NO_UPSTREAM_MS: u64 = 400;
-/// When to come back when all zones that a request may reach are out of use, in milliseconds: operators change that, not
-/// the traffic.
+/// Retry time if no zone or region that the request may reach has an upstream in use, in
+/// milliseconds: only operators change that.
 const RETRY_EVACUATED_MS: u64 = 4_000;
 
-/// A request's place at its upstream; dropping it ends it.
+/// An attempt in progress at its upstream; dropping it records its outcome.
 pub(crate) struct AttemptGuard {
     router: Arc<Router>,
     digest: Digest,
@@ -42,29 +44,29 @@
 }
 
 impl AttemptGuard {
-    fn new(job: &RequestContext, choice: Choice) -> AttemptGuard {
+    fn new(ctx: &RequestContext, choice: Choice) -> AttemptGuard {
         AttemptGuard {
-            router: Arc::clone(&job.router),
-            digest: job.digest,
+            router: Arc::clone(&ctx.router),
+            digest: ctx.digest,
             choice,
-            sent_at: job.router.clock.now(),
+            sent_at: ctx.router.clock.now(),
             outcome: Outcome::Abandoned,
         }
     }
 
-    /// Notes the first event, or the answer.
+    /// Records the time to the response or its first event.
     pub(crate) fn record_latency(&self) {
-        let mut pool = self.router.pool.lock().expect("no panic inside");
+        let mut pool = self.router.pool.lock().expect("lock not poisoned");
         pool.record_latency(self.router.clock.now(), &self.choice, self.sent_at);
     }
 
-    /// Returns whether the request may still be sent to its upstream.
+    /// Returns whether the request may still be sent to the upstream.
     fn may_send(&self) -> bool {
-        let pool = self.router.pool.lock().expect("no panic inside");
+        let pool = self.router.pool.lock().expect("lock not poisoned");
         pool.may_send(self.router.clock.now(), &self.choice)
     }
 
-    /// Ends it.
+    /// Ends the attempt with an outcome; without this call, the outcome is `Abandoned`.
     pub(crate) fn end(mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
@@ -72,24 +74,26 @@
 
 impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        let mut pool = self.router.pool.lock().expect("no panic inside");
-        let (key, ticket) = (self.choice.key, self.choice.attempt);
-        // An upstream that leaves closes what is left at its end: that is no crash.
-        let stays = pool.is_active(key);
-        pool.end(self.router.clock.now(), key, ticket, self.outcome);
+        let mut pool = self.router.pool.lock().expect("lock not poisoned");
+        let (key, attempt) = (self.choice.key, self.choice.attempt);
+        // An upstream that is leaving closes its remaining connections when it exits: that is no
+        // crash.
+        let is_active = pool.is_active(key);
+        pool.end(self.router.clock.now(), key, attempt, self.outcome);
         drop(pool);
         match self.outcome {
-            Outcome::InvalidResponse if stays => {
+            Outcome::InvalidResponse if is_active => {
                 self.router.suspects.broke(&self.choice.spec, self.digest)
             }
-            // An error may be one that the upstream answers with before it runs anything.
+            // An error response does not count: the upstream may send it before it runs the
+            // request.
             Outcome::Success => self.router.suspects.answered(self.digest),
             _ => {}
         }
     }
 }
 
-/// An answer whose head was read.
+/// A response whose head has been read.
 pub(crate) struct OpenResponse {
     pub(crate) guard: AttemptGuard,
     pub(crate) conn: dial::Conn,
@@ -98,62 +102,73 @@
     pub(crate) info: ResponseInfo,
 }
 
-/// Why an attempt has no answer.
+/// Why an attempt failed. Log lines print the names of the variants.
 #[derive(Clone, Debug)]
 pub(crate) enum AttemptError {
-    /// There is no upstream to try.
+    /// No upstream was chosen.
     Denied(ChooseError),
-    /// It did not run, and will not.
+    /// The request did not run, and will not.
     NotRun(String),
-    /// It may have run; the upstream closed the connection before anything of its answer came, so that nobody
-    /// can have got any of it.
+    /// The request may have run. The upstream closed the connection before any part of a response
+    /// was received, so nobody can have received any of it.
     Unanswered(String),
-    /// It may have run.
+    /// The request may have run.
     Unknown(String),
-    /// The deadline passed before it was sent.
+    /// The deadline passed before the request was sent.
     Late,
 }
 
 impl AttemptError {
-    fn refusal(self, job: &RequestContext) -> Refusal {
-        let left = job.remaining_ms();
+    fn refusal(self, ctx: &RequestContext) -> Refusal {
+        let remaining_ms = ctx.remaining_ms();
         match self {
             AttemptError::Denied(ChooseError::Busy { retry_ms }) => {
-                let message = format!("the upstreams of {} are busy", job.service);
-                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
+                let message = format!("the upstreams of {} are busy", ctx.service);
+                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, remaining_ms)
             }
             AttemptError::Denied(ChooseError::Resting { retry_ms }) => {
-                let message = format!("the upstreams of {} want nothing for now", job.service);
+                let message = format!("the upstreams of {} have asked for a pause", ctx.service);
                 Refusal::new(Kind::NoUpstream, message).retry_after(retry_ms)
             }
             AttemptError::Denied(ChooseError::Limited { retry_ms }) => {
-                let message = format!("the request rate limits of {} are reached", job.service);
-                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
+                let message = format!(
+                    "the request rate limits of the upstreams of {} are reached",
+                    ctx.service
+                );
+                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, remaining_ms)
             }
             AttemptError::Denied(ChooseError::Cold { retry_ms }) => {
-                let message = format!("the upstreams of {} have just started", job.service);
-                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, left)
+                let message = format!(
+                    "the upstreams of {} are cold and accept no more requests yet",
+                    ctx.service
+                );
+                Refusal::new(Kind::Overloaded, message).retry_within(retry_ms, remaining_ms)
             }
             AttemptError::Denied(ChooseError::Evacuated) => {
-                let message = format!("all zones of {} are evacuated", job.service);
-                Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_EVACUATED_MS, left)
+                let message = format!("all zones with upstreams of {} are evacuated", ctx.service);
+                Refusal::new(Kind::NoUpstream, message)
+                    .retry_within(RETRY_EVACUATED_MS, remaining_ms)
             }
             AttemptError::Denied(ChooseError::Outside) => {
-                let message = format!("no upstream of {} is in an allowed region", job.service);
-                Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_EVACUATED_MS, left)
+                let message = format!("no upstream of {} is in an allowed region", ctx.service);
+                Refusal::new(Kind::NoUpstream, message)
+                    .retry_within(RETRY_EVACUATED_MS, remaining_ms)
             }
             AttemptError::Denied(ChooseError::Unknown | ChooseError::NoneLeft) => {
-                let message = format!("no upstream of {} is left", job.service);
-                Refusal::new(Kind::NoUpstream, message).retry_within(RETRY_NO_UPSTREAM_MS, left)
+                let message = format!("no upstream of {} is available", ctx.service);
+                Refusal::new(Kind::NoUpstream, message)
+                    .retry_within(RETRY_NO_UPSTREAM_MS, remaining_ms)
             }
             AttemptError::NotRun(why) => {
-                Refusal::new(Kind::NoUpstream, why).retry_within(RETRY_NO_UPSTREAM_MS, left)
-            }
-            AttemptError::Late => {
-                Refusal::new(Kind::DeadlinePassed, "not sent in time").ran(Ran::No)
+                Refusal::new(Kind::NoUpstream, why).retry_within(RETRY_NO_UPSTREAM_MS, remaining_ms)
             }
+            AttemptError::Late => Refusal::new(
+                Kind::DeadlinePassed,
+                "the deadline passed before the request was sent",
+            )
+            .ran(Ran::No),
             AttemptError::Unanswered(why) | AttemptError::Unknown(why) => {
-                let late = left == 0;
+                let late = remaining_ms == 0;
                 let kind = if late {
                     Kind::DeadlinePassed
                 } else {
@@ -165,7 +180,7 @@
     }
 }
 
-/// What is known of a request's run after some attempts.
+/// Whether a request may have run in the attempts so far.
 #[derive(Debug)]
 pub(crate) struct AttemptHistory {
     ran: Ran,
@@ -176,21 +191,22 @@
         AttemptHistory { ran: Ran::No }
     }
 
-    /// Returns whether a request may be sent once more after it failed.
-    pub(crate) fn try_retry(&mut self, job: &RequestContext, failed: &AttemptError) -> bool {
-        match failed {
+    /// Returns whether the request may be sent once more after a failed attempt; if so, takes a
+    /// retry from the retry budget.
+    pub(crate) fn try_retry(&mut self, ctx: &RequestContext, error: &AttemptError) -> bool {
+        match error {
             AttemptError::Denied(_) | AttemptError::Late => false,
-            AttemptError::NotRun(_) => job.try_acquire_retry(),
+            AttemptError::NotRun(_) => ctx.try_acquire_retry(),
             AttemptError::Unanswered(_) | AttemptError::Unknown(_) => {
                 self.ran = Ran::Unknown;
-                job.is_retryable() && job.try_acquire_retry()
+                ctx.is_retryable() && ctx.try_acquire_retry()
             }
         }
     }
 
-    /// Returns what the caller is told when it is not.
-    pub(crate) fn refusal(&self, job: &RequestContext, failed: AttemptError) -> Refusal {
-        let refusal = failed.refusal(job);
+    /// Returns the refusal of a request that is not sent again after its last attempt failed.
+    pub(crate) fn refusal(&self, ctx: &RequestContext, error: AttemptError) -> Refusal {
+        let refusal = error.refusal(ctx);
         match self.ran {
             Ran::No => refusal,
             ran => refusal.ran(ran),
@@ -198,284 +214,294 @@
     }
 }
 
-/// Sends a request to an upstream and reads the head of its answer.
+/// Sends a request to an upstream and reads the head of the response.
 pub(crate) async fn attempt(
-    job: &mut RequestContext,
-    after_event: Option<u64>,
+    ctx: &mut RequestContext,
+    last_event_id: Option<u64>,
 ) -> Result<OpenResponse, AttemptError> {
-    let (slot, conn) = connect(job).await?;
-    job.timing.sent_ms = job.router.clock.now() - job.arrived_at;
-    job.attempts += 1;
-    job.router.metrics.attempts.inc();
-    if job.attempts > 1 {
-        job.router.metrics.retries.inc();
+    let (guard, conn) = connect(ctx).await?;
+    ctx.timing.sent_ms = ctx.router.clock.now() - ctx.arrived_at;
+    ctx.attempts += 1;
+    ctx.router.metrics.attempts.inc();
+    if ctx.attempts > 1 {
+        ctx.router.metrics.retries.inc();
     }
-    let prompt = u64::from(job.info.prompt_tokens);
-    if let Some(charge) = &mut job.charge {
+    let prompt = u64::from(ctx.info.prompt_tokens);
+    if let Some(charge) = &mut ctx.charge {
         charge.sent(prompt);
     }
-    let sent = send(job, slot, conn, after_event).await;
-    let nothing_came = matches!(
+    let sent = send(ctx, guard, conn, last_event_id).await;
+    let no_response = matches!(
         sent,
         Err(AttemptError::NotRun(_) | AttemptError::Unanswered(_))
     );
-    job.may_have_response |= !nothing_came;
-    if let Err(failed) = &sent {
+    ctx.may_have_response |= !no_response;
+    if let Err(error) = &sent {
         let detail = format_args!(
-            "attempt={} request={} why={failed:?}",
-            job.attempts, job.digest
+            "attempt={} request={} why={error:?}",
+            ctx.attempts, ctx.digest
         );
-        let log = &job.router.log;
-        log.request_event(Event::AttemptFailed, &job.info.id, detail);
-        if let Some(charge) = job.charge.as_mut().filter(|_| !job.may_have_response) {
+        let log = &ctx.router.log;
+        log.request_event(Event::AttemptFailed, &ctx.info.id, detail);
+        if let Some(charge) = ctx.charge.as_mut().filter(|_| !ctx.may_have_response) {
             charge.nothing_came();
         }
     }
     sent
 }
 
-/// Chooses upstreams until one can be connected to.
-async fn connect(job: &mut RequestContext) -> Result<(AttemptGuard, dial::Conn), AttemptError> {
+/// Chooses upstreams until a connection to one is open.
+async fn connect(ctx: &mut RequestContext) -> Result<(AttemptGuard, dial::Conn), AttemptError> {
     loop {
-        if job.remaining_ms() == 0 {
+        if ctx.remaining_ms() == 0 {
             return Err(AttemptError::Late);
         }
-        let choice = choose(job).map_err(AttemptError::Denied)?;
-        job.tried.push(choice.key);
-        job.timing.uncached_tokens = choice.uncached_tokens;
-        job.timing.expected_ms = choice.expected_ms;
-        let slot = AttemptGuard::new(job, choice);
-        let spec = &slot.choice.spec;
+        let choice = choose(ctx).map_err(AttemptError::Denied)?;
+        ctx.tried.push(choice.key);
+        ctx.timing.uncached_tokens = choice.uncached_tokens;
+        ctx.timing.expected_ms = choice.expected_ms;
+        let guard = AttemptGuard::new(ctx, choice);
+        let spec = &guard.choice.spec;
         let incarnation = spec.incarnation();
-        if let Some(conn) = job.router.dialer.kept(&incarnation) {
-            return Ok((slot, conn));
+        if let Some(conn) = ctx.router.dialer.kept(&incarnation) {
+            return Ok((guard, conn));
         }
-        let sharers = job.router.fleet.sharers();
-        let most = max_connections(job.service_settings.connections as usize, sharers);
+        let sharers = ctx.router.fleet.sharers();
+        let max = max_connections(ctx.service_settings.connections as usize, sharers);
         let target = Target {
             upstream: &incarnation,
             addr: spec.addr,
-            most: most.unwrap_or(usize::MAX),
+            most: max.unwrap_or(usize::MAX),
         };
-        let until = job.router.clock.at(job.deadline);
-        job.router.metrics.connections_opened.inc();
-        match job.router.dialer.open(target, until).await {
-            Ok(conn) if slot.may_send() => return Ok((slot, conn)),
-            // It leaves, rests, is evacuated or cold by now: nothing of this request was sent.
+        let until = ctx.router.clock.at(ctx.deadline);
+        ctx.router.metrics.connection_attempts.inc();
+        match ctx.router.dialer.open(target, until).await {
+            Ok(conn) if guard.may_send() => return Ok((guard, conn)),
+            // The upstream is leaving, paused, evacuated or cold by now. Nothing was sent, so
+            // another one is chosen.
             Ok(_) => {}
             Err(e) => {
                 let detail = format_args!("upstream={} connect={e:?}", spec.id);
-                let log = &job.router.log;
-                log.request_event(Event::AttemptFailed, &job.info.id, detail);
+                let log = &ctx.router.log;
+                log.request_event(Event::AttemptFailed, &ctx.info.id, detail);
                 let outcome = match e {
                     ConnectError::Full => Outcome::Refused,
                     ConnectError::Refused(_) | ConnectError::Unreachable(_) => {
                         Outcome::Unresponsive
                     }
-                    ConnectError::TimedOut => silence(job),
+                    ConnectError::TimedOut => timeout_outcome(ctx),
                 };
-                slot.end(outcome);
+                guard.end(outcome);
             }
         }
     }
 }
 
-fn choose(job: &RequestContext) -> Result<Choice, ChooseError> {
-    let now = job.router.clock.now();
-    let want = Criteria {
-        service: &job.service,
-        zone: &job.router.zone,
-        segments: &job.info.prompt_segments,
-        prompt_tokens: job.info.prompt_tokens,
-        regions: &job.regions,
-        tried: &job.tried,
-        deadline: job.deadline,
-        retryable: job.is_retryable(),
+fn choose(ctx: &RequestContext) -> Result<Choice, ChooseError> {
+    let now = ctx.router.clock.now();
+    let criteria = Criteria {
+        service: &ctx.service,
+        zone: &ctx.router.zone,
+        segments: &ctx.info.prompt_segments,
+        prompt_tokens: ctx.info.prompt_tokens,
+        regions: &ctx.regions,
+        tried: &ctx.tried,
+        deadline: ctx.deadline,
+        retryable: ctx.is_retryable(),
         random: rand::random(),
     };
-    let mut pool = job.router.pool.lock().expect("no panic inside");
-    let choice = pool.choose(now, &want)?;
-    let metrics = &job.router.metrics;
+    let mut pool = ctx.router.pool.lock().expect("lock not poisoned");
+    let choice = pool.choose(now, &criteria)?;
+    let metrics = &ctx.router.metrics;
     metrics
         .uncached_prompt_tokens
         .inc_by(u64::from(choice.uncached_tokens));
     metrics
         .prompt_tokens
-        .inc_by(u64::from(job.info.prompt_tokens));
+        .inc_by(u64::from(ctx.info.prompt_tokens));
     Ok(choice)
 }
 
 async fn send(
-    job: &mut RequestContext,
-    slot: AttemptGuard,
+    ctx: &mut RequestContext,
+    guard: AttemptGuard,
     mut conn: dial::Conn,
-    after_event: Option<u64>,
+    last_event_id: Option<u64>,
 ) -> Result<OpenResponse, AttemptError> {
-    let req = request(job, &slot, after_event);
-    job.router
-        .with_link(|l, now| l.record_request_sent(now, job.body.len()));
-    let until = job.router.clock.at(silent_at(job, &slot));
+    let req = new_request(ctx, &guard, last_event_id);
+    ctx.router
+        .with_link(|l, now| l.record_request_sent(now, ctx.body.len()));
+    let until = ctx.router.clock.at(response_deadline(ctx, &guard));
     let Ok(sent) = timeout_at(until, conn.send(req)).await else {
-        let waited = job.router.clock.now() - slot.sent_at;
-        let upstream = slot.choice.spec.id.clone();
-        slot.end(silence(job));
-        let why = format!("upstream={upstream} silent for {waited} ms");
+        let waited_ms = ctx.router.clock.now() - guard.sent_at;
+        let upstream = guard.choice.spec.id.clone();
+        guard.end(timeout_outcome(ctx));
+        let why = format!("upstream={upstream} no response within {waited_ms} ms");
         return Err(AttemptError::Unknown(why));
     };
-    let upstream = slot.choice.spec.id.clone();
+    let upstream = guard.choice.spec.id.clone();
     let res = match sent {
         Ok(res) => res,
         Err(SendError::NotSent(why)) => {
-            slot.end(Outcome::Refused);
+            guard.end(Outcome::Refused);
             return Err(AttemptError::NotRun(format!("upstream={upstream} {why}")));
         }
         Err(SendError::Closed(why)) => {
-            slot.end(Outcome::InvalidResponse);
+            guard.end(Outcome::InvalidResponse);
             return Err(AttemptError::Unanswered(format!(
                 "upstream={upstream} {why}"
             )));
         }
         Err(SendError::Broken(why)) => {
-            slot.end(Outcome::InvalidResponse);
+            guard.end(Outcome::InvalidResponse);
             return Err(AttemptError::Unknown(format!("upstream={upstream} {why}")));
         }
     };
     let (head, body) = res.into_parts();
-    let reading = job.router.dialect.parse_response(&job.info, &head);
-    if let Some(load) = reading.load {
-        let now = job.router.clock.now();
-        let mut pool = job.router.pool.lock().expect("no panic inside");
-        pool.set_reported_load(now, slot.choice.key, load);
+    let info = ctx.router.dialect.parse_response(&ctx.info, &head);
+    if let Some(load) = info.load {
+        let now = ctx.router.clock.now();
+        let mut pool = ctx.router.pool.lock().expect("lock not poisoned");
+        pool.set_reported_load(now, guard.choice.key, load);
     }
     let status = head.status.as_u16();
-    heed(job, &slot, &reading, head.status);
-    match reading.disposition {
+    apply_announcements(ctx, &guard, &info, head.status);
+    match info.disposition {
         Disposition::Executed => Ok(OpenResponse {
-            guard: slot,
+            guard,
             conn,
             head,
             body,
-            info: reading,
+            info,
         }),
         Disposition::NotExecuted => {
-            slot.end(Outcome::Refused);
+            guard.end(Outcome::Refused);
             Err(AttemptError::NotRun(format!(
                 "upstream={upstream} status={status}"
             )))
         }
         Disposition::Misdirected => {
-            slot.end(Outcome::Unresponsive);
-            let why = format!("upstream={upstream} is not at its address");
+            guard.end(Outcome::Unresponsive);
+            let why = format!("upstream={upstream} another upstream uses its address");
             Err(AttemptError::NotRun(why))
         }
         Disposition::Invalid(why) => {
-            slot.end(Outcome::InvalidResponse);
+            guard.end(Outcome::InvalidResponse);
             let why = format!("upstream={upstream} status={status} {why}");
             Err(AttemptError::Unknown(why))
         }
     }
 }
 
-/// Takes an upstream's word that it leaves, or wants nothing for a while: its answer is the nearest source there is.
-fn heed(job: &RequestContext, slot: &AttemptGuard, reading: &ResponseInfo, status: StatusCode) {
-    // That would be the word of another upstream, which has the address now.
-    if reading.disposition == Disposition::Misdirected {
+/// Applies what a response says about its upstream: that it is leaving, that it accepts no more
+/// requests for a while, and its request rate limit. No other source is as direct as the response.
+fn apply_announcements(
+    ctx: &RequestContext,
+    guard: &AttemptGuard,
+    info: &ResponseInfo,
+    status: StatusCode,
+) {
+    // The response is about another upstream, which uses the address now.
+    if info.disposition == Disposition::Misdirected {
         return;
     }
     let incarnation = {
-        let pool = job.router.pool.lock().expect("no panic inside");
-        pool.incarnation(slot.choice.key)
+        let pool = ctx.router.pool.lock().expect("lock not poisoned");
+        pool.incarnation(guard.choice.key)
     };
-    if reading.leaving {
-        job.router.listing.leaving(&incarnation, "answer");
+    if info.leaving {
+        ctx.router.listing.leaving(&incarnation, "answer");
     }
-    update_limit(job, slot, reading, status, &incarnation);
-    let Some(rest) = reading.pause else {
+    update_limit(ctx, guard, info, status, &incarnation);
+    let Some(pause) = info.pause else {
         return;
     };
-    let ms = match rest {
-        Pause::For(time) => time.as_millis(),
+    let ms = match pause {
+        Pause::For(duration) => duration.as_millis(),
         Pause::Until(date) => {
-            let since = date.duration_since(SystemTime::UNIX_EPOCH);
-            let date_ms = since.unwrap_or_default().as_millis();
+            let since_epoch = date.duration_since(SystemTime::UNIX_EPOCH);
+            let date_ms = since_epoch.unwrap_or_default().as_millis();
             date_ms.saturating_sub(u128::from(wall_ms()))
         }
     };
     let ms = u64::try_from(ms).unwrap_or(u64::MAX);
-    let now = job.router.clock.now();
-    let mut pool = job.router.pool.lock().expect("no panic inside");
-    let longer = pool.pause(now, slot.choice.key, ms);
+    let now = ctx.router.clock.now();
+    let mut pool = ctx.router.pool.lock().expect("lock not poisoned");
+    let longer = pool.pause(now, guard.choice.key, ms);
     drop(pool);
     if longer {
         let detail = format_args!("upstream={incarnation} rests_ms={ms}");
-        let log = &job.router.log;
-        log.request_event(Event::UpstreamPaused, &job.info.id, detail);
+        let log = &ctx.router.log;
+        log.request_event(Event::UpstreamPaused, &ctx.info.id, detail);
     }
 }
 
-/// Updates the request rate limit from an upstream's answer and logs a change. Only a successful answer without a limit removes
-/// it: refusals and errors may lack the header. An invalid value, or an answer not to this request, leaves the limit unchanged.
+/// Updates the request rate limit from a response and logs a change. Only a successful response
+/// without a limit removes it: refusals and errors may lack the header. An invalid value, or a
+/// response that is not one to this request, leaves the limit unchanged.
 fn update_limit(
-    job: &RequestContext,
-    slot: &AttemptGuard,
-    reading: &ResponseInfo,
+    ctx: &RequestContext,
+    guard: &AttemptGuard,
+    info: &ResponseInfo,
     status: StatusCode,
     incarnation: &str,
 ) {
-    let success = reading.disposition == Disposition::Executed && status.is_success();
-    let limit = match (reading.limit, &reading.disposition) {
+    let success = info.disposition == Disposition::Executed && status.is_success();
+    let limit = match (info.limit, &info.disposition) {
         (AdvertisedLimit::Valid(limit), Disposition::Executed | Disposition::NotExecuted) => {
             Some(limit)
         }
         (AdvertisedLimit::Absent, _) if success => None,
         _ => return,
     };
-    let listing = &job.router.listing;
-    let changed = listing.set_limit(slot.choice.key, slot.sent_at, limit);
+    let listing = &ctx.router.listing;
+    let changed = listing.set_limit(guard.choice.key, guard.sent_at, limit);
     if changed.is_some() {
         let per_sec = limit.map(RateLimit::as_per_sec);
         let detail = format_args!("upstream={incarnation} per_sec={per_sec:?} source=answer");
-        let log = &job.router.log;
-        log.request_event(Event::UpstreamLimitChanged, &job.info.id, detail);
+        let log = &ctx.router.log;
+        log.request_event(Event::UpstreamLimitChanged, &ctx.info.id, detail);
     }
 }
 
-/// Returns what silence says of an upstream: nothing while the own link is full.
-fn silence(job: &RequestContext) -> Outcome {
-    if job.router.is_link_congested() {
+/// Returns the outcome of a timeout: it says nothing about the upstream while this instance's own
+/// link is congested.
+fn timeout_outcome(ctx: &RequestContext) -> Outcome {
+    if ctx.router.is_link_congested() {
         Outcome::Abandoned
     } else {
         Outcome::Unresponsive
     }
 }
 
-/// Returns when an upstream that says nothing is given up, in milliseconds.
-fn silent_at(job: &RequestContext, slot: &AttemptGuard) -> u64 {
-    let last = !job.is_retryable() || job.attempts >= job.route.attempts;
-    if last {
-        return job.deadline;
+/// Returns when an attempt without a response head is given up, in milliseconds.
+fn response_deadline(ctx: &RequestContext, guard: &AttemptGuard) -> u64 {
+    let is_last = !ctx.is_retryable() || ctx.attempts >= ctx.route.attempts;
+    if is_last {
+        return ctx.deadline;
     }
-    let objective = job.route.objective_ms as f64 * SILENT_OBJECTIVES;
-    let expected = slot.choice.expected_ms * SILENT_EXPECTED;
+    let objective = ctx.route.objective_ms as f64 * RESPONSE_TIMEOUT_OBJECTIVES;
+    let expected = guard.choice.expected_ms * RESPONSE_TIMEOUT_EXPECTED;
     let wait = objective.max(expected) as u64;
-    job.deadline.min(slot.sent_at + wait)
+    ctx.deadline.min(guard.sent_at + wait)
 }
 
-fn request(
-    job: &RequestContext,
-    slot: &AttemptGuard,
-    after_event: Option<u64>,
+/// Returns the request to send to the upstream.
+fn new_request(
+    ctx: &RequestContext,
+    guard: &AttemptGuard,
+    last_event_id: Option<u64>,
 ) -> Request<Full<bytes::Bytes>> {
-    let sending = AttemptContext {
-        upstream: &slot.choice.spec.id,
-        customer: job.customer.as_deref(),
-        remaining_ms: job.remaining_ms().max(1),
-        last_event_id: after_event,
+    let attempt = AttemptContext {
+        upstream: &guard.choice.spec.id,
+        customer: ctx.customer.as_deref(),
+        remaining_ms: ctx.remaining_ms().max(1),
+        last_event_id,
     };
-    let mut req = Request::new(Full::new(job.body.clone()));
-    *req.method_mut() = job.head.method.clone();
-    let path = job.head.uri.path_and_query();
+    let mut req = Request::new(Full::new(ctx.body.clone()));
+    *req.method_mut() = ctx.head.method.clone();
+    let path = ctx.head.uri.path_and_query();
     *req.uri_mut() = path.map_or_else(Uri::default, |p| Uri::from(p.clone()));
-    *req.headers_mut() = job.router.dialect.request_headers(&job.head, &sending);
+    *req.headers_mut() = ctx.router.dialect.request_headers(&ctx.head, &attempt);
     req
 }
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a caller.
+//! The body of a response to a caller.
 
 use std::convert::Infallible;
 use std::fmt;
@@ -9,13 +9,14 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// An answer that broke off: its connection is closed, so that it can't look whole.
+/// A response that could not be completed. The connection is closed, so that the caller can't take
+/// the response for a complete one.
 #[derive(Debug)]
 pub(crate) struct ResponseAborted;
 
 impl fmt::Display for ResponseAborted {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the answer broke off")
+        f.write_str("response aborted before its end")
     }
 }
 
@@ -27,12 +28,12 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
-    /// It is whole.
+    /// The complete body.
     Buffered(Bytes),
-    /// It comes in parts, until the sender is dropped.
+    /// Chunks, until the sender is dropped.
     Streamed(mpsc::Receiver<Result<Bytes, ResponseAborted>>),
 }
 
@@ -51,7 +52,7 @@
             }
             ResponseBody::Streamed(rx) => rx
                 .poll_recv(cx)
-                .map(|part| part.map(|p| p.map(Frame::data))),
+                .map(|chunk| chunk.map(|c| c.map(Frame::data))),
         }
     }
 
--- a/crates/proxy/src/buffered.rs
+++ b/crates/proxy/src/buffered.rs
@@ -1,5 +1,6 @@
-//! Whole answers: read to their end before the caller gets a byte, so that one that breaks off can be
-//! asked for again where that is allowed, and is never taken for whole.
+//! Responses other than event streams. They are read to their end before the caller gets any byte,
+//! so that a request whose response is aborted can be retried if that is allowed, and an aborted
+//! response is never taken for a complete one. Large responses are forwarded in chunks instead.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -17,157 +18,168 @@
 use crate::request_context::RequestContext;
 use crate::router::Router;
 
-/// An answer up to this size is read whole, in bytes; a larger one goes on as it comes.
-const WHOLE_MOST: usize = 1 << 20;
-/// Parts of a large answer that may wait for a slow caller.
-const PARTS_DEPTH: usize = 4;
+/// Maximum size of a buffered response, in bytes; a larger one is forwarded as it is received.
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
+/// Maximum number of chunks of a large response that are queued for a slow caller.
+const MAX_QUEUED_CHUNKS: usize = 4;
 
-/// How the reading of an answer ended.
+/// The result of reading a response body.
 enum Read {
-    Whole(Bytes),
+    Complete(Bytes),
+    /// The bytes received so far, and the rest of a body that is too large to be buffered.
     Large(Bytes, Incoming),
-    Broken(String),
+    Aborted(String),
 }
 
-/// Answers a request whose answer is no stream.
+/// Responds to a request whose response is not a stream.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
-pub(crate) async fn respond(mut job: RequestContext) -> Result<Response<ResponseBody>, Refusal> {
-    let mut attempts = AttemptHistory::new();
-    // An error that an upstream answered with is better than none of ours.
-    let mut second_best = None;
-    let after_event = job.info.last_event_id;
+/// Returns why there is no response.
+pub(crate) async fn respond(mut ctx: RequestContext) -> Result<Response<ResponseBody>, Refusal> {
+    let mut history = AttemptHistory::new();
+    // Returned if the retries fail too: an upstream's error response is better than a refusal.
+    let mut error_response = None;
+    let last_event_id = ctx.info.last_event_id;
     loop {
-        let failed = match attempt(&mut job, after_event).await {
-            Ok(open) => match finish(&mut job, open).await {
-                Ok(Done::Answered(res)) => return Ok(res),
-                Ok(Done::Error(res)) => {
-                    second_best = Some(res);
-                    AttemptError::Unknown("answered with an error".to_string())
+        let error = match attempt(&mut ctx, last_event_id).await {
+            Ok(open) => match finish(&mut ctx, open).await {
+                Ok(Finished::Final(res)) => return Ok(res),
+                Ok(Finished::RetryableError(res)) => {
+                    error_response = Some(res);
+                    AttemptError::Unknown("the upstream responded with an error".to_string())
                 }
                 Err(why) => AttemptError::Unknown(why),
             },
-            Err(failed) => failed,
+            Err(error) => error,
         };
-        if !attempts.try_retry(&job, &failed) {
-            let res = second_best.ok_or_else(|| attempts.refusal(&job, failed));
+        if !history.try_retry(&ctx, &error) {
+            let res = error_response.ok_or_else(|| history.refusal(&ctx, error));
             if res.is_ok() {
-                job.record_end("upstream_error", "-");
+                ctx.record_end("upstream_error", "-");
             }
             return res;
         }
     }
 }
 
-enum Done {
-    Answered(Response<ResponseBody>),
-    /// An error of the upstream, on a request that might be sent once more.
-    Error(Response<ResponseBody>),
+/// A response that was read.
+enum Finished {
+    Final(Response<ResponseBody>),
+    /// An error of the upstream to a request that may be retried.
+    RetryableError(Response<ResponseBody>),
 }
 
-/// Reads an answer whose head was read; the error says how it broke off.
+/// Reads the body of a response; the error says why it was aborted.
 pub(crate) async fn read_response(
-    job: &mut RequestContext,
+    ctx: &mut RequestContext,
     open: OpenResponse,
 ) -> Result<Response<ResponseBody>, String> {
-    match finish(job, open).await? {
-        Done::Answered(res) | Done::Error(res) => Ok(res),
+    match finish(ctx, open).await? {
+        Finished::Final(res) | Finished::RetryableError(res) => Ok(res),
     }
 }
 
-async fn finish(job: &mut RequestContext, open: OpenResponse) -> Result<Done, String> {
+async fn finish(ctx: &mut RequestContext, open: OpenResponse) -> Result<Finished, String> {
     let OpenResponse {
-        guard: slot,
+        guard,
         conn,
         head,
         body,
-        info: reading,
+        info,
     } = open;
-    let upstream = slot.choice.spec.id.clone();
-    let until = job.router.clock.at(job.deadline);
-    let read = timeout_at(until, read(body)).await;
+    let upstream = guard.choice.spec.id.clone();
+    let until = ctx.router.clock.at(ctx.deadline);
+    let read = timeout_at(until, read_body(body)).await;
     let bytes = match read {
-        Ok(Read::Whole(bytes)) => bytes,
+        Ok(Read::Complete(bytes)) => bytes,
         Ok(Read::Large(bytes, rest)) => {
-            slot.record_latency();
+            guard.record_latency();
             let open = OpenResponse {
-                guard: slot,
+                guard,
                 conn,
                 head,
                 body: rest,
-                info: reading,
+                info,
             };
-            return Ok(Done::Answered(pass_on(job, open, bytes)));
+            return Ok(Finished::Final(forward_large(ctx, open, bytes)));
         }
-        Ok(Read::Broken(why)) => {
-            slot.end(Outcome::InvalidResponse);
-            return Err(format!("upstream={upstream} the answer broke off: {why}"));
+        Ok(Read::Aborted(why)) => {
+            guard.end(Outcome::InvalidResponse);
+            return Err(format!("upstream={upstream} response aborted: {why}"));
         }
         Err(_) => {
-            slot.end(Outcome::Unresponsive);
+            guard.end(Outcome::Unresponsive);
             return Err(format!(
-                "upstream={upstream} the answer did not end in time"
+                "upstream={upstream} response not complete before the deadline"
             ));
         }
     };
-    slot.record_latency();
+    guard.record_latency();
     let is_error = head.status.is_server_error();
-    slot.end(if is_error {
+    guard.end(if is_error {
         Outcome::ErrorResponse
     } else {
         Outcome::Success
     });
-    job.router.dialer.keep(conn, reading.keep_alive);
-    job.router
+    ctx.router.dialer.keep(conn, info.keep_alive);
+    ctx.router
         .with_link(|l, now| l.record_response(now, bytes.len()));
-    let res = whole(job, &head, bytes);
-    if is_error && job.is_retryable() {
-        return Ok(Done::Error(res));
+    let res = new_response(ctx, &head, bytes);
+    if is_error && ctx.is_retryable() {
+        return Ok(Finished::RetryableError(res));
     }
-    job.record_first_output();
-    job.record_end(if is_error { "upstream_error" } else { "ok" }, &upstream);
-    Ok(Done::Answered(res))
+    ctx.record_first_output();
+    ctx.record_end(if is_error { "upstream_error" } else { "ok" }, &upstream);
+    Ok(Finished::Final(res))
 }
 
-fn whole(job: &RequestContext, head: &response::Parts, bytes: Bytes) -> Response<ResponseBody> {
+/// Returns a response with the given body, and status and headers from the upstream's head.
+fn new_response(
+    ctx: &RequestContext,
+    head: &response::Parts,
+    bytes: Bytes,
+) -> Response<ResponseBody> {
     let mut res = Response::new(ResponseBody::Buffered(bytes));
     *res.status_mut() = head.status;
-    *res.headers_mut() = job.router.dialect.response_headers(head);
+    *res.headers_mut() = ctx.router.dialect.response_headers(head);
     res
 }
 
-async fn read(mut body: Incoming) -> Read {
+async fn read_body(mut body: Incoming) -> Read {
     let mut buf = BytesMut::new();
     loop {
         match body.frame().await {
-            None => return Read::Whole(buf.freeze()),
-            Some(Err(e)) => return Read::Broken(e.to_string()),
+            None => return Read::Complete(buf.freeze()),
+            Some(Err(e)) => return Read::Aborted(e.to_string()),
             Some(Ok(frame)) => {
                 if let Some(data) = frame.data_ref() {
                     buf.extend_from_slice(data);
                 }
             }
         }
-        if buf.len() > WHOLE_MOST {
+        if buf.len() > MAX_BUFFERED_BYTES {
             return Read::Large(buf.freeze(), body);
         }
     }
 }
 
-/// Passes a large answer on as it comes.
-fn pass_on(job: &RequestContext, open: OpenResponse, begun: Bytes) -> Response<ResponseBody> {
-    let (tx, rx) = mpsc::channel(PARTS_DEPTH);
-    let mut res = whole(job, &open.head, Bytes::new());
+/// Forwards a large response as it is received.
+fn forward_large(
+    ctx: &RequestContext,
+    open: OpenResponse,
+    received: Bytes,
+) -> Response<ResponseBody> {
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    let mut res = new_response(ctx, &open.head, Bytes::new());
     *res.body_mut() = ResponseBody::Streamed(rx);
-    let until = job.router.clock.at(job.deadline);
-    let (log, id) = (job.router.log.clone(), job.info.id.clone());
-    let router = job.router.clone();
-    job.record_end("ok", &open.guard.choice.spec.id);
+    let until = ctx.router.clock.at(ctx.deadline);
+    let (log, id) = (ctx.router.log.clone(), ctx.info.id.clone());
+    let router = ctx.router.clone();
+    ctx.record_end("ok", &open.guard.choice.spec.id);
     tokio::spawn(async move {
-        let passed = timeout_at(until, pass(open.body, begun, &router, &tx)).await;
-        match passed {
+        let forwarded = timeout_at(until, forward_chunks(open.body, received, &router, &tx)).await;
+        match forwarded {
             Ok(Ok(())) => {
                 open.guard.end(Outcome::Success);
                 router.dialer.keep(open.conn, open.info.keep_alive);
@@ -175,7 +187,7 @@
             Ok(Err(why)) => {
                 open.guard.end(Outcome::InvalidResponse);
                 log.request_event(Event::ResponseAborted, &id, why);
-                // A caller that left needs no end.
+                // Fails if the caller has disconnected.
                 let _ = tx.send(Err(ResponseAborted)).await;
             }
             Err(_) => {
@@ -187,19 +199,20 @@
     res
 }
 
-async fn pass(
+/// Sends the bytes received so far, and then the rest of the body.
+async fn forward_chunks(
     mut body: Incoming,
-    begun: Bytes,
+    received: Bytes,
     router: &Router,
     tx: &mpsc::Sender<Result<Bytes, ResponseAborted>>,
 ) -> Result<(), String> {
-    let left = |_| "the caller left".to_string();
-    tx.send(Ok(begun)).await.map_err(left)?;
+    let disconnected = |_| "the caller disconnected".to_string();
+    tx.send(Ok(received)).await.map_err(disconnected)?;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| e.to_string())?;
         if let Ok(data) = frame.into_data() {
             router.with_link(|l, now| l.record_response(now, data.len()));
-            tx.send(Ok(data)).await.map_err(left)?;
+            tx.send(Ok(data)).await.map_err(disconnected)?;
         }
     }
     Ok(())
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What callers, upstreams and operators speak: the one trait at the edge towards them.
+//! The formats of callers, upstreams and operators, as one trait.
 
 use std::time::{Duration, SystemTime};
 
@@ -12,106 +12,110 @@
 use crate::refusal::Refusal;
 use crate::request_info::{AttemptContext, RequestInfo};
 
-/// What an upstream's answer says of the request.
+/// What a response says about the execution of the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Disposition {
-    /// It ran, and this is its answer, be it a success or not.
+    /// The request ran, and this is its response, successful or not.
     Executed,
-    /// It did not run, and will not.
+    /// The request did not run, and will not.
     NotExecuted,
-    /// It did not run: another upstream is at the address.
+    /// The request did not run, because another upstream uses the address.
     Misdirected,
-    /// This is no answer to this request.
+    /// This is not a valid response to this request, for the given reason.
     Invalid(&'static str),
 }
 
-/// For how long an upstream wants nothing more.
+/// How long an upstream accepts no more requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pause {
-    /// From its answer on.
+    /// For this time after its response.
     For(Duration),
-    /// Until a time of day.
+    /// Until this time.
     Until(SystemTime),
 }
 
-/// The request rate limit in an upstream's answer, shared by all instances.
+/// The request rate limit in a response; it applies to the requests of all instances together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdvertisedLimit {
-    /// The answer has no limit.
+    /// The response contains no limit.
     Absent,
-    /// The answer has this limit.
+    /// The response contains this limit.
     Valid(RateLimit),
-    /// The answer has a limit that could not be parsed.
+    /// The response contains a limit that could not be parsed.
     Invalid,
 }
 
-/// The head of an upstream's answer.
+/// The content of the head of an upstream's response.
 #[derive(Clone, Debug)]
 pub struct ResponseInfo {
-    /// What it says of the request.
+    /// Whether the request ran.
     pub disposition: Disposition,
-    /// The upstream's word on its load.
+    /// The load that the upstream reports.
     pub load: Option<Load>,
-    /// How long the upstream keeps the connection when it is idle.
+    /// How long the upstream keeps the connection open when idle.
     pub keep_alive: Option<Duration>,
-    /// Whether the upstream says that it leaves.
+    /// Whether the upstream announces that it is leaving.
     pub leaving: bool,
-    /// For how long it wants nothing more; none where it does not say, or not so that it can be understood.
+    /// How long the upstream accepts no more requests; none if that is missing or could not be
+    /// parsed.
     pub pause: Option<Pause>,
-    /// The request rate limit that it advertises.
+    /// The request rate limit that the upstream advertises.
     pub limit: AdvertisedLimit,
 }
 
-/// Names, formats and calls of one way to speak; it decides nothing.
+/// Names and formats on the wire and in the store. An implementation makes no decisions.
 pub trait Dialect: Send + Sync + 'static {
-    /// Returns the store's key of the operators' configuration.
+    /// Returns the store key of the operators' configuration.
     fn config_key(&self) -> &str;
 
-    /// Returns the prefix of all keys that operators write, the configuration's among them.
+    /// Returns the prefix of all store keys that operators write, including that of the
+    /// configuration.
     fn operator_prefix(&self) -> &str;
 
-    /// Returns the zone that a key of the operators' names as evacuated, as long as it is there.
+    /// Returns the zone that is evacuated as long as the given operator key exists.
     fn evacuated_zone<'a>(&self, key: &'a str) -> Option<&'a str>;
 
-    /// Returns the prefix of the store's keys of upstreams.
+    /// Returns the prefix of the upstreams' store keys.
     fn upstream_prefix(&self) -> &str;
 
-    /// Returns the path under which balancers ask whether connections are wanted.
+    /// Returns the path under which load balancers check readiness.
     fn readiness_path(&self) -> &str;
 
-    /// Reads the operators' configuration.
+    /// Parses the operators' configuration.
     ///
     /// # Errors
     ///
-    /// Returns the field at fault and what is wrong with it.
+    /// Returns the invalid field and what is wrong with it.
     fn parse_config(&self, value: &[u8]) -> Result<Routing, String>;
 
-    /// Returns the id of the upstream that a key names.
+    /// Returns the id of the upstream with the given store key.
     fn upstream_id<'a>(&self, key: &'a str) -> &'a str;
 
-    /// Reads an upstream's entry.
+    /// Parses an upstream's entry in the store.
     ///
     /// # Errors
     ///
-    /// Returns the field at fault and what is wrong with it.
+    /// Returns the invalid field and what is wrong with it.
     fn parse_upstream(&self, key: &str, value: &[u8]) -> Result<Spec, String>;
 
-    /// Reads a request's head.
+    /// Parses the head of a request.
     ///
     /// # Errors
     ///
     /// Returns why the request is malformed.
     fn parse_request(&self, head: &request::Parts) -> Result<RequestInfo, Refusal>;
 
-    /// Returns the headers of an attempt: the caller's, less those that are not its to set.
-    fn request_headers(&self, head: &request::Parts, sending: &AttemptContext<'_>) -> HeaderMap;
+    /// Returns the headers of an attempt: those of the caller, except the ones that callers may not
+    /// set, and those that the router adds.
+    fn request_headers(&self, head: &request::Parts, attempt: &AttemptContext<'_>) -> HeaderMap;
 
-    /// Reads the head of an upstream's answer to a request.
-    fn parse_response(&self, ask: &RequestInfo, head: &response::Parts) -> ResponseInfo;
+    /// Parses the head of an upstream's response to a request.
+    fn parse_response(&self, request: &RequestInfo, head: &response::Parts) -> ResponseInfo;
 
-    /// Returns the headers of an upstream's answer that its caller gets.
+    /// Returns the headers of an upstream's response that are forwarded to the caller.
     fn response_headers(&self, head: &response::Parts) -> HeaderMap;
 
-    /// Returns the answer to a request that failed here.
-    fn refusal_response(&self, ask: Option<&RequestInfo>, refusal: &Refusal) -> Response<Bytes>;
+    /// Returns the response to a request that failed at this instance.
+    fn refusal_response(&self, request: Option<&RequestInfo>, refusal: &Refusal)
+        -> Response<Bytes>;
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,10 @@
-//! One instance between callers and upstreams: any method, path and body goes on unchanged.
+//! An instance of the router between callers and upstreams. It forwards requests of any method, and
+//! leaves path and body unchanged.
 //!
-//! A request passes: read → route and customer → tokens → upstream → answer → settlement. What callers,
-//! upstreams and the store speak is a [`Dialect`]; decisions are those of `escrow` and `place`; each
-//! task here owns its state and hands out a handle.
+//! Each request is read, matched to a route and a customer, given tokens from the customer's
+//! budget, sent to an upstream, answered and settled. A [`Dialect`] defines the formats on the wire
+//! and in the store. The crates `escrow` and `place` make the decisions. Each task owns its state
+//! and hands out a handle to it.
 
 mod attempt;
 mod bank;
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -1,4 +1,4 @@
-//! The listener for callers.
+//! Listener for callers.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -14,15 +14,15 @@
 
 use crate::router::Router;
 
-/// Pause after a connection could not be accepted: descriptors may be free again then.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// Delay after a connection could not be accepted, by which file descriptors may be free again.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How far a planned stop has come.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
-    /// Everything is taken.
+    /// Connections are accepted, and kept open between requests.
     Serving,
-    /// Idle connections are closed; new ones are taken for one request each.
+    /// Idle connections are closed; new ones are accepted for one request each.
     Draining,
 }
 
@@ -37,26 +37,31 @@
     Ok((listener, addr))
 }
 
-/// Serves connections until the end of the process: one that is refused looks like a crash.
+/// Serves connections until the process ends, because a refused connection looks like a crash.
 pub(crate) fn serve(listener: TcpListener, router: Arc<Router>, phase: watch::Receiver<Phase>) {
     tokio::spawn(async move {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
-                    tokio::spawn(connection(stream, Arc::clone(&router), phase.clone()));
+                    tokio::spawn(serve_connection(stream, Arc::clone(&router), phase.clone()));
                 }
-                Err(_) => sleep(ACCEPT_AGAIN).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     });
 }
 
-async fn connection(stream: TcpStream, router: Arc<Router>, mut phase: watch::Receiver<Phase>) {
-    // Without it small events wait for the caller's acknowledgement; it fails on closed ones only.
+async fn serve_connection(
+    stream: TcpStream,
+    router: Arc<Router>,
+    mut phase: watch::Receiver<Phase>,
+) {
+    // Without it, small events wait for the caller's acknowledgement. It fails only if the
+    // connection is closed.
     let _ = stream.set_nodelay(true);
     let limits = router.config.get().map(|a| a.routing.limits);
     let limits = limits.unwrap_or_default();
-    let answer = service_fn(move |req| {
+    let service = service_fn(move |req| {
         let router = Arc::clone(&router);
         async move { Ok::<_, Infallible>(router.handle(req).await) }
     });
@@ -64,15 +69,17 @@
         .timer(TokioTimer::new())
         .header_read_timeout(Duration::from_millis(limits.idle_ms))
         .max_header_size(limits.header_bytes)
-        .serve_connection(TokioIo::new(stream), answer);
+        .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(conn);
     if *phase.borrow() != Phase::Serving {
-        // Its first answer closes it. Closed at once, it would look like a refused connection.
+        // The connection is closed after its first response. Closing it at once would look like a
+        // refused connection.
         let _ = conn.await;
         return;
     }
     tokio::select! {
-        // An error is the caller's: it left, or sent what is no request.
+        // An error is the caller's: it closed the connection, or sent something that is not a
+        // request.
         _ = conn.as_mut() => return,
         _ = phase.wait_for(|p| *p != Phase::Serving) => {}
     }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, by prometheus-client.
+//! Metrics of an instance. Their names and help texts are part of the interface to monitoring.
 
 use std::sync::Mutex;
 
@@ -13,53 +13,55 @@
 use crate::store_calls::StoreCalls;
 use crate::suspects::Suspects;
 
-/// Upper bounds of the buckets of times, in seconds: from a relay's own time to the longest request.
-const SECONDS: [f64; 14] = [
+/// Upper bounds of the histogram buckets, in seconds: from the time that the router itself takes to
+/// the longest requests.
+const BUCKETS_SECS: [f64; 14] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 0.8, 1.5, 5.0, 10.0,
 ];
 
-/// How a request of a route ended: `ok` or the code of its error.
+/// Labels of a request: its route, and `ok` or the code of its error.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct RequestLabels {
     pub(crate) route: String,
     pub(crate) code: String,
 }
 
-/// A route.
+/// Labels of what is measured by route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct RouteLabels {
     pub(crate) route: String,
 }
 
-/// The metrics of one instance.
+/// The metrics of an instance.
 pub(crate) struct Metrics {
     registry: Mutex<Registry>,
-    /// Requests by route and end.
+    /// Requests, by route and result.
     pub(crate) requests: Family<RequestLabels, Counter>,
-    /// Requests under way.
+    /// Requests in flight.
     pub(crate) inflight: Gauge,
-    /// Attempts at upstreams.
+    /// Attempts to send a request to an upstream.
     pub(crate) attempts: Counter,
-    /// Attempts beyond a request's first.
+    /// Attempts after a request's first one.
     pub(crate) retries: Counter,
-    /// Connections opened to upstreams.
-    pub(crate) connections_opened: Counter,
-    /// Seconds from a request's arrival to its answer or first event.
+    /// Attempts to open a connection to an upstream, including failed ones.
+    pub(crate) connection_attempts: Counter,
+    /// Time from a request's arrival to its response or first event.
     pub(crate) first_output_seconds: Family<RouteLabels, Histogram>,
-    /// Seconds that a request waited for tokens.
+    /// Time that a request waited for tokens.
     pub(crate) token_wait_seconds: Histogram,
-    /// Tokens spent.
+    /// Response tokens sent to callers.
     pub(crate) delivered_tokens: Counter,
-    /// Prompt tokens sent to upstreams that were thought not to keep them.
+    /// Prompt tokens estimated not to be in the prefix cache of the upstream, counted each time one
+    /// is chosen.
     pub(crate) uncached_prompt_tokens: Counter,
-    /// Prompt tokens sent.
+    /// Prompt tokens, counted each time an upstream is chosen.
     pub(crate) prompt_tokens: Counter,
     /// Listed upstreams that advertise a request rate limit.
     pub(crate) rate_limited_upstreams: Gauge,
 }
 
-fn seconds() -> Histogram {
-    Histogram::new(SECONDS)
+fn new_histogram() -> Histogram {
+    Histogram::new(BUCKETS_SECS)
 }
 
 impl Metrics {
@@ -70,9 +72,9 @@
             inflight: Gauge::default(),
             attempts: Counter::default(),
             retries: Counter::default(),
-            connections_opened: Counter::default(),
-            first_output_seconds: Family::new_with_constructor(seconds),
-            token_wait_seconds: seconds(),
+            connection_attempts: Counter::default(),
+            first_output_seconds: Family::new_with_constructor(new_histogram),
+            token_wait_seconds: new_histogram(),
             delivered_tokens: Counter::default(),
             uncached_prompt_tokens: Counter::default(),
             prompt_tokens: Counter::default(),
@@ -83,7 +85,7 @@
     }
 
     fn register(&self, calls: &StoreCalls, suspects: &Suspects) {
-        let mut registry = self.registry.lock().expect("no panic inside");
+        let mut registry = self.registry.lock().expect("lock not poisoned");
         let r = &mut *registry;
         r.register(
             "requests",
@@ -96,7 +98,7 @@
         r.register(
             "connects",
             "Connections opened",
-            self.connections_opened.clone(),
+            self.connection_attempts.clone(),
         );
         r.register(
             "first_seconds",
@@ -126,30 +128,30 @@
         r.register("suspects", "Requests refused for ends", refused);
     }
 
-    /// Counts the end of a request.
+    /// Counts a request that has ended.
     pub(crate) fn count_request(&self, route: &str, code: &str) {
-        let end = RequestLabels {
+        let labels = RequestLabels {
             route: route.to_string(),
             code: code.to_string(),
         };
-        self.requests.get_or_create(&end).inc();
+        self.requests.get_or_create(&labels).inc();
     }
 
-    /// Counts the time to an answer or first event.
+    /// Records the time to a response or its first event.
     pub(crate) fn observe_first_output(&self, route: &str, ms: u64) {
-        let route = RouteLabels {
+        let labels = RouteLabels {
             route: route.to_string(),
         };
         self.first_output_seconds
-            .get_or_create(&route)
+            .get_or_create(&labels)
             .observe(ms as f64 / 1000.0);
     }
 
-    /// Returns all metrics as text.
+    /// Returns all metrics in the OpenMetrics text format.
     pub(crate) fn encode(&self) -> String {
-        let registry = self.registry.lock().expect("no panic inside");
+        let registry = self.registry.lock().expect("lock not poisoned");
         let mut text = String::new();
-        // Writing into a text can't fail.
+        // Writing to a string does not fail.
         let _ = encode(&mut text, &registry);
         text
     }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -1,4 +1,4 @@
-//! The filters that a request passes: read, route, customer, tokens, upstream, answer.
+//! The stages of request processing: read, route, customer, tokens, upstream, response.
 
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -26,35 +26,37 @@
 use crate::router::Router;
 use crate::{buffered, stream};
 
-/// When to come back to an instance that knows no configuration yet, in milliseconds: it is read
-/// within a few calls of the store.
-const RETRY_UNKNOWN_MS: u64 = 500;
-/// When to come back after an instance that stops, or whose link is full, in milliseconds: another one
-/// answers.
-const RETRY_ELSEWHERE_MS: u64 = 50;
-/// When to come back for tokens that are out of reach, in milliseconds, while the budget has free ones:
-/// they are taken within a second.
-const RETRY_FREE_MS: u64 = 700;
-/// The same while it has none, or the store is out of reach: outages last several seconds, and so does
-/// what others hand back. Coming back sooner is refused again.
-const RETRY_TOKENS_MS: u64 = 4_000;
-/// Longest wait of a caller that names none, in milliseconds.
-const WAIT_DEFAULT_MS: u64 = 60_000;
+/// Retry time while the instance has no configuration yet, in milliseconds: loading it takes a few
+/// store calls.
+const RETRY_NOT_CONFIGURED_MS: u64 = 500;
+/// Retry time if the instance is stopping, or its link or memory is full, in milliseconds: another
+/// instance can answer the retry.
+const RETRY_OTHER_INSTANCE_MS: u64 = 50;
+/// Retry time if tokens could not be obtained although the budget has free ones, in milliseconds:
+/// instances take free tokens within a second.
+const RETRY_FREE_TOKENS_MS: u64 = 700;
+/// Retry time if the budget has no free tokens, or the store is unreachable, in milliseconds.
+/// Outages last several seconds, and so does the return of tokens by other instances. An earlier
+/// retry would be refused again.
+const RETRY_NO_TOKENS_MS: u64 = 4_000;
+/// How long a caller waits that does not specify a time, in milliseconds.
+const DEFAULT_TIMEOUT_MS: u64 = 60_000;
 
 impl Router {
-    /// Answers a request.
+    /// Processes a request, and returns the response to its caller.
     pub(crate) async fn handle(self: &Arc<Self>, req: Request<Incoming>) -> Response<ResponseBody> {
-        // A body in chunks ends where its sender says. Were a length named besides, the two could
-        // differ, and what follows be taken for another request: nothing follows.
+        // A chunked body ends where its sender says. If the request has a Content-Length as well,
+        // the two may differ, and bytes after the body could be taken for another request. The
+        // connection is therefore closed after the response.
         let chunked = req.headers().contains_key(TRANSFER_ENCODING);
         let (head, body) = req.into_parts();
-        let mut ask = None;
-        let mut res = match self.run(head, body, &mut ask).await {
+        let mut info = None;
+        let mut res = match self.process(head, body, &mut info).await {
             Ok(res) => res,
             Err(refusal) => {
-                self.log_refusal(ask.as_ref(), &refusal);
+                self.log_refusal(info.as_ref(), &refusal);
                 self.dialect
-                    .refusal_response(ask.as_ref(), &refusal)
+                    .refusal_response(info.as_ref(), &refusal)
                     .map(ResponseBody::Buffered)
             }
         };
@@ -65,96 +67,105 @@
         res
     }
 
-    fn log_refusal(&self, ask: Option<&RequestInfo>, refusal: &Refusal) {
+    fn log_refusal(&self, info: Option<&RequestInfo>, refusal: &Refusal) {
         let code = refusal.error.kind.answer().code;
         self.metrics.count_request("", code);
         let detail = format_args!(
             "code={code} ran={:?} retry_ms={:?} why={}",
             refusal.error.ran, refusal.retry_ms, refusal.error.message
         );
-        let id = ask.map_or("", |a| a.id.as_str());
+        let id = info.map_or("", |i| i.id.as_str());
         self.log.request_event(Event::Refused, id, detail);
     }
 
-    async fn run(
+    /// Processes a request; sets `parsed` once its head is parsed, so that a refusal can refer to
+    /// it.
+    async fn process(
         self: &Arc<Self>,
         head: request::Parts,
         body: Incoming,
-        known: &mut Option<RequestInfo>,
+        parsed: &mut Option<RequestInfo>,
     ) -> Result<Response<ResponseBody>, Refusal> {
-        let arrived = self.clock.now();
-        let mut busy = InFlightGuard::new(self);
-        let ask = self.dialect.parse_request(&head)?;
-        *known = Some(ask.clone());
-        let wait_ms = ask.timeout_ms.unwrap_or(WAIT_DEFAULT_MS);
+        let arrived_at = self.clock.now();
+        let mut in_flight = InFlightGuard::new(self);
+        let info = self.dialect.parse_request(&head)?;
+        *parsed = Some(info.clone());
+        let timeout_ms = info.timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS);
         if self.refusing.load(Ordering::Relaxed) {
-            let refusal = Refusal::new(Kind::Draining, "this instance is about to end");
-            return Err(refusal.retry_within(RETRY_ELSEWHERE_MS, wait_ms));
+            let refusal = Refusal::new(Kind::Draining, "this instance is shutting down");
+            return Err(refusal.retry_within(RETRY_OTHER_INSTANCE_MS, timeout_ms));
         }
         let Some(active) = self.config.get() else {
-            let refusal = Refusal::new(Kind::NotConfigured, "no configuration yet");
-            return Err(refusal.retry_within(RETRY_UNKNOWN_MS, wait_ms));
+            let refusal = Refusal::new(
+                Kind::NotConfigured,
+                "this instance has no configuration yet",
+            );
+            return Err(refusal.retry_within(RETRY_NOT_CONFIGURED_MS, timeout_ms));
         };
-        let route = self.route(&active, &ask, &head)?.clone();
-        let customer = self.customer(&active, &ask, &route)?;
-        let deadline = arrived + wait_ms.min(route.timeout_ms);
-        let body = self.body(&active, &head, body, deadline).await?;
-        self.room_for(&mut busy, body.len())
-            .map_err(|full| full.retry_within(RETRY_ELSEWHERE_MS, wait_ms))?;
+        let route = self.route(&active, &info, &head)?.clone();
+        let customer = self.customer(&active, &info, &route)?;
+        let deadline = arrived_at + timeout_ms.min(route.timeout_ms);
+        let body = self.read_body(&active, &head, body, deadline).await?;
+        self.reserve_capacity(&mut in_flight, body.len())
+            .map_err(|refusal| refusal.retry_within(RETRY_OTHER_INSTANCE_MS, timeout_ms))?;
         let service = route.service(rand::random());
         let service = service.map(str::to_string).ok_or_else(|| {
             let message = format!("route {} has no service", route.name);
             Refusal::new(Kind::NoUpstream, message)
         })?;
-        let traits = active.routing.services.get(&service).cloned();
+        let service_settings = active.routing.services.get(&service).cloned();
         {
-            let mut retries = self.retry_budget.lock().expect("no panic inside");
-            retries.record_request(arrived, &service);
+            let mut retries = self.retry_budget.lock().expect("lock not poisoned");
+            retries.record_request(arrived_at, &service);
         }
-        let regions = active.routing.regions(&route, ask.api_key.as_deref());
+        let regions = active.routing.regions(&route, info.api_key.as_deref());
         let regions = regions.ok_or_else(|| {
-            let message = format!("route {} and its customer share no region", route.name);
+            let message = format!(
+                "route {} and the customer have no allowed region in common",
+                route.name
+            );
             Refusal::new(Kind::NoUpstream, message)
         })?;
-        let mut job = RequestContext {
+        let mut ctx = RequestContext {
             router: Arc::clone(self),
             regions,
-            digest: digest(&ask, customer.as_deref(), &head, &body),
-            info: ask,
+            digest: digest(&info, customer.as_deref(), &head, &body),
+            info,
             head,
             body,
             route,
             service,
-            service_settings: traits.unwrap_or_default(),
+            service_settings: service_settings.unwrap_or_default(),
             customer,
-            arrived_at: arrived,
+            arrived_at,
             deadline,
             tried: SmallVec::new(),
             attempts: 0,
             charge: None,
             may_have_response: false,
             timing: AttemptTiming::default(),
-            _in_flight: busy,
+            _in_flight: in_flight,
         };
-        self.suspects.admit(&self.others, job.digest).await?;
-        job.charge = self.charge(&active, &job).await?;
-        if job.route.streamed {
-            stream::respond(job).await
+        self.suspects.admit(&self.others, ctx.digest).await?;
+        ctx.charge = self.charge(&active, &ctx).await?;
+        if ctx.route.streamed {
+            stream::respond(ctx).await
         } else {
-            buffered::respond(job).await
+            buffered::respond(ctx).await
         }
     }
 
-    /// Takes what a request needs here; the error says that another instance has more of it.
-    fn room_for(&self, busy: &mut InFlightGuard, body: usize) -> Result<(), Refusal> {
-        let full = self.with_link(|l, now| {
+    /// Checks whether the link has capacity for a request, and reserves memory for it. An error
+    /// means that another instance may have more capacity.
+    fn reserve_capacity(&self, in_flight: &mut InFlightGuard, body: usize) -> Result<(), Refusal> {
+        let saturated = self.with_link(|l, now| {
             l.record_request_received(now, body);
             l.is_saturated_for(now, body)
         });
-        let why = if full {
-            "this instance's link is full"
-        } else if !busy.reserve_memory(body) {
-            "this instance's memory is full"
+        let why = if saturated {
+            "the network link of this instance is saturated"
+        } else if !in_flight.reserve_memory(body) {
+            "this instance has no memory left for more requests"
         } else {
             return Ok(());
         };
@@ -164,30 +175,34 @@
     fn route<'a>(
         &self,
         active: &'a Active,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         head: &request::Parts,
     ) -> Result<&'a Route, Refusal> {
         let path = head.uri.path();
-        active.routing.route(&ask.host, path).ok_or_else(|| {
+        active.routing.route(&info.host, path).ok_or_else(|| {
             let version = active.routing.version;
-            let message = format!("no route for {}{path} in version {version}", ask.host);
+            let message = format!(
+                "no route for {}{path} in configuration version {version}",
+                info.host
+            );
             Refusal::new(Kind::NotFound, message)
         })
     }
 
-    /// Returns the customer that holds the request's key; none where no key is wanted.
+    /// Returns the customer that has the request's API key; none if the route requires no key.
     fn customer(
         &self,
         active: &Active,
-        ask: &RequestInfo,
+        info: &RequestInfo,
         route: &Route,
     ) -> Result<Option<String>, Refusal> {
         if route.public || active.routing.accounts.is_empty() {
             return Ok(None);
         }
-        let key = ask.api_key.as_deref().unwrap_or_default();
+        let key = info.api_key.as_deref().unwrap_or_default();
         let unknown = |version: u64| {
-            let message = format!("the key belongs to no customer in version {version}");
+            let message =
+                format!("the API key belongs to no customer in configuration version {version}");
             Refusal::new(Kind::UnknownKey, message)
         };
         if let Some(version) = self.config.revoked_by(key) {
@@ -199,86 +214,86 @@
             .ok_or_else(|| unknown(active.routing.version))
     }
 
-    /// Reads the whole body: it may have to be sent twice.
-    async fn body(
+    /// Reads the complete body, because it may have to be sent more than once.
+    async fn read_body(
         &self,
         active: &Active,
         head: &request::Parts,
         body: Incoming,
         deadline: u64,
     ) -> Result<Bytes, Refusal> {
-        let most = active.routing.limits.body_bytes;
+        let max_bytes = active.routing.limits.body_bytes;
         let too_large = || {
-            let message = format!("a body has at most {most} bytes");
+            let message = format!("the request body exceeds {max_bytes} bytes");
             Refusal::new(Kind::TooLarge, message)
         };
-        let named = head.headers.get(CONTENT_LENGTH);
-        let named = named.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
-        if named.is_some_and(|n| n > most) {
+        let length = head.headers.get(CONTENT_LENGTH);
+        let length = length.and_then(|v| v.to_str().ok()?.parse::<usize>().ok());
+        if length.is_some_and(|n| n > max_bytes) {
             return Err(too_large());
         }
-        let limited = Limited::new(body, most);
+        let limited = Limited::new(body, max_bytes);
         match timeout_at(self.clock.at(deadline), limited.collect()).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(e)) if e.is::<LengthLimitError>() => Err(too_large()),
             Ok(Err(e)) => {
-                let message = format!("the body broke off: {e}");
+                let message = format!("failed to read the request body: {e}");
                 Err(Refusal::new(Kind::BadRequest, message))
             }
             Err(_) => {
-                let message = "the body did not come in time";
+                let message = "the request body was not received before the deadline";
                 Err(Refusal::new(Kind::BadRequest, message))
             }
         }
     }
 
-    /// Reserves the most that a request can cost.
+    /// Reserves the maximum number of tokens that a request can cost.
     async fn charge(
         &self,
         active: &Active,
-        job: &RequestContext,
+        ctx: &RequestContext,
     ) -> Result<Option<Charge>, Refusal> {
-        let tokens = job.info.max_tokens();
-        let Some(customer) = &job.customer else {
+        let tokens = ctx.info.max_tokens();
+        let Some(customer) = &ctx.customer else {
             return Ok(None);
         };
         if tokens == 0 || active.routing.prepaid(customer).is_none() {
             return Ok(None);
         }
-        let began = self.clock.now();
-        let until = self.clock.at(job.deadline);
+        let began_at = self.clock.now();
+        let until = self.clock.at(ctx.deadline);
         let reserved = self.bank.reserve(customer, tokens, until).await;
-        let waited = self.clock.now() - began;
+        let waited_ms = self.clock.now() - began_at;
         self.metrics
             .token_wait_seconds
-            .observe(waited as f64 / 1000.0);
-        let short = match reserved {
+            .observe(waited_ms as f64 / 1000.0);
+        let error = match reserved {
             Ok(charge) => return Ok(Some(charge)),
-            Err(short) => short,
+            Err(error) => error,
         };
-        let (kind, why, back_ms) = match short {
+        let (kind, why, retry_ms) = match error {
             ReserveError::Exhausted => (Kind::BudgetExhausted, "the budget does not cover", None),
             ReserveError::OutOfReach { free } => {
-                let back_ms = if free { RETRY_FREE_MS } else { RETRY_TOKENS_MS };
-                (
-                    Kind::BudgetOutOfReach,
-                    "no tokens in reach for",
-                    Some(back_ms),
-                )
+                let retry_ms = if free {
+                    RETRY_FREE_TOKENS_MS
+                } else {
+                    RETRY_NO_TOKENS_MS
+                };
+                (Kind::BudgetOutOfReach, "could not obtain", Some(retry_ms))
             }
         };
-        let message = format!("{why} {tokens} tokens of {customer}, waited_ms={waited}");
+        let message = format!("{why} {tokens} tokens of {customer}, waited_ms={waited_ms}");
         let refusal = Refusal::new(kind, message);
-        Err(match back_ms {
-            Some(back_ms) => refusal.retry_within(back_ms, job.remaining_ms()),
+        Err(match retry_ms {
+            Some(retry_ms) => refusal.retry_within(retry_ms, ctx.remaining_ms()),
             None => refusal,
         })
     }
 }
 
-/// Returns what a request is, by what its caller sent.
+/// Returns the digest that identifies a request by its customer, method, host, target and body.
 fn digest(
-    ask: &RequestInfo,
+    info: &RequestInfo,
     customer: Option<&str>,
     head: &request::Parts,
     body: &Bytes,
@@ -287,7 +302,7 @@
     Digest::of([
         customer.unwrap_or_default().as_bytes(),
         head.method.as_str().as_bytes(),
-        ask.host.as_bytes(),
+        info.host.as_bytes(),
         target.as_bytes(),
         body,
     ])
--- a/crates/proxy/src/refusal.rs
+++ b/crates/proxy/src/refusal.rs
@@ -1,21 +1,21 @@
-//! A request that fails here, with what its caller is told.
+//! Errors of requests that fail at this instance.
 
 use err::{Error, Kind, Ran};
 
-/// Callers come back within this part of the time that they have left.
-const BACK_WITHIN: u64 = 3;
+/// A caller is told to retry within its remaining time divided by this.
+const REMAINING_TIME_DIVISOR: u64 = 3;
 
-/// A request that fails here.
+/// The error of a request that fails at this instance.
 #[derive(Clone, Debug)]
 pub struct Refusal {
     /// The error.
     pub error: Error,
-    /// Milliseconds after which coming back makes sense.
+    /// Milliseconds after which a retry makes sense.
     pub retry_ms: Option<u64>,
 }
 
 impl Refusal {
-    /// Makes a refusal without a time to come back.
+    /// Creates a refusal without a retry time.
     pub fn new(kind: Kind, message: impl Into<String>) -> Refusal {
         Refusal {
             error: Error::new(kind, message),
@@ -23,19 +23,20 @@
         }
     }
 
-    /// Says when to come back: within the time that the caller has left, or not at all.
-    pub fn retry_within(mut self, retry_ms: u64, left_ms: u64) -> Refusal {
-        self.retry_ms = Some(retry_ms.min(left_ms / BACK_WITHIN));
+    /// Sets the retry time, limited to a part of the time that the caller still waits.
+    pub fn retry_within(mut self, retry_ms: u64, remaining_ms: u64) -> Refusal {
+        self.retry_ms = Some(retry_ms.min(remaining_ms / REMAINING_TIME_DIVISOR));
         self
     }
 
-    /// Says when to come back, also where the caller does not wait for so long: coming sooner would be for nothing.
+    /// Sets the retry time even if the caller does not wait that long, because an earlier retry
+    /// would be refused again.
     pub fn retry_after(mut self, retry_ms: u64) -> Refusal {
         self.retry_ms = Some(retry_ms.max(1));
         self
     }
 
-    /// Says what is known of the request's run.
+    /// Sets whether the request may have run at an upstream.
     pub fn ran(mut self, ran: Ran) -> Refusal {
         self.error.ran = ran;
         self
--- a/crates/proxy/src/request_context.rs
+++ b/crates/proxy/src/request_context.rs
@@ -1,4 +1,4 @@
-//! One request on its way through the filters.
+//! A request that is being processed.
 
 use std::sync::Arc;
 
@@ -14,61 +14,68 @@
 use crate::request_info::RequestInfo;
 use crate::router::Router;
 
-/// Counts one request under way, until it is dropped.
+/// Counts a request as in flight, and holds the memory reserved for it, until dropped.
 pub(crate) struct InFlightGuard {
     router: Arc<Router>,
-    /// Memory that it took, in bytes.
-    room: usize,
+    reserved_bytes: usize,
 }
 
 impl InFlightGuard {
-    /// Begins to count a request.
+    /// Starts counting a request.
     pub(crate) fn new(router: &Arc<Router>) -> InFlightGuard {
         router.in_flight.send_modify(|n| *n += 1);
         router.metrics.inflight.inc();
         InFlightGuard {
             router: Arc::clone(router),
-            room: 0,
+            reserved_bytes: 0,
         }
     }
 
-    /// Takes the memory for the request; returns whether it fits.
+    /// Reserves memory for a request with a body of `body` bytes; returns whether there was enough.
     pub(crate) fn reserve_memory(&mut self, body: usize) -> bool {
-        let mut room = self.router.request_memory.lock().expect("no panic inside");
-        let taken = room.reserve(body);
-        self.room = taken.unwrap_or_default();
-        taken.is_some()
+        let mut memory = self
+            .router
+            .request_memory
+            .lock()
+            .expect("lock not poisoned");
+        let reserved = memory.reserve(body);
+        self.reserved_bytes = reserved.unwrap_or_default();
+        reserved.is_some()
     }
 }
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        let mut room = self.router.request_memory.lock().expect("no panic inside");
-        room.release(self.room);
-        drop(room);
+        let mut memory = self
+            .router
+            .request_memory
+            .lock()
+            .expect("lock not poisoned");
+        memory.release(self.reserved_bytes);
+        drop(memory);
         self.router.in_flight.send_modify(|n| *n -= 1);
         self.router.metrics.inflight.dec();
     }
 }
 
-/// What was expected of an upstream, and what came.
+/// Expected and measured times of the last attempt, for the log.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct AttemptTiming {
-    /// Tokens of the prompt that it would have to read.
+    /// Estimated number of prompt tokens that are not in the upstream's prefix cache.
     pub(crate) uncached_tokens: u32,
-    /// When its answer or first event was expected, in milliseconds after the sending.
+    /// Expected time from sending to the response or its first event, in milliseconds.
     pub(crate) expected_ms: f64,
-    /// When it was sent, in milliseconds after the request's arrival.
+    /// Time from the request's arrival to sending, in milliseconds.
     pub(crate) sent_ms: u64,
-    /// When that came, in milliseconds after the request's arrival.
+    /// Time from the request's arrival to the response or its first event, in milliseconds.
     pub(crate) first_output_ms: u64,
 }
 
-/// One request on its way through the filters.
+/// A request that is being processed.
 pub(crate) struct RequestContext {
     pub(crate) router: Arc<Router>,
     pub(crate) info: RequestInfo,
-    /// What the request is, whatever its id: its caller may send it again.
+    /// Identifies the request by its content, since the caller may send it again with another id.
     pub(crate) digest: Digest,
     pub(crate) head: request::Parts,
     pub(crate) body: Bytes,
@@ -76,20 +83,19 @@
     pub(crate) service: String,
     pub(crate) service_settings: Service,
     pub(crate) customer: Option<String>,
-    /// Regions whose upstreams it may reach; empty where it may reach all.
+    /// Regions whose upstreams may serve the request; empty if all may.
     pub(crate) regions: Vec<String>,
-    /// When it came, in milliseconds.
+    /// When the request arrived, in milliseconds.
     pub(crate) arrived_at: u64,
-    /// When its answer is no longer wanted, in milliseconds.
+    /// When the response is no longer wanted, in milliseconds.
     pub(crate) deadline: u64,
-    /// Upstreams that were tried.
+    /// Upstreams that were tried already.
     pub(crate) tried: SmallVec<[UpstreamKey; 4]>,
-    /// How often it was sent.
+    /// How many times the request was sent.
     pub(crate) attempts: u32,
     pub(crate) charge: Option<Charge>,
-    /// Whether something of an upstream's answer came, or may have been on its way.
+    /// Whether an upstream sent a part of a response, or may have sent one that was lost.
     pub(crate) may_have_response: bool,
-    /// What was expected of the last upstream, for the log.
     pub(crate) timing: AttemptTiming,
     pub(crate) _in_flight: InFlightGuard,
 }
@@ -100,26 +106,27 @@
         self.deadline.saturating_sub(self.router.clock.now())
     }
 
-    /// Returns whether it may run more than once.
+    /// Returns whether the request may run more than once.
     pub(crate) fn is_retryable(&self) -> bool {
         self.route.repeat != Repeat::Never
     }
 
-    /// Returns whether it may be sent once more, and takes a repetition for that.
+    /// Returns whether the request may be sent once more; if so, takes a retry from the service's
+    /// retry budget.
     pub(crate) fn try_acquire_retry(&self) -> bool {
         if self.attempts >= self.route.attempts || self.remaining_ms() == 0 {
             return false;
         }
-        // One that ends upstreams must not take the next one with it in the same try.
+        // A request that crashes upstreams must not crash another one within the same call.
         if !self.router.suspects.may_repeat(self.digest) {
             return false;
         }
-        let (now, sharers) = (self.router.clock.now(), self.router.fleet.sharers());
-        let mut retries = self.router.retry_budget.lock().expect("no panic inside");
-        retries.try_acquire(now, &self.service, sharers)
+        let (now, instances) = (self.router.clock.now(), self.router.fleet.sharers());
+        let mut retries = self.router.retry_budget.lock().expect("lock not poisoned");
+        retries.try_acquire(now, &self.service, instances)
     }
 
-    /// Counts tokens of the answer that go to the caller.
+    /// Counts response tokens that are sent to the caller.
     pub(crate) fn record_delivered_tokens(&mut self, tokens: u64) {
         if let Some(charge) = &mut self.charge {
             charge.delivered(tokens);
@@ -127,16 +134,16 @@
         self.router.metrics.delivered_tokens.inc_by(tokens);
     }
 
-    /// Notes that the answer or the first event has come.
+    /// Records that the response, or its first event, was received.
     pub(crate) fn record_first_output(&mut self) {
-        let took = self.router.clock.now() - self.arrived_at;
-        self.timing.first_output_ms = took;
+        let elapsed_ms = self.router.clock.now() - self.arrived_at;
+        self.timing.first_output_ms = elapsed_ms;
         self.router
             .metrics
-            .observe_first_output(&self.route.name, took);
+            .observe_first_output(&self.route.name, elapsed_ms);
     }
 
-    /// Logs how it ended.
+    /// Counts and logs the end of the request.
     pub(crate) fn record_end(&self, code: &str, upstream: &str) {
         self.router.metrics.count_request(&self.route.name, code);
         let detail = format_args!(
--- a/crates/proxy/src/request_info.rs
+++ b/crates/proxy/src/request_info.rs
@@ -1,45 +1,45 @@
-//! What a request asks for, in the product's terms.
+//! What a request asks for, independent of the wire format.
 
 use place::PromptSegment;
 use smallvec::SmallVec;
 
-/// A request, as a dialect reads it from its head.
+/// The content of a request's head, as parsed by a dialect.
 #[derive(Clone, Debug, Default)]
 pub struct RequestInfo {
-    /// The request's id: an upstream's answer must bear it.
+    /// Id of the request; the response of an upstream must have the same id.
     pub id: String,
-    /// The caller's key.
+    /// The caller's API key.
     pub api_key: Option<String>,
-    /// The host that it is for.
+    /// The host to which the request is addressed.
     pub host: String,
-    /// How long its caller waits, in milliseconds.
+    /// How long the caller waits, in milliseconds.
     pub timeout_ms: Option<u64>,
-    /// Tokens of its prompt; 0 for a plain call.
+    /// Number of tokens in the prompt; 0 for a plain call.
     pub prompt_tokens: u32,
-    /// The most tokens that its answer may have.
+    /// Maximum number of tokens in the response.
     pub max_response_tokens: u32,
-    /// The parts of its prompt, in order; the last one is its own.
+    /// Segments of the prompt, in order; no other request shares the last one.
     pub prompt_segments: SmallVec<[PromptSegment; 4]>,
-    /// The last event that its caller has of this stream.
+    /// Id of the last event of the stream that the caller has received.
     pub last_event_id: Option<u64>,
 }
 
 impl RequestInfo {
-    /// Returns the most tokens that it can cost.
+    /// Returns the maximum number of tokens that the request can cost.
     pub fn max_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.max_response_tokens)
     }
 }
 
-/// What one attempt tells its upstream besides the caller's own words.
+/// What the router tells the upstream in one attempt, in addition to the caller's request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptContext<'a> {
-    /// The upstream that is meant; another one at its address must refuse.
+    /// The intended upstream; another one at the same address must refuse the request.
     pub upstream: &'a str,
-    /// The customer; none on routes that need no key.
+    /// The customer; none on routes that require no key.
     pub customer: Option<&'a str>,
-    /// How long the answer is wanted, in milliseconds.
+    /// Time until the response is no longer wanted, in milliseconds.
     pub remaining_ms: u64,
-    /// The last event that the caller has.
+    /// Id of the last event that the caller has received.
     pub last_event_id: Option<u64>,
 }
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -1,4 +1,4 @@
-//! What the filters that a request passes work with.
+//! The state that requests share.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 use crate::suspects::Suspects;
 use crate::tell::Others;
 
-/// What the filters work with.
+/// The state that the stages of request processing share.
 pub(crate) struct Router {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) clock: Clock,
@@ -40,45 +40,47 @@
     pub(crate) reach: Arc<Reach>,
     pub(crate) zone: String,
     pub(crate) stopping: AtomicBool,
-    /// A planned stop is so near that a new request could not end before it.
+    /// Whether new requests are refused, because they could not end before a planned stop does.
     pub(crate) refusing: AtomicBool,
-    /// Requests under way.
+    /// Number of requests in flight.
     pub(crate) in_flight: watch::Sender<u64>,
 }
 
 impl Router {
-    /// Returns whether new connections are wanted.
+    /// Returns whether load balancers should send new connections to this instance.
     pub(crate) fn is_ready(&self) -> bool {
-        let knows = self.config.get().is_some() && self.listing.is_known();
-        knows && !self.is_stopping() && !self.is_link_congested()
+        let is_loaded = self.config.get().is_some() && self.listing.is_known();
+        is_loaded && !self.is_stopping() && !self.is_link_congested()
     }
 
-    /// Returns whether the own link is full, or was a moment ago.
+    /// Returns whether this instance's network link is congested, or was a moment ago.
     pub(crate) fn is_link_congested(&self) -> bool {
         self.with_link(|l, now| l.is_congested(now))
     }
 
-    /// Looks at the own link, or counts what goes over it.
+    /// Reads or updates the state of this instance's network link, and logs when its congestion has
+    /// changed.
     pub(crate) fn with_link<T>(&self, f: impl FnOnce(&mut Link, u64) -> T) -> T {
         let now = self.clock.now();
-        let mut link = self.link.lock().expect("no panic inside");
-        let seen = f(&mut link, now);
-        let turned = link
+        let mut link = self.link.lock().expect("lock not poisoned");
+        let result = f(&mut link, now);
+        let change = link
             .take_congestion_change(now)
-            .map(|full| (full, link.outbound_delay_ms(now)));
+            .map(|congested| (congested, link.outbound_delay_ms(now)));
         drop(link);
-        if let Some((full, waits_ms)) = turned {
-            let event = if full {
+        if let Some((congested, delay_ms)) = change {
+            let event = if congested {
                 Event::LinkCongested
             } else {
                 Event::LinkRecovered
             };
-            let detail = format_args!("outward_ms={waits_ms:.0}");
+            let detail = format_args!("outward_ms={delay_ms:.0}");
             self.log.event(event, detail);
         }
-        seen
+        result
     }
 
+    /// Returns whether a planned stop has begun.
     pub(crate) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -1,5 +1,6 @@
-//! Streams of events: each passed on as it comes, whole, in order, once; one that breaks off is taken up
-//! again at another upstream where that is allowed, and is otherwise broken off to the caller too.
+//! Event streams. Each event is forwarded as it is received: completely, in order and once. A
+//! stream that is aborted by its upstream is resumed at another one if that is allowed; otherwise
+//! the response to the caller is aborted too.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -20,282 +21,296 @@
 use crate::request_context::RequestContext;
 use crate::sse::{SseEvent, SseParser};
 
-/// Events that may wait for a slow caller.
-const EVENTS_DEPTH: usize = 16;
+/// Maximum number of events that are queued for a slow caller.
+const MAX_QUEUED_EVENTS: usize = 16;
 
-/// A stream at one upstream.
-struct Link {
-    slot: AttemptGuard,
+/// The stream from one upstream.
+struct UpstreamStream {
+    guard: AttemptGuard,
     conn: dial::Conn,
     body: Incoming,
-    reading: ResponseInfo,
-    events: SseParser,
+    info: ResponseInfo,
+    parser: SseParser,
 }
 
-/// What a stream brings next.
+/// What a stream yields next.
 enum Next {
     Event(SseEvent),
-    /// It is whole.
+    /// The stream is complete.
     End,
-    Broken(String),
+    Aborted(String),
 }
 
-impl Link {
-    /// Takes over an answer whose head was read; returns the head besides.
-    fn over(open: OpenResponse) -> (Link, response::Parts) {
-        let link = Link {
-            slot: open.guard,
+impl UpstreamStream {
+    /// Creates a stream from a response; also returns the response's head.
+    fn new(open: OpenResponse) -> (UpstreamStream, response::Parts) {
+        let stream = UpstreamStream {
+            guard: open.guard,
             conn: open.conn,
             body: open.body,
-            reading: open.info,
-            events: SseParser::default(),
+            info: open.info,
+            parser: SseParser::default(),
         };
-        (link, open.head)
+        (stream, open.head)
     }
 
     fn upstream(&self) -> &str {
-        &self.slot.choice.spec.id
+        &self.guard.choice.spec.id
     }
 
     async fn next(&mut self) -> Next {
         loop {
-            if let Some(event) = self.events.next_event() {
+            if let Some(event) = self.parser.next_event() {
                 return Next::Event(event);
             }
             match self.body.frame().await {
-                None if self.events.is_at_event_boundary() => return Next::End,
-                None => return Next::Broken("it ends within an event".to_string()),
-                Some(Err(e)) => return Next::Broken(e.to_string()),
+                None if self.parser.is_at_event_boundary() => return Next::End,
+                None => return Next::Aborted("the stream ended within an event".to_string()),
+                Some(Err(e)) => return Next::Aborted(e.to_string()),
                 Some(Ok(frame)) => {
-                    let fits = frame.data_ref().is_none_or(|d| self.events.push(d));
+                    let fits = frame.data_ref().is_none_or(|d| self.parser.push(d));
                     if !fits {
-                        return Next::Broken("an event is too large".to_string());
+                        return Next::Aborted("an event exceeds the maximum size".to_string());
                     }
                 }
             }
         }
     }
 
-    fn end(self, job: &RequestContext) {
-        self.slot.end(Outcome::Success);
-        job.router.dialer.keep(self.conn, self.reading.keep_alive);
+    /// Records the success of the attempt, and keeps the connection for later requests.
+    fn finish(self, ctx: &RequestContext) {
+        self.guard.end(Outcome::Success);
+        ctx.router.dialer.keep(self.conn, self.info.keep_alive);
     }
 }
 
-/// A stream whose first event has come, or that ended without any.
+/// The response to a request for a stream.
 enum Begun {
+    /// A stream with its first event; none if the stream ended without any.
     Stream {
-        link: Link,
+        stream: UpstreamStream,
         head: response::Parts,
         first: Option<SseEvent>,
     },
-    Whole(Response<ResponseBody>),
+    /// The upstream responded with something other than a stream.
+    NotStream(Response<ResponseBody>),
 }
 
-/// Answers a request whose answer is a stream.
+/// Responds to a request whose response is a stream.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
-pub(crate) async fn respond(mut job: RequestContext) -> Result<Response<ResponseBody>, Refusal> {
-    let mut attempts = AttemptHistory::new();
-    let (link, head, first) = loop {
-        let failed = match begin(&mut job).await {
-            Ok(Begun::Whole(res)) => return Ok(res),
-            Ok(Begun::Stream { link, head, first }) => break (link, head, first),
-            Err(failed) => failed,
+/// Returns why there is no response.
+pub(crate) async fn respond(mut ctx: RequestContext) -> Result<Response<ResponseBody>, Refusal> {
+    let mut history = AttemptHistory::new();
+    let (stream, head, first) = loop {
+        let error = match begin(&mut ctx).await {
+            Ok(Begun::NotStream(res)) => return Ok(res),
+            Ok(Begun::Stream {
+                stream,
+                head,
+                first,
+            }) => break (stream, head, first),
+            Err(error) => error,
         };
-        if !attempts.try_retry(&job, &failed) {
-            return Err(attempts.refusal(&job, failed));
+        if !history.try_retry(&ctx, &error) {
+            return Err(history.refusal(&ctx, error));
         }
     };
-    job.record_first_output();
-    let (tx, rx) = mpsc::channel(EVENTS_DEPTH);
+    ctx.record_first_output();
+    let (tx, rx) = mpsc::channel(MAX_QUEUED_EVENTS);
     let mut res = Response::new(ResponseBody::Streamed(rx));
     *res.status_mut() = head.status;
-    *res.headers_mut() = job.router.dialect.response_headers(&head);
-    let relay = Relay {
-        last: job.info.last_event_id,
-        count: 0,
-        job,
+    *res.headers_mut() = ctx.router.dialect.response_headers(&head);
+    let forwarder = Forwarder {
+        last_event_id: ctx.info.last_event_id,
+        event_count: 0,
+        ctx,
         tx,
     };
-    tokio::spawn(relay.run(link, first));
+    tokio::spawn(forwarder.run(stream, first));
     Ok(res)
 }
 
 /// Sends the request and waits for the first event.
-async fn begin(job: &mut RequestContext) -> Result<Begun, AttemptError> {
-    let after_event = job.info.last_event_id;
-    let open = attempt(job, after_event).await?;
-    let media = open.head.headers.get(CONTENT_TYPE);
-    let media = media.and_then(|v| v.to_str().ok()).unwrap_or_default();
-    let streams = open.head.status.is_success() && media.starts_with("text/event-stream");
-    if !streams {
-        let whole = buffered::read_response(job, open).await;
-        return whole.map(Begun::Whole).map_err(AttemptError::Unknown);
+async fn begin(ctx: &mut RequestContext) -> Result<Begun, AttemptError> {
+    let last_event_id = ctx.info.last_event_id;
+    let open = attempt(ctx, last_event_id).await?;
+    let content_type = open.head.headers.get(CONTENT_TYPE);
+    let content_type = content_type
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or_default();
+    let is_stream = open.head.status.is_success() && content_type.starts_with("text/event-stream");
+    if !is_stream {
+        let res = buffered::read_response(ctx, open).await;
+        return res.map(Begun::NotStream).map_err(AttemptError::Unknown);
     }
-    let (mut link, head) = Link::over(open);
-    let until = job.router.clock.at(job.deadline);
-    let next = timeout_at(until, link.next()).await;
-    let upstream = link.upstream().to_string();
+    let (mut stream, head) = UpstreamStream::new(open);
+    let until = ctx.router.clock.at(ctx.deadline);
+    let next = timeout_at(until, stream.next()).await;
+    let upstream = stream.upstream().to_string();
     match next {
         Ok(Next::Event(event)) => {
-            link.slot.record_latency();
+            stream.guard.record_latency();
             Ok(Begun::Stream {
-                link,
+                stream,
                 head,
                 first: Some(event),
             })
         }
         Ok(Next::End) => Ok(Begun::Stream {
-            link,
+            stream,
             head,
             first: None,
         }),
-        Ok(Next::Broken(why)) => {
-            link.slot.end(Outcome::InvalidResponse);
+        Ok(Next::Aborted(why)) => {
+            stream.guard.end(Outcome::InvalidResponse);
             Err(AttemptError::Unknown(format!("upstream={upstream} {why}")))
         }
         Err(_) => {
-            link.slot.end(Outcome::Unresponsive);
-            let why = format!("upstream={upstream} no event in time");
+            stream.guard.end(Outcome::Unresponsive);
+            let why = format!("upstream={upstream} no event before the deadline");
             Err(AttemptError::Unknown(why))
         }
     }
 }
 
-/// How a relay over one link ended.
+/// How forwarding a stream from one upstream ended.
 enum End {
-    Whole,
-    CallerLeft,
-    Late,
-    Broken(String),
+    Complete,
+    CallerDisconnected,
+    DeadlinePassed,
+    Aborted(String),
 }
 
-/// The caller's side of a stream.
-struct Relay {
-    job: RequestContext,
+/// Forwards a stream to its caller.
+struct Forwarder {
+    ctx: RequestContext,
     tx: mpsc::Sender<Result<Bytes, ResponseAborted>>,
-    /// The last event that the caller has.
-    last: Option<u64>,
-    /// Events passed on.
-    count: u64,
+    /// Id of the last event that was forwarded, or that the caller already had.
+    last_event_id: Option<u64>,
+    /// Number of events forwarded.
+    event_count: u64,
 }
 
-impl Relay {
-    async fn run(mut self, mut link: Link, mut first: Option<SseEvent>) {
+impl Forwarder {
+    /// Forwards the stream to its end, resuming it at other upstreams if necessary and allowed.
+    async fn run(mut self, mut stream: UpstreamStream, mut first: Option<SseEvent>) {
         loop {
-            let end = self.relay(&mut link, first.take()).await;
-            let upstream = link.upstream().to_string();
+            let end = self.forward_events(&mut stream, first.take()).await;
+            let upstream = stream.upstream().to_string();
             let why = match end {
-                End::Whole => {
-                    link.end(&self.job);
-                    self.job.record_end("ok", &upstream);
+                End::Complete => {
+                    stream.finish(&self.ctx);
+                    self.ctx.record_end("ok", &upstream);
                     return;
                 }
-                End::CallerLeft => {
-                    let detail = format_args!("upstream={upstream} events={}", self.count);
-                    let log = &self.job.router.log;
-                    log.request_event(Event::CallerDisconnected, &self.job.info.id, detail);
+                End::CallerDisconnected => {
+                    let detail = format_args!("upstream={upstream} events={}", self.event_count);
+                    let log = &self.ctx.router.log;
+                    log.request_event(Event::CallerDisconnected, &self.ctx.info.id, detail);
                     return;
                 }
-                End::Late => return self.cut("deadline").await,
-                End::Broken(why) => why,
+                End::DeadlinePassed => return self.abort("deadline").await,
+                End::Aborted(why) => why,
             };
-            link.slot.end(Outcome::InvalidResponse);
-            // The connection is closed here, before another upstream goes on.
-            drop(link.conn);
-            link = match self.resume(&why).await {
-                Ok(link) => link,
-                Err(why) => return self.cut(&why).await,
+            stream.guard.end(Outcome::InvalidResponse);
+            // The connection is closed before the stream is resumed at another upstream.
+            drop(stream.conn);
+            stream = match self.resume(&why).await {
+                Ok(stream) => stream,
+                Err(why) => return self.abort(&why).await,
             };
         }
     }
 
-    async fn relay(&mut self, link: &mut Link, first: Option<SseEvent>) -> End {
+    async fn forward_events(
+        &mut self,
+        stream: &mut UpstreamStream,
+        first: Option<SseEvent>,
+    ) -> End {
         if let Some(event) = first {
-            if let Some(end) = self.pass(event).await {
+            if let Some(end) = self.forward_event(event).await {
                 return end;
             }
         }
-        let until = self.job.router.clock.at(self.job.deadline);
+        let until = self.ctx.router.clock.at(self.ctx.deadline);
         loop {
             let next = tokio::select! {
-                next = timeout_at(until, link.next()) => next,
-                () = self.tx.closed() => return End::CallerLeft,
+                next = timeout_at(until, stream.next()) => next,
+                () = self.tx.closed() => return End::CallerDisconnected,
             };
             let event = match next {
                 Ok(Next::Event(event)) => event,
-                Ok(Next::End) => return End::Whole,
-                Ok(Next::Broken(why)) => return End::Broken(why),
-                Err(_) => return End::Late,
+                Ok(Next::End) => return End::Complete,
+                Ok(Next::Aborted(why)) => return End::Aborted(why),
+                Err(_) => return End::DeadlinePassed,
             };
-            if let Some(end) = self.pass(event).await {
+            if let Some(end) = self.forward_event(event).await {
                 return end;
             }
         }
     }
 
-    /// Passes an event on, unless the caller has it.
-    async fn pass(&mut self, event: SseEvent) -> Option<End> {
-        if let (Some(id), Some(last)) = (event.id, self.last) {
+    /// Forwards an event, unless the caller has it already.
+    async fn forward_event(&mut self, event: SseEvent) -> Option<End> {
+        if let (Some(id), Some(last)) = (event.id, self.last_event_id) {
             if id <= last {
                 return None;
             }
-            if id > last + 1 && self.count > 0 {
-                return Some(End::Broken(format!("event {id} came after {last}")));
+            if id > last + 1 && self.event_count > 0 {
+                return Some(End::Aborted(format!("event {id} received after {last}")));
             }
         }
-        self.last = event.id.or(self.last);
-        self.count += 1;
-        let tokens = self.job.service_settings.tokens_per_event;
-        self.job.record_delivered_tokens(tokens);
+        self.last_event_id = event.id.or(self.last_event_id);
+        self.event_count += 1;
+        let tokens = self.ctx.service_settings.tokens_per_event;
+        self.ctx.record_delivered_tokens(tokens);
         let bytes = event.bytes.len();
-        self.job
+        self.ctx
             .router
             .with_link(|l, now| l.record_response(now, bytes));
         let sent = self.tx.send(Ok(event.bytes)).await;
-        sent.is_err().then_some(End::CallerLeft)
+        sent.is_err().then_some(End::CallerDisconnected)
     }
 
-    /// Goes on at another upstream after the last event that the caller has.
-    async fn resume(&mut self, why: &str) -> Result<Link, String> {
-        let resumable = self.job.is_retryable() && self.last.is_some();
-        if !resumable || !self.job.try_acquire_retry() {
+    /// Resumes the stream at another upstream, after the last event that was forwarded.
+    async fn resume(&mut self, why: &str) -> Result<UpstreamStream, String> {
+        let resumable = self.ctx.is_retryable() && self.last_event_id.is_some();
+        if !resumable || !self.ctx.try_acquire_retry() {
             return Err(why.to_string());
         }
-        let open = attempt(&mut self.job, self.last).await;
-        let open = open.map_err(|failed| format!("{why}; then {failed:?}"))?;
-        let streams = open.head.status.is_success();
-        if !streams {
+        let open = attempt(&mut self.ctx, self.last_event_id).await;
+        let open = open.map_err(|error| format!("{why}; then {error:?}"))?;
+        let is_success = open.head.status.is_success();
+        if !is_success {
             let status = open.head.status;
             open.guard.end(Outcome::ErrorResponse);
             return Err(format!("{why}; then status {status}"));
         }
         let detail = format_args!(
             "after={:?} upstream={} request={} why={why}",
-            self.last, open.guard.choice.spec.id, self.job.digest
+            self.last_event_id, open.guard.choice.spec.id, self.ctx.digest
         );
-        let log = &self.job.router.log;
-        log.request_event(Event::StreamResumed, &self.job.info.id, detail);
-        let (link, _) = Link::over(open);
-        Ok(link)
+        let log = &self.ctx.router.log;
+        log.request_event(Event::StreamResumed, &self.ctx.info.id, detail);
+        let (stream, _) = UpstreamStream::new(open);
+        Ok(stream)
     }
 
-    /// Breaks the answer off, so that it can't look whole.
-    async fn cut(self, why: &str) {
-        let log = &self.job.router.log;
+    /// Aborts the response, so that the caller can't take it for a complete one.
+    async fn abort(self, why: &str) {
+        let log = &self.ctx.router.log;
         let detail = format!(
             "events={} request={} why={why}",
-            self.count, self.job.digest
+            self.event_count, self.ctx.digest
         );
-        log.request_event(Event::ResponseAborted, &self.job.info.id, detail);
-        self.job
+        log.request_event(Event::ResponseAborted, &self.ctx.info.id, detail);
+        self.ctx
             .router
             .metrics
-            .count_request(&self.job.route.name, "cut");
-        // A caller that left needs no end.
+            .count_request(&self.ctx.route.name, "cut");
+        // Fails if the caller has disconnected.
         let _ = self.tx.send(Err(ResponseAborted)).await;
     }
 }
