--- a/crates/proxy/src/event.rs
+++ b/crates/proxy/src/event.rs
@@ -1,9 +1,9 @@
-//! Numbered log events; docs/EVENTS.md is their catalogue.
+//! Numbered log events, which docs/EVENTS.md describes.
 
 use catalogue::{row, Row};
 use tracing::Level;
 
-/// What happened.
+/// A log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// The instance listens.
@@ -92,7 +92,7 @@
     PreviousIncarnationTokens,
 }
 
-/// Every event of the proxy.
+/// All events of the proxy.
 pub const EVENTS: &[Row<Event>] = &[
     row(Event::Started, 2001, Level::INFO, "started"),
     row(Event::Stopping, 2002, Level::INFO, "stopping"),
@@ -268,7 +268,7 @@
     ///
     /// # Panics
     ///
-    /// Panics when the catalogue lacks the event; a test holds them together.
+    /// Panics if `EVENTS` has no row for the event.
     pub fn row(self) -> &'static Row<Event> {
         catalogue::find(EVENTS, self)
     }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: its start and its planned stop.
+//! A running instance: its start and its planned stop.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -39,30 +39,30 @@
 use crate::tell::Others;
 use crate::traffic::Traffic;
 
-/// Largest body that the readiness and operators' listeners take, in bytes.
-const OPS_BODY_LIMIT: usize = 1 << 16;
-/// A stopping instance keeps idle connections open for so long: balancers ask once a second, and stop
-/// sending after two answers that are not 200.
-const NOTICE: Duration = Duration::from_millis(2_300);
-/// A stopping instance goes on serving new requests for so long, or for a third of its time if that is
-/// less: those that came later could be cut off by its end.
-const SERVES_ON: Duration = Duration::from_millis(2_800);
-/// Time at the end of a stop that is left for handing back tokens and the lease.
-const LAST_WORDS: Duration = Duration::from_millis(600);
-/// The stop that settings name none for.
-const STOP_DEFAULT: Duration = Duration::from_secs(30);
-/// How often kept connections are looked through.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
-/// Listeners of operators close within this time.
-const CLOSE_GRACE: Duration = Duration::from_millis(100);
+/// Maximum size of a request body at the readiness and operators' listeners, in bytes.
+const MAX_OPS_BODY_BYTES: usize = 1 << 16;
+/// How long a stopping instance keeps idle connections open: load balancers check readiness once
+/// per second, and stop sending after two responses other than 200.
+const READINESS_NOTICE: Duration = Duration::from_millis(2_300);
+/// How long after the beginning of a stop new requests are accepted, limited to a third of the time
+/// for the stop: later ones could be cut off by the end of the process.
+const ACCEPT_PERIOD: Duration = Duration::from_millis(2_800);
+/// Time reserved at the end of a stop, for returning tokens and ending the lease.
+const CLEANUP_PERIOD: Duration = Duration::from_millis(600);
+/// Time for a stop if the settings contain none.
+const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_secs(30);
+/// Interval between checks for idle connections to close.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Time for the readiness and operators' listeners to close.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// What an instance is made of besides its settings.
+/// The settings and dependencies of an instance.
 pub struct Dependencies {
     /// The settings.
     pub settings: Settings,
     /// The store.
     pub store: Arc<dyn Store>,
-    /// What callers, upstreams and operators speak.
+    /// The formats of callers, upstreams and operators.
     pub dialect: Arc<dyn Dialect>,
 }
 
@@ -71,33 +71,35 @@
     router: Arc<Router>,
     calls: StoreCalls,
     phase: watch::Sender<Phase>,
-    stop_by: Duration,
+    stop_timeout: Duration,
     ready: web::Handle,
     ops: Option<web::Handle>,
     peer: jsonrpsee_server::ServerHandle,
 }
 
 impl Instance {
-    /// Binds the listeners and spawns the tasks.
+    /// Binds the listeners and starts the tasks.
     ///
     /// # Errors
     ///
-    /// Returns which address can't be bound, and why.
-    pub async fn spawn(parts: Dependencies) -> Result<Instance> {
+    /// Returns which listener could not be bound, and why.
+    pub async fn spawn(dependencies: Dependencies) -> Result<Instance> {
         let Dependencies {
             settings,
             store,
             dialect,
-        } = parts;
+        } = dependencies;
         let fleet_settings = settings.fleet.clone().unwrap_or_default();
         let clock = Clock::start();
         let log = Arc::new(Log::new(clock));
         let bound = peers::bind(settings.peer_listen()).await;
-        let (server, peer_addr) = bound.map_err(|e| anyhow!("peer listener: {e}"))?;
+        let (server, peer_addr) =
+            bound.map_err(|e| anyhow!("failed to bind the peer listener: {e}"))?;
         let bound = datagram::bind(peer_addr).await;
-        let socket = bound.map_err(|e| anyhow!("peer datagrams: {e}"))?;
+        let socket = bound.map_err(|e| anyhow!("failed to bind the peer datagram socket: {e}"))?;
         let bound = listen::bind(settings.listen()).await;
-        let (listener, addr) = bound.map_err(|e| anyhow!("callers' listener: {e}"))?;
+        let (listener, addr) =
+            bound.map_err(|e| anyhow!("failed to bind the callers' listener: {e}"))?;
 
         let reach = Arc::new(Reach::open(clock, Arc::clone(&log)));
         let calls = StoreCalls::new(clock, Arc::clone(&reach));
@@ -109,7 +111,7 @@
             peers: peers.clone(),
         };
         let bank = Bank::open(clock, Arc::clone(&log));
-        let pool = Arc::new(Mutex::new(pool(&fleet_settings)));
+        let pool = Arc::new(Mutex::new(new_pool(&fleet_settings)));
         let dialer = Dialer::default();
         let notices = Notices::default();
         let config = Config::open(Works {
@@ -140,7 +142,7 @@
             clock,
         );
         let me = Member {
-            id: incarnation(&settings.name),
+            id: new_incarnation(&settings.name),
             addr: peer_addr,
             zone: settings.zone.clone(),
             link_mbps: fleet_settings.link_mbps.map(|mbps| mbps as u32),
@@ -178,7 +180,7 @@
             dialer: dialer.clone(),
             request_memory: Mutex::new(RequestMemory::new(fleet_settings.memory_mb)),
             link: Mutex::new(Link::new(fleet_settings.link_mbps)),
-            retry_budget: Mutex::new(RetryBudget::new(bounds(&fleet_settings))),
+            retry_budget: Mutex::new(RetryBudget::new(retry_limits(&fleet_settings))),
             fleet: fleet.clone(),
             others: others.clone(),
             suspects: suspects.clone(),
@@ -237,19 +239,25 @@
 
         let (phase, phase_rx) = watch::channel(Phase::Serving);
         listen::serve(listener, Arc::clone(&router), phase_rx);
-        let ready_addr = fleet_settings.ready_listen.unwrap_or_else(any_loopback);
+        let ready_addr = fleet_settings
+            .ready_listen
+            .unwrap_or_else(any_loopback_port);
         let ready = web::bind(
             ready_addr,
-            OPS_BODY_LIMIT,
+            MAX_OPS_BODY_BYTES,
             Arc::new(ReadinessEndpoint(router.clone())),
         )
         .await;
-        let ready = ready.map_err(|e| anyhow!("readiness listener: {e}"))?;
+        let ready = ready.map_err(|e| anyhow!("failed to bind the readiness listener: {e}"))?;
         let ops = match fleet_settings.metrics_listen {
             Some(addr) => {
-                let ops =
-                    web::bind(addr, OPS_BODY_LIMIT, Arc::new(OpsEndpoint(router.clone()))).await;
-                Some(ops.map_err(|e| anyhow!("metrics listener: {e}"))?)
+                let ops = web::bind(
+                    addr,
+                    MAX_OPS_BODY_BYTES,
+                    Arc::new(OpsEndpoint(router.clone())),
+                )
+                .await;
+                Some(ops.map_err(|e| anyhow!("failed to bind the metrics listener: {e}"))?)
             }
             None => None,
         };
@@ -262,85 +270,89 @@
                 .map_or("-".to_string(), |o| o.addr().to_string()),
         );
         log.event(Event::Started, detail);
-        let stop_by = fleet_settings.stop_secs.map(Duration::from_secs_f64);
+        let stop_timeout = fleet_settings.stop_secs.map(Duration::from_secs_f64);
         Ok(Instance {
             router,
             calls,
             phase,
-            stop_by: stop_by.unwrap_or(STOP_DEFAULT),
+            stop_timeout: stop_timeout.unwrap_or(DEFAULT_STOP_TIMEOUT),
             ready,
             ops,
             peer,
         })
     }
 
-    /// Logs that the settings were read again.
+    /// Logs that the settings were read again; `what` tells the result.
     pub fn log_settings_reload(&self, what: &str) {
         self.router.log.event(Event::SettingsReloaded, what);
     }
 
-    /// Returns the requests under way.
+    /// Returns the number of requests in flight.
     ///
-    /// The value that the counter lends locks it: kept over a wait, it would stop the only thread at the
-    /// next request that begins or ends.
-    fn inflight(&self) -> u64 {
+    /// Borrowing the value locks the counter. If the borrow were held over an `await`, the next
+    /// request to begin or end would block its thread, which may be the only one.
+    fn in_flight(&self) -> u64 {
         *self.router.in_flight.borrow()
     }
 
-    async fn idle(&self) {
-        let mut busy = self.router.in_flight.subscribe();
-        // The sender lives in the router, so waiting can't fail.
-        let _ = busy.wait_for(|n| *n == 0).await;
+    /// Waits until no request is in flight.
+    async fn wait_idle(&self) {
+        let mut in_flight = self.router.in_flight.subscribe();
+        // The sender is owned by the router, so waiting can't fail.
+        let _ = in_flight.wait_for(|n| *n == 0).await;
     }
 
-    /// Stops as planned: says that it is not ready, ends what runs, hands back its tokens, leaves.
+    /// Performs a planned stop: reports that the instance is not ready, waits for requests in
+    /// flight, returns the tokens and ends the lease.
     ///
-    /// Returns whether nothing was cut off.
+    /// Returns whether no request was cut off.
     pub async fn stop(self) -> bool {
-        let began = Instant::now();
+        let began_at = Instant::now();
         let router = &self.router;
         router.stopping.store(true, Ordering::Relaxed);
-        let inflight = self.inflight();
+        let inflight = self.in_flight();
         router
             .log
             .event(Event::Stopping, format_args!("inflight={inflight}"));
-        sleep(NOTICE.min(self.stop_by / 2)).await;
-        // Idle connections close; there may be none.
+        sleep(READINESS_NOTICE.min(self.stop_timeout / 2)).await;
+        // Closes idle connections, if there are any.
         let _ = self.phase.send(Phase::Draining);
-        // Where too few instances are ready, balancers go on sending to this one: new requests are
-        // served until it has nothing to do, or as long as one still has the time to end.
-        let last_new = began + SERVES_ON.min(self.stop_by / 3);
-        let until = began + self.stop_by.saturating_sub(LAST_WORDS);
-        let mut whole = timeout_at(last_new, self.idle()).await.is_ok();
+        // If too few instances are ready, load balancers keep sending requests to this one. New
+        // requests are accepted until none is in flight, or as long as there is time for them to
+        // end.
+        let accept_until = began_at + ACCEPT_PERIOD.min(self.stop_timeout / 3);
+        let serve_until = began_at + self.stop_timeout.saturating_sub(CLEANUP_PERIOD);
+        let mut all_ended = timeout_at(accept_until, self.wait_idle()).await.is_ok();
         router.refusing.store(true, Ordering::Relaxed);
-        // Most tokens go while the last requests end: at the end there is little time.
+        // Returns most tokens while the last requests end, because there is little time afterwards.
         router.bank.leave().await;
-        if !whole {
-            whole = timeout_at(until, self.idle()).await.is_ok();
+        if !all_ended {
+            all_ended = timeout_at(serve_until, self.wait_idle()).await.is_ok();
         }
-        let said = timeout(LAST_WORDS / 2, router.bank.leave()).await == Ok(true);
-        // What is not ended by then ends by itself.
-        let _ = timeout(LAST_WORDS / 4, router.fleet.leave()).await;
+        let returned = timeout(CLEANUP_PERIOD / 2, router.bank.leave()).await == Ok(true);
+        // If the lease is not ended by then, it expires.
+        let _ = timeout(CLEANUP_PERIOD / 4, router.fleet.leave()).await;
         self.calls.log_totals(&router.log);
-        let detail = format_args!("cut={} handed_back={said}", self.inflight());
+        let detail = format_args!("cut={} handed_back={returned}", self.in_flight());
         router.log.event(Event::Stopped, detail);
-        self.ready.stop(CLOSE_GRACE);
+        self.ready.stop(CLOSE_TIMEOUT);
         if let Some(ops) = &self.ops {
-            ops.stop(CLOSE_GRACE);
+            ops.stop(CLOSE_TIMEOUT);
         }
-        // It may have stopped already; then there is nothing to stop.
+        // Fails if it has stopped already.
         let _ = self.peer.stop();
-        whole
+        all_ended
     }
 }
 
-/// Names this start: the time makes names sortable, the random half keeps them apart.
-fn incarnation(name: &str) -> String {
+/// Returns the name of the incarnation that starts now: the time makes names sortable, the random
+/// half makes them unique.
+fn new_incarnation(name: &str) -> String {
     let start = (wall_ms() / 1000) as u32;
     format!("{name}.{start:08x}{:08x}", rand::random::<u32>())
 }
 
-fn bounds(fleet: &conf::Fleet) -> RetryLimits {
+fn retry_limits(fleet: &conf::Fleet) -> RetryLimits {
     let default = RetryLimits::default();
     RetryLimits {
         ratio: fleet.retry_ratio.unwrap_or(default.ratio),
@@ -358,7 +370,7 @@
     }
 }
 
-fn pool(fleet: &conf::Fleet) -> Pool {
+fn new_pool(fleet: &conf::Fleet) -> Pool {
     let mut pool = Pool::default();
     pool.set_regions(fleet.zones.clone().unwrap_or_default());
     pool
@@ -367,12 +379,12 @@
 fn spawn_sweep(dialer: Dialer) {
     tokio::spawn(async move {
         loop {
-            sleep(SWEEP_EVERY).await;
+            sleep(SWEEP_INTERVAL).await;
             dialer.sweep();
         }
     });
 }
 
-fn any_loopback() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
--- a/crates/proxy/src/log.rs
+++ b/crates/proxy/src/log.rs
@@ -1,4 +1,4 @@
-//! Structured log lines, bounded in number: a line costs time that requests need.
+//! Structured log lines. Their number is limited, because writing them takes time from requests.
 
 use std::fmt::Display;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -8,20 +8,21 @@
 
 use crate::event::Event;
 
-/// Lines that may be written in a second. A request writes one or two; a quarter of a core spends
-/// about 2 % of its time on so many.
-const LINES_PER_SEC: u64 = 250;
+/// Maximum number of lines per second. A request writes one or two. Writing this many takes about
+/// 2 % of the time of a quarter of a core.
+const MAX_LINES_PER_SEC: u64 = 250;
 
 /// Writes log lines.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     clock: clock::Clock,
+    /// The current second, and the number of lines in it, including dropped ones.
     window: Mutex<(u64, u64)>,
-    cut: AtomicU64,
+    dropped: AtomicU64,
 }
 
 impl Log {
-    /// Returns a log whose lines bear the time of a clock.
+    /// Creates a log whose lines have timestamps of the given clock.
     pub(crate) fn new(clock: clock::Clock) -> Log {
         Log {
             clock,
@@ -29,58 +30,64 @@
         }
     }
 
-    /// Writes a line about something besides requests.
+    /// Writes a line that does not belong to a request.
     pub(crate) fn event(&self, event: Event, detail: impl Display) {
-        self.line(event, "", detail);
+        self.write_line(event, "", detail);
     }
 
-    /// Writes a line about a request.
+    /// Writes a line about the request with an id.
     pub(crate) fn request_event(&self, event: Event, id: &str, detail: impl Display) {
-        self.line(event, id, detail);
+        self.write_line(event, id, detail);
     }
 
-    /// Returns how many lines were left out so far.
+    /// Returns the number of lines that were dropped since the start.
     pub(crate) fn dropped_lines(&self) -> u64 {
-        self.cut.load(Ordering::Relaxed)
+        self.dropped.load(Ordering::Relaxed)
     }
 
-    fn line(&self, event: Event, id: &str, detail: impl Display) {
+    fn write_line(&self, event: Event, id: &str, detail: impl Display) {
         let now = self.clock.now();
         if !self.may_write(now) {
-            self.cut.fetch_add(1, Ordering::Relaxed);
+            self.dropped.fetch_add(1, Ordering::Relaxed);
             return;
         }
         write(event, now, id, detail);
     }
 
     fn may_write(&self, now: u64) -> bool {
-        let mut window = self.window.lock().expect("no panic inside");
+        let mut window = self.window.lock().expect("lock not poisoned");
         if window.0 != now / 1000 {
-            let before = window.1;
+            let previous = window.1;
             *window = (now / 1000, 0);
-            let cut = before.saturating_sub(LINES_PER_SEC);
-            if cut > 0 {
-                write(Event::LogLinesDropped, now, "", format_args!("lines={cut}"));
+            let dropped = previous.saturating_sub(MAX_LINES_PER_SEC);
+            if dropped > 0 {
+                write(
+                    Event::LogLinesDropped,
+                    now,
+                    "",
+                    format_args!("lines={dropped}"),
+                );
             }
         }
         window.1 += 1;
-        window.1 <= LINES_PER_SEC
+        window.1 <= MAX_LINES_PER_SEC
     }
 }
 
-/// Exit code of a process that an invariant ended.
-const EXIT_BROKEN: i32 = 70;
+/// Exit code of a process that panicked.
+const PANIC_EXIT_CODE: i32 = 70;
 
-/// Ends the process whenever something panics in it.
+/// Makes every panic end the process.
 ///
-/// A failed invariant ends its own task only, and leaves locks that nobody can take any more: the instance
-/// would say that it is ready and answer nothing. A process that has ended is started again.
+/// A failed invariant would otherwise end only its own task and leave poisoned locks behind. The
+/// instance would then report that it is ready, but answer no request. A process that has ended is
+/// started again.
 pub fn exit_on_panic() {
     let print = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         print(info);
         write(Event::InvariantFailed, 0, "", info);
-        std::process::exit(EXIT_BROKEN);
+        std::process::exit(PANIC_EXIT_CODE);
     }));
 }
 
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -1,4 +1,4 @@
-//! What balancers and operators ask an instance.
+//! HTTP endpoints for load balancers and operators.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use crate::router::Router;
 
-/// Answers whether connections are wanted.
+/// Tells load balancers whether to send new connections to this instance.
 pub(crate) struct ReadinessEndpoint(pub(crate) Arc<Router>);
 
 impl web::Service for ReadinessEndpoint {
@@ -21,21 +21,29 @@
     }
 }
 
-/// Answers operators.
+/// Serves metrics, a dump of the instance's state and a health check to operators.
 pub(crate) struct OpsEndpoint(pub(crate) Arc<Router>);
 
 impl OpsEndpoint {
     fn metrics(&self) -> Res {
-        let limited = self.0.pool.lock().expect("no panic inside").limited_count();
-        self.0.metrics.rate_limited_upstreams.set(limited as i64);
-        let media = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-        Res::new(200, media, self.0.metrics.encode())
+        let rate_limited = self
+            .0
+            .pool
+            .lock()
+            .expect("lock not poisoned")
+            .limited_count();
+        self.0
+            .metrics
+            .rate_limited_upstreams
+            .set(rate_limited as i64);
+        let content_type = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+        Res::new(200, content_type, self.0.metrics.encode())
     }
 
     fn dump(&self) -> Res {
         let router = &self.0;
         let now = router.clock.now();
-        let pool = router.pool.lock().expect("no panic inside");
+        let pool = router.pool.lock().expect("lock not poisoned");
         let upstreams: Vec<_> = pool
             .listed()
             .map(|u| {
@@ -52,10 +60,10 @@
             .collect();
         let evacuated = pool.evacuated_zones().clone();
         drop(pool);
-        let suspects = router.suspects.list().into_iter().map(|word| {
+        let suspects = router.suspects.list().into_iter().map(|record| {
             json!({
-                "request": format!("{:.32}", word.digest), "ends": word.crashes,
-                "trials": word.trials, "answers": word.answers,
+                "request": format!("{:.32}", record.digest), "ends": record.crashes,
+                "trials": record.trials, "answers": record.answers,
             })
         });
         let suspects: Vec<_> = suspects.collect();
--- a/crates/proxy/src/store_calls.rs
+++ b/crates/proxy/src/store_calls.rs
@@ -1,4 +1,4 @@
-//! Counts calls of the store, by who makes them, what they are and how they end: each one is paid for.
+//! Counts store calls by task, operation and result, because each call has a cost.
 
 use std::collections::BTreeMap;
 use std::fmt::{self, Display};
@@ -17,18 +17,19 @@
 use crate::log::Log;
 use crate::reach::Reach;
 
-/// How often the totals are logged: one line against the hundreds that requests write meanwhile.
-const LOG_EVERY: Duration = Duration::from_secs(5);
+/// Interval between two log lines: few compared with the hundreds that requests write meanwhile.
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// One sort of calls.
+/// What calls are counted by. The fields are the labels of the metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, EncodeLabelSet)]
 pub(crate) struct CallLabels {
-    /// What it is for.
+    /// The task that makes the call.
     task: &'static str,
+    /// The operation.
     call: &'static str,
-    /// How it ended.
+    /// The result.
     end: &'static str,
-    /// Whether the store answered or was out of reach when the call began.
+    /// Whether the store was reachable when the call began.
     store: &'static str,
 }
 
@@ -44,16 +45,16 @@
     }
 }
 
-/// A handle on the counts.
+/// A handle to the counts.
 #[derive(Clone)]
 pub(crate) struct StoreCalls(Arc<Inner>);
 
 struct Inner {
     clock: Clock,
     reach: Arc<Reach>,
-    metric: Family<CallLabels, Counter>,
-    /// The metric's counters: it lists none itself.
-    counts: Mutex<BTreeMap<CallLabels, Counter>>,
+    counters: Family<CallLabels, Counter>,
+    /// The same counters by labels, because a `Family` can't be iterated over.
+    by_labels: Mutex<BTreeMap<CallLabels, Counter>>,
 }
 
 impl StoreCalls {
@@ -61,35 +62,35 @@
         StoreCalls(Arc::new(Inner {
             clock,
             reach,
-            metric: Family::default(),
-            counts: Mutex::default(),
+            counters: Family::default(),
+            by_labels: Mutex::default(),
         }))
     }
 
-    /// Returns the counts as a metric.
+    /// Returns the counters, as a metric.
     pub(crate) fn counters(&self) -> Family<CallLabels, Counter> {
-        self.0.metric.clone()
+        self.0.counters.clone()
     }
 
-    /// Returns a store whose calls count for a task.
+    /// Wraps a store so that its calls are counted for a task.
     pub(crate) fn counted_store(
         &self,
         task: &'static str,
         store: &Arc<dyn Store>,
     ) -> Arc<dyn Store> {
-        Arc::new(Counted {
+        Arc::new(CountingStore {
             calls: self.clone(),
             task,
             store: Arc::clone(store),
         })
     }
 
-    /// Logs the totals from time to time.
+    /// Starts a task that logs the totals periodically.
     pub(crate) fn spawn_logging(&self, log: Arc<Log>) {
         let calls = self.clone();
         tokio::spawn(async move {
             loop {
-                sleep(LOG_EVERY).await;
+                sleep(LOG_INTERVAL).await;
                 calls.log_totals(&log);
             }
         });
@@ -97,37 +98,40 @@
 
     /// Logs the totals.
     pub(crate) fn log_totals(&self, log: &Log) {
-        let counts = self.0.counts.lock().expect("no panic inside");
-        let word = |(call, count): (&CallLabels, &Counter)| format!("{call}={}", count.get());
-        let text: Vec<String> = counts.iter().map(word).collect();
-        drop(counts);
+        let counters = self.0.by_labels.lock().expect("lock not poisoned");
+        let field = |(call, count): (&CallLabels, &Counter)| format!("{call}={}", count.get());
+        let text: Vec<String> = counters.iter().map(field).collect();
+        drop(counters);
         log.event(Event::StoreCalls, text.join(" "));
     }
 
     fn count(&self, call: CallLabels) {
-        let mut counts = self.0.counts.lock().expect("no panic inside");
-        let counter = || self.0.metric.get_or_create(&call).clone();
-        counts.entry(call).or_insert_with(counter).inc();
+        let mut counters = self.0.by_labels.lock().expect("lock not poisoned");
+        let counter = || self.0.counters.get_or_create(&call).clone();
+        counters.entry(call).or_insert_with(counter).inc();
     }
 }
 
-/// A call under way. One that is dropped was given up: it was sent, or its answer may come to nobody.
-struct Pending {
+/// A call in flight, which is counted when dropped. One that is dropped without a result was
+/// abandoned by its caller; it may have been sent.
+struct PendingCall {
     calls: StoreCalls,
     call: CallLabels,
-    began: u64,
+    began_at: u64,
 }
 
-impl Pending {
-    fn ended<T>(&mut self, answer: &Result<T, Failure>, end: fn(&T) -> &'static str) {
+impl PendingCall {
+    /// Records the result, and whether the store is reachable. `end` returns the label of a
+    /// response.
+    fn record_result<T>(&mut self, result: &Result<T, Failure>, end: fn(&T) -> &'static str) {
         let reach = &self.calls.0.reach;
-        match answer {
-            Ok(answer) => {
+        match result {
+            Ok(response) => {
                 reach.answered();
-                self.call.end = end(answer);
+                self.call.end = end(response);
             }
             Err(failure) => {
-                reach.failed(self.began, failure);
+                reach.failed(self.began_at, failure);
                 self.call.end = match failure {
                     Failure::Refused(_) => "refused",
                     Failure::Unknown(_) => "unknown",
@@ -137,52 +141,52 @@
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingCall {
     fn drop(&mut self) {
         self.calls.count(self.call);
     }
 }
 
 /// A store whose calls are counted.
-struct Counted {
+struct CountingStore {
     calls: StoreCalls,
     task: &'static str,
     store: Arc<dyn Store>,
 }
 
-impl Counted {
-    /// Counts a call, by the word for its end.
-    fn counted<'a, T>(
+impl CountingStore {
+    /// Counts a call; `end` returns the label of a response.
+    fn count_call<'a, T>(
         &self,
         call: &'static str,
-        answer: Answer<'a, T>,
+        response: Answer<'a, T>,
         end: fn(&T) -> &'static str,
     ) -> impl Future<Output = Result<T, Failure>> + 'a
     where
         T: 'a,
     {
-        let out = self.calls.0.reach.is_out();
-        let mut pending = Pending {
-            began: self.calls.0.clock.now(),
+        let is_out = self.calls.0.reach.is_out();
+        let mut pending = PendingCall {
+            began_at: self.calls.0.clock.now(),
             calls: self.calls.clone(),
             call: CallLabels {
                 task: self.task,
                 call,
                 end: "given_up",
-                store: if out { "out" } else { "in_reach" },
+                store: if is_out { "out" } else { "in_reach" },
             },
         };
         async move {
-            let answer = answer.await;
-            pending.ended(&answer, end);
-            answer
+            let result = response.await;
+            pending.record_result(&result, end);
+            result
         }
     }
 }
 
-impl Store for Counted {
+impl Store for CountingStore {
     fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Found>> {
-        Box::pin(self.counted("get", self.store.get(key), |_| "done"))
+        Box::pin(self.count_call("get", self.store.get(key), |_| "done"))
     }
 
     fn list<'a>(&'a self, prefix: &'a str, reading: Reading) -> Answer<'a, Listing> {
@@ -190,12 +194,12 @@
             Reading::Linearizable => "list",
             Reading::Serializable => "old_list",
         };
-        Box::pin(self.counted(call, self.store.list(prefix, reading), |_| "done"))
+        Box::pin(self.count_call(call, self.store.list(prefix, reading), |_| "done"))
     }
 
     fn first_page<'a>(&'a self, prefix: &'a str, reading: Reading) -> Answer<'a, Listing> {
         Box::pin(
-            self.counted("first_page", self.store.first_page(prefix, reading), |_| {
+            self.count_call("first_page", self.store.first_page(prefix, reading), |_| {
                 "done"
             }),
         )
@@ -207,7 +211,7 @@
             News::Changes { .. } => "news",
             News::Compacted => "compacted",
         };
-        Box::pin(self.counted("watch", self.store.watch(prefix, after, wait_ms), end))
+        Box::pin(self.count_call("watch", self.store.watch(prefix, after, wait_ms), end))
     }
 
     fn commit(&self, txn: Txn) -> Answer<'_, Commit> {
@@ -216,20 +220,20 @@
             Commit::Lost(_) => "lost",
             Commit::LeaseEnded => "lease_ended",
         };
-        Box::pin(self.counted("write", self.store.commit(txn), end))
+        Box::pin(self.count_call("write", self.store.commit(txn), end))
     }
 
     fn grant_lease(&self, ttl_ms: u64) -> Answer<'_, i64> {
-        Box::pin(self.counted("lease", self.store.grant_lease(ttl_ms), |_| "done"))
+        Box::pin(self.count_call("lease", self.store.grant_lease(ttl_ms), |_| "done"))
     }
 
     fn renew_lease(&self, lease: i64) -> Answer<'_, bool> {
         let end = |renewed: &bool| if *renewed { "done" } else { "lease_ended" };
-        Box::pin(self.counted("renewal", self.store.renew_lease(lease), end))
+        Box::pin(self.count_call("renewal", self.store.renew_lease(lease), end))
     }
 
     fn end_lease(&self, lease: i64) -> Answer<'_, ()> {
-        Box::pin(self.counted("lease_end", self.store.end_lease(lease), |()| "done"))
+        Box::pin(self.count_call("lease_end", self.store.end_lease(lease), |()| "done"))
     }
 }
 
--- a/crates/proxy/tests/page.rs
+++ b/crates/proxy/tests/page.rs
@@ -1,4 +1,4 @@
-//! Holds docs/EVENTS.md and the catalogue of events together.
+//! Compares docs/EVENTS.md with the catalogue of events.
 
 use proxy::event::EVENTS;
 
