--- a/crates/proxy/src/suspect_gossip.rs
+++ b/crates/proxy/src/suspect_gossip.rs
@@ -1,4 +1,4 @@
-//! Requests under which upstreams end: the other instances are told, and asked.
+//! Exchanges the records of requests that crash upstreams with the other instances.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,23 +11,26 @@
 use crate::peers::Peers;
 use crate::suspects::Suspects;
 
-/// Pause between two times that a word is told: what is learnt meanwhile goes with it.
+/// Delay between two rounds in which updates are sent: what is learned in between is sent together.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(150);
-/// How often one other instance in turn is told what all should know: one that was cut off or frozen knows it again
-/// within the time after which it counts as being in touch.
+/// Interval at which one peer in turn is sent what all instances should know: one that was cut off
+/// or suspended knows it again within the time after which it counts as reachable.
 const PAGE_INTERVAL: Duration = Duration::from_millis(500);
-/// Words in a datagram.
+/// Maximum number of records in a datagram.
 const MAX_RECORDS_PER_DATAGRAM: usize = 12;
-/// Words that one instance in turn is told: this goes on as long as there are any, and must cost next to nothing.
+/// Number of records that are sent to one peer in turn. This continues for as long as there are any
+/// records, so it must cost next to nothing.
 const PAGE_SIZE: usize = 4;
-/// Instances that one asks when it starts: one of them may have started a moment ago too.
+/// Number of peers from which an instance needs an answer when it starts: one of them may have just
+/// started, too.
 const REQUIRED_ANSWERS: usize = 2;
-/// Pause before they are asked again.
+/// Delay before the list is checked again for peers that were not queried yet.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// An instance that finds no other one for so long is alone.
+/// Time after which an instance stops looking for peers to query: if it has found none, it is
+/// alone.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Whom the others are found by, and told with.
+/// The other instances, and the means to call them and to send them datagrams.
 #[derive(Clone)]
 pub(crate) struct PeerNetwork {
     pub(crate) fleet: Fleet,
@@ -36,15 +39,15 @@
 }
 
 impl Suspects {
-    /// Tells the others, and asks them.
-    pub(crate) fn spawn_gossip(&self, others: &PeerNetwork) {
-        tokio::spawn(self.clone().send_updates(others.clone()));
-        tokio::spawn(self.clone().send_pages(others.clone()));
-        tokio::spawn(self.clone().query_startup_peers(others.clone()));
+    /// Starts the tasks that exchange records with the other instances.
+    pub(crate) fn spawn_gossip(&self, network: &PeerNetwork) {
+        tokio::spawn(self.clone().send_updates(network.clone()));
+        tokio::spawn(self.clone().send_pages(network.clone()));
+        tokio::spawn(self.clone().query_startup_peers(network.clone()));
     }
 
-    /// Tells what is new.
-    async fn send_updates(self, others: PeerNetwork) {
+    /// Sends new records to all instances or to their owners.
+    async fn send_updates(self, network: PeerNetwork) {
         loop {
             self.wait_for_updates().await;
             loop {
@@ -52,54 +55,55 @@
                 if due.is_empty() {
                     break;
                 }
-                let (to_all, to_keepers): (Vec<_>, Vec<_>) = due.into_iter().partition(|d| d.1);
+                let (to_all, to_owners): (Vec<_>, Vec<_>) = due.into_iter().partition(|d| d.1);
                 let to_all: Vec<SuspectRecord> = to_all.into_iter().map(|d| d.0).collect();
-                let all = others.fleet.peers().into_iter().map(|m| m.addr);
-                send(&others.sender, &to_all, &all.collect::<Vec<_>>());
-                for (word, _) in to_keepers {
-                    let keepers = others.fleet.roster().owners(word.digest.placement_key());
-                    let keepers = keepers
+                let all = network.fleet.peers().into_iter().map(|m| m.addr);
+                send(&network.sender, &to_all, &all.collect::<Vec<_>>());
+                for (record, _) in to_owners {
+                    let owners = network.fleet.roster().owners(record.digest.placement_key());
+                    let owners = owners
                         .iter()
-                        .filter(|m| m.id != others.fleet.incarnation());
-                    let keepers: Vec<SocketAddr> = keepers.map(|m| m.addr).collect();
-                    send(&others.sender, &[word], &keepers);
+                        .filter(|m| m.id != network.fleet.incarnation());
+                    let owners: Vec<SocketAddr> = owners.map(|m| m.addr).collect();
+                    send(&network.sender, &[record], &owners);
                 }
                 sleep(UPDATE_INTERVAL).await;
             }
         }
     }
 
-    /// Tells one other instance after the other what all should know.
-    async fn send_pages(self, others: PeerNetwork) {
+    /// Sends what all instances should know to one peer after another.
+    async fn send_pages(self, network: PeerNetwork) {
         let mut turn: usize = rand::random::<u32>() as usize;
         loop {
             sleep(PAGE_INTERVAL).await;
             let page = self.next_page(PAGE_SIZE);
-            let listed = others.fleet.peers();
-            if page.is_empty() || listed.is_empty() {
+            let peers = network.fleet.peers();
+            if page.is_empty() || peers.is_empty() {
                 continue;
             }
             turn = turn.wrapping_add(1);
-            send(&others.sender, &page, &[listed[turn % listed.len()].addr]);
+            send(&network.sender, &page, &[peers[turn % peers.len()].addr]);
         }
     }
 
-    /// Asks others what all should know: this instance has started a moment ago.
-    async fn query_startup_peers(self, others: PeerNetwork) {
+    /// Queries peers for what all instances should know, since this instance has just started.
+    async fn query_startup_peers(self, network: PeerNetwork) {
         let mut startup_peers = StartupPeers::new();
-        while let Some(addr) = startup_peers.next(&others.fleet).await {
-            if let Ok(words) = others.peers.fetch_suspects(addr).await {
+        while let Some(addr) = startup_peers.next(&network.fleet).await {
+            if let Ok(records) = network.peers.fetch_suspects(addr).await {
                 startup_peers.record_answer();
-                if !words.is_empty() {
-                    self.log_received(addr, words.len());
+                if !records.is_empty() {
+                    self.log_received(addr, records.len());
                 }
-                self.merge(&others.fleet, &words);
+                self.merge(&network.fleet, &records);
             }
         }
     }
 }
 
-/// The peers that an instance queries when it starts, one after another, until enough of them have answered.
+/// The peers that an instance queries when it starts, one after another, until enough of them have
+/// answered.
 pub(crate) struct StartupPeers {
     deadline: Instant,
     queried: Vec<SocketAddr>,
@@ -120,11 +124,11 @@
         self.answers += 1;
     }
 
-    /// Returns the next peer to query; none after enough answers or the timeout.
+    /// Returns the next peer to query; `None` after enough answers or the timeout.
     pub(crate) async fn next(&mut self, fleet: &Fleet) -> Option<SocketAddr> {
         while self.answers < REQUIRED_ANSWERS && Instant::now() < self.deadline {
-            let listed = fleet.peers();
-            let next = listed.iter().find(|m| !self.queried.contains(&m.addr));
+            let peers = fleet.peers();
+            let next = peers.iter().find(|m| !self.queried.contains(&m.addr));
             if let Some(next) = next {
                 self.queried.push(next.addr);
                 return Some(next.addr);
@@ -135,8 +139,9 @@
     }
 }
 
-fn send(sender: &Sender, words: &[SuspectRecord], to: &[SocketAddr]) {
-    for words in words.chunks(MAX_RECORDS_PER_DATAGRAM) {
-        sender.send(&Datagram::Suspects(words.to_vec()), to.iter().copied());
+/// Sends records to some instances, in as many datagrams as needed.
+fn send(sender: &Sender, records: &[SuspectRecord], to: &[SocketAddr]) {
+    for records in records.chunks(MAX_RECORDS_PER_DATAGRAM) {
+        sender.send(&Datagram::Suspects(records.to_vec()), to.iter().copied());
     }
 }
--- a/crates/proxy/src/suspect_store.rs
+++ b/crates/proxy/src/suspect_store.rs
@@ -1,7 +1,9 @@
-//! What must be known of requests that end upstreams after all instances were killed at once: it stands in the store.
+//! Keeps records of requests that crash upstreams in the store, for the case that all instances are
+//! killed at once.
 //!
-//! The instance that decides about a request writes it there, when it is refused, tried and cleared: a few calls in a day.
-//! Two instances read it when they start and tell the others, so that a fleet that starts makes two calls.
+//! The first owner of a record writes it when the request is refused, tried or cleared, which takes
+//! a few calls per day. When a fleet starts, two instances read all records and send them to the
+//! others, which takes two calls.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,18 +19,20 @@
 use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 
-/// Keys of requests.
+/// Prefix of the keys of records; a key continues with the digest of the request.
 const PREFIX: &str = "oriolehitch/suspects/";
-/// The instances that keep this read the store for all when they start.
+/// The instances that would own a record with this placement key read the store for all when they
+/// start.
 const READER_PLACEMENT_KEY: u64 = 0;
-/// An instance knows by then whether it is one of them: it is listed when it has registered.
+/// Time after which an instance knows whether it is one of them: it is listed once it has
+/// registered.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause before it looks again.
+/// Delay before it checks that again.
 const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Pause after a call that failed.
+/// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Keeps the table in the store.
+/// The task that keeps the records in the store up to date.
 pub(crate) struct SuspectStore {
     pub(crate) suspects: Suspects,
     pub(crate) fleet: Fleet,
@@ -40,7 +44,7 @@
 }
 
 impl SuspectStore {
-    /// Reads what the store has, then writes what changes.
+    /// Reads the records in the store if this instance is to, then writes those that change.
     pub(crate) async fn run(mut self) {
         if self.is_reader().await {
             self.load().await;
@@ -55,12 +59,12 @@
         }
     }
 
-    /// Returns whether this instance reads for all.
+    /// Returns whether this instance reads the store for all.
     async fn is_reader(&self) -> bool {
         let until = Instant::now() + REGISTRATION_TIMEOUT;
         while Instant::now() < until {
-            let keepers = self.fleet.roster().owners(READER_PLACEMENT_KEY);
-            if keepers.iter().any(|m| m.id == self.fleet.incarnation()) {
+            let owners = self.fleet.roster().owners(READER_PLACEMENT_KEY);
+            if owners.iter().any(|m| m.id == self.fleet.incarnation()) {
                 return true;
             }
             sleep(ROSTER_POLL_INTERVAL).await;
@@ -68,6 +72,7 @@
         false
     }
 
+    /// Reads all records in the store.
     async fn load(&mut self) {
         let items = loop {
             match self.store.list(PREFIX, Reading::Linearizable).await {
@@ -77,9 +82,9 @@
         };
         for item in items {
             match serde_json::from_slice::<SuspectRecord>(&item.value) {
-                Ok(word) => {
-                    self.revisions.insert(word.digest, item.revision);
-                    self.suspects.load(word);
+                Ok(record) => {
+                    self.revisions.insert(record.digest, item.revision);
+                    self.suspects.load(record);
                 }
                 Err(why) => {
                     let detail = format_args!("key={} why={why}", item.key);
@@ -89,26 +94,27 @@
         }
     }
 
+    /// Waits after a failed call until the store is available.
     async fn wait_for_retry(&self) {
         sleep(RETRY_DELAY).await;
         self.store_health.wait_until_available().await;
     }
 
-    /// Returns whether this instance decides about a request.
+    /// Returns whether this instance is the first owner of a record.
     fn is_first_owner(&self, digest: Digest) -> bool {
-        let keepers = self.fleet.roster().owners(digest.placement_key());
-        keepers
+        let owners = self.fleet.roster().owners(digest.placement_key());
+        owners
             .first()
             .is_none_or(|m| m.id == self.fleet.incarnation())
     }
 
-    /// Writes what is known of a request until the store has it.
+    /// Writes the record of a request, and retries until the store has it.
     async fn save(&mut self, digest: Digest) {
         loop {
-            let word = self.suspects.to_save(digest);
-            match self.write(digest, word.as_ref()).await {
-                Ok(true) => return self.suspects.mark_saved(digest, word.as_ref()),
-                // Another instance wrote it before: its revision is known now.
+            let record = self.suspects.to_save(digest);
+            match self.write(digest, record.as_ref()).await {
+                Ok(true) => return self.suspects.mark_saved(digest, record.as_ref()),
+                // Another instance has written it; its revision is known now.
                 Ok(false) => {}
                 Err(failure) => {
                     let detail = format!("what=suspect why={failure:?}");
@@ -119,20 +125,20 @@
         }
     }
 
-    /// Writes, or deletes where there is nothing to say; returns whether the store has it.
+    /// Writes a record, or deletes it if there is none; returns whether that took effect.
     async fn write(
         &mut self,
         digest: Digest,
-        word: Option<&SuspectRecord>,
+        record: Option<&SuspectRecord>,
     ) -> Result<bool, Failure> {
         let key = format!("{PREFIX}{digest:.32}");
         let revision = self.revisions.get(&digest).copied().unwrap_or(0);
-        if word.is_none() && revision == 0 {
+        if record.is_none() && revision == 0 {
             return Ok(true);
         }
-        let put = word.map(|word| Put {
+        let put = record.map(|record| Put {
             key: key.clone(),
-            value: serde_json::to_vec(word).expect("a word that JSON can hold"),
+            value: serde_json::to_vec(record).expect("a record can be serialized"),
             lease: 0,
         });
         let delete = if put.is_none() {
@@ -150,7 +156,7 @@
         };
         match self.store.commit(txn).await? {
             Commit::Done(revision) => {
-                if word.is_some() {
+                if record.is_some() {
                     self.revisions.insert(digest, revision);
                 } else {
                     self.revisions.remove(&digest);
@@ -158,8 +164,8 @@
                 Ok(true)
             }
             Commit::Lost(items) => {
-                let there = items.iter().find(|f: &&Found| f.key == key);
-                let revision = there.map_or(0, |f| f.revision);
+                let found = items.iter().find(|f: &&Found| f.key == key);
+                let revision = found.map_or(0, |f| f.revision);
                 self.revisions.insert(digest, revision);
                 Ok(false)
             }
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -1,4 +1,5 @@
-//! Requests under which upstreams end: found out here, told to the other instances, refused.
+//! Requests that crash upstreams: detects crashes, decides with the other instances whether a
+//! request is sent, and refuses it.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -21,35 +22,36 @@
 use crate::refusal::Refusal;
 use crate::suspect_gossip::PeerNetwork;
 
-/// After a connection broke, it is found out so much later whether the upstream has ended: by then the port of a process
-/// that ended is closed.
+/// Delay between a broken connection and the check whether the upstream has crashed: by then the
+/// port of a crashed process is closed.
 const CRASH_CHECK_DELAY: Duration = Duration::from_millis(30);
-/// Pause before that is tried again where no answer came.
+/// Timeout of the check, and delay before it is repeated if it had no result.
 const CRASH_CHECK_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// When to come back with a request that will not be tried again, in milliseconds: the longest time before a trial.
+/// When a caller is told to retry a request for which no trial is left, in milliseconds: the
+/// longest delay before a trial.
 const RETRY_NO_TRIAL_LEFT_MS: u64 = 600_000;
 
-/// A question whether a request may be tried.
+/// What an instance sends to an owner of a record when a trial of the request is due.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TrialRequest {
-    /// What the asker knows of the request.
+    /// What the sender knows of the request.
     #[serde(rename = "word")]
     record: SuspectRecord,
-    /// Whether the one that is asked decides; else it only tells what it knows.
+    /// Whether the owner decides on the trial; otherwise it only returns its record.
     #[serde(rename = "decides")]
     may_grant: bool,
 }
 
-/// The answer of the instance that decides whether a request is tried.
+/// The answer of an owner to a [`TrialRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TrialResponse {
     pub(crate) granted: bool,
-    /// What that instance knows of the request.
+    /// What the owner knows of the request.
     #[serde(rename = "word")]
     pub(crate) record: Option<SuspectRecord>,
 }
 
-/// A handle on the requests under which upstreams have ended.
+/// Handle on the requests that were running on upstreams when these crashed; clones share it.
 #[derive(Clone)]
 pub(crate) struct Suspects(Arc<Inner>);
 
@@ -58,9 +60,9 @@
     log: Arc<Log>,
     dialer: Dialer,
     table: Mutex<Table>,
-    /// Wakes the one that tells others.
+    /// Wakes the task that sends updates to other instances.
     changed: Notify,
-    /// Wakes the one that writes to the store.
+    /// Wakes the task that writes to the store.
     unsaved: Notify,
     crash_counter: Counter,
     refused_gauge: Gauge,
@@ -80,48 +82,51 @@
         }))
     }
 
-    /// Returns how many ends were laid to requests, and how many requests are refused.
+    /// Returns the metrics: the number of crashes counted for requests, and the number of refused
+    /// requests.
     pub(crate) fn metrics(&self) -> (Counter, Gauge) {
         (self.0.crash_counter.clone(), self.0.refused_gauge.clone())
     }
 
     fn table(&self) -> MutexGuard<'_, Table> {
-        self.0.table.lock().expect("no panic inside")
+        self.0.table.lock().expect("lock not poisoned")
     }
 
-    /// Does something with the table, and has the others told what came of it.
-    fn update<T>(&self, f: impl FnOnce(&mut Table, u64) -> T) -> T {
+    /// Updates the table, and wakes the tasks that send and store what has changed.
+    fn update<T>(&self, change: impl FnOnce(&mut Table, u64) -> T) -> T {
         let now = self.0.clock.now();
         let mut table = self.table();
-        let done = f(&mut table, now);
+        let result = change(&mut table, now);
         self.0.refused_gauge.set(table.refused_count() as i64);
         if table.has_unsaved() {
             self.0.unsaved.notify_one();
         }
         drop(table);
         self.0.changed.notify_one();
-        done
+        result
     }
 
-    /// Notes that a request's connection broke at an upstream of which nothing said that it leaves.
+    /// Records that the connection of a request broke at an upstream that is not known to be
+    /// leaving.
     pub(crate) fn connection_broke(&self, spec: &Spec, digest: Digest) {
         let incarnation = spec.incarnation();
-        let first = self.update(|table, now| table.connection_broke(now, &incarnation, digest));
-        if first {
+        let check_needed =
+            self.update(|table, now| table.connection_broke(now, &incarnation, digest));
+        if check_needed {
             tokio::spawn(self.clone().check_for_crash(incarnation, spec.addr));
         }
     }
 
-    /// Finds out whether an upstream has ended.
+    /// Checks whether an upstream has crashed, until that is known.
     async fn check_for_crash(self, incarnation: String, addr: SocketAddr) {
         let target = Target {
             upstream: &incarnation,
             addr,
             most: usize::MAX,
         };
-        let mut pause = CRASH_CHECK_DELAY;
+        let mut delay = CRASH_CHECK_DELAY;
         loop {
-            sleep(pause).await;
+            sleep(delay).await;
             if !self.update(|table, now| table.is_unresolved(now, &incarnation)) {
                 return;
             }
@@ -132,34 +137,35 @@
                     return self.0.dialer.keep(conn, None);
                 }
                 Err(ConnectError::Refused(_)) => return self.upstream_crashed(&incarnation),
-                // The way to it may be cut: its list tells, or it answers later.
-                Err(_) => pause = CRASH_CHECK_RETRY_DELAY,
+                // The network path may be down: a later check or the list of upstreams will show.
+                Err(_) => delay = CRASH_CHECK_RETRY_DELAY,
             }
         }
     }
 
-    /// Takes that an incarnation of an upstream has ended without having said that it leaves.
+    /// Records that an incarnation of an upstream has ended without having announced it.
     pub(crate) fn upstream_crashed(&self, incarnation: &str) {
-        let there = self.update(|table, now| table.upstream_crashed(now, incarnation));
-        if there.is_empty() {
+        let present = self.update(|table, now| table.upstream_crashed(now, incarnation));
+        if present.is_empty() {
             return;
         }
-        let detail = format_args!("upstream={incarnation} requests={}", there.len());
+        let detail = format_args!("upstream={incarnation} requests={}", present.len());
         self.0.log.note(Event::UpstreamEnded, detail);
-        for digest in there {
+        for digest in present {
             self.0.crash_counter.inc();
             let now = self.0.clock.now();
-            let word = self.table().record(now, digest);
-            let ends = word.map_or(0, |w| w.crashes.len());
-            // Each end leaves many requests with one end, nearly all of them innocent.
-            if ends > 1 {
-                let detail = format_args!("request={digest} upstream={incarnation} ends={ends}");
+            let record = self.table().record(now, digest);
+            let crash_count = record.map_or(0, |r| r.crashes.len());
+            // Each crash leaves many requests with one crash, nearly all of them harmless.
+            if crash_count > 1 {
+                let detail =
+                    format_args!("request={digest} upstream={incarnation} ends={crash_count}");
                 self.0.log.note(Event::Suspected, detail);
             }
         }
     }
 
-    /// Notes a whole answer to a request.
+    /// Records a complete response to a request.
     pub(crate) fn request_answered(&self, digest: Digest) {
         let now = self.0.clock.now();
         let cleared = self.table().request_answered(now, digest);
@@ -170,96 +176,96 @@
         }
     }
 
-    /// Returns whether a request may be sent to another upstream in the same try.
+    /// Returns whether a request may be retried at another upstream within the same call.
     pub(crate) fn may_retry(&self, digest: Digest) -> bool {
         self.table().may_retry(digest)
     }
 
-    /// Decides whether a request is sent.
+    /// Decides whether a request may be sent.
     ///
     /// # Errors
     ///
-    /// Returns the refusal of a request under which too many upstreams have ended.
-    pub(crate) async fn admit(&self, others: &PeerNetwork, digest: Digest) -> Result<(), Refusal> {
-        let verdict = {
+    /// Returns the refusal of a request that was present at too many crashes of upstreams.
+    pub(crate) async fn admit(&self, network: &PeerNetwork, digest: Digest) -> Result<(), Refusal> {
+        let admission = {
             let now = self.0.clock.now();
             self.table().admit(now, digest)
         };
-        let blame = match verdict {
+        let history = match admission {
             Admission::Allowed => return Ok(()),
-            Admission::Refused(blame) => blame,
-            Admission::TrialDue(blame) => {
-                if self.request_trial(others, digest).await {
-                    let detail = format_args!("request={digest} {blame}");
+            Admission::Refused(history) => history,
+            Admission::TrialDue(history) => {
+                if self.request_trial(network, digest).await {
+                    let detail = format_args!("request={digest} {history}");
                     self.0.log.note(Event::Tried, detail);
                     return Ok(());
                 }
-                blame
+                history
             }
         };
-        Err(refusal(&blame))
+        Err(refusal(&history))
     }
 
-    /// Asks the instances that keep a request whether it may be tried: the first of them that answers decides.
-    async fn request_trial(&self, others: &PeerNetwork, digest: Digest) -> bool {
-        let keepers = others.fleet.roster().owners(digest.placement_key());
-        let me = others.fleet.incarnation();
-        let silent = |m: &&Arc<Member>| m.id != me && others.peers.is_unresponsive(m.addr);
-        let mut keepers = keepers.iter().filter(|m| !silent(m));
-        let Some(first) = keepers.next() else {
+    /// Asks the owners of a record whether a trial may be made: the first of them that is not
+    /// unresponsive decides.
+    async fn request_trial(&self, network: &PeerNetwork, digest: Digest) -> bool {
+        let owners = network.fleet.roster().owners(digest.placement_key());
+        let own = network.fleet.incarnation();
+        let unresponsive = |m: &&Arc<Member>| m.id != own && network.peers.is_unresponsive(m.addr);
+        let mut owners = owners.iter().filter(|m| !unresponsive(m));
+        let Some(first) = owners.next() else {
             return self.grant_trial(digest);
         };
-        // What the other one knows comes first: the one that decides may have stood still while there was a trial.
-        for keeper in keepers.filter(|m| m.id != me) {
-            self.exchange_with_owner(others, digest, keeper, false)
+        // Records are first exchanged with the other owner: the one that decides may have been
+        // suspended while a trial was made.
+        for owner in owners.filter(|m| m.id != own) {
+            self.exchange_with_owner(network, digest, owner, false)
                 .await;
         }
-        if first.id == me {
+        if first.id == own {
             self.grant_trial(digest)
         } else {
-            self.exchange_with_owner(others, digest, first, true).await
+            self.exchange_with_owner(network, digest, first, true).await
         }
     }
 
-    /// Exchanges with an instance what is known of a request; returns whether that one has granted a trial.
+    /// Exchanges the record of a request with an owner of it; returns whether the owner has granted
+    /// a trial.
     async fn exchange_with_owner(
         &self,
-        others: &PeerNetwork,
+        network: &PeerNetwork,
         digest: Digest,
-        keeper: &Member,
-        decides: bool,
+        owner: &Member,
+        may_grant: bool,
     ) -> bool {
         let now = self.0.clock.now();
-        let Some(word) = self.table().record(now, digest) else {
+        let Some(record) = self.table().record(now, digest) else {
             return false;
         };
-        let ask = TrialRequest {
-            record: word,
-            may_grant: decides,
-        };
-        let trial = match others.peers.request_trial(keeper.addr, &ask).await {
-            Ok(trial) => trial,
+        let request = TrialRequest { record, may_grant };
+        let response = match network.peers.request_trial(owner.addr, &request).await {
+            Ok(response) => response,
             Err(why) => {
                 let detail = format!("request={digest} failed={why}");
                 self.0.log.note(Event::Tried, detail);
                 return false;
             }
         };
-        if let Some(word) = &trial.record {
-            self.update(|table, now| table.merge(now, word, false));
+        if let Some(record) = &response.record {
+            self.update(|table, now| table.merge(now, record, false));
         }
-        trial.granted
+        response.granted
     }
 
     fn grant_trial(&self, digest: Digest) -> bool {
         self.update(|table, now| table.grant_trial(now, digest))
     }
 
-    /// Answers an instance that asks whether a request may be tried.
-    pub(crate) fn answer_trial_request(&self, ask: &TrialRequest) -> TrialResponse {
-        let digest = ask.record.digest;
-        self.update(|table, now| table.merge(now, &ask.record, true));
-        let granted = ask.may_grant && self.grant_trial(digest);
+    /// Answers an instance for which a trial is due.
+    pub(crate) fn answer_trial_request(&self, request: &TrialRequest) -> TrialResponse {
+        let digest = request.record.digest;
+        self.update(|table, now| table.merge(now, &request.record, true));
+        let granted = request.may_grant && self.grant_trial(digest);
         let now = self.0.clock.now();
         TrialResponse {
             granted,
@@ -267,79 +273,81 @@
         }
     }
 
-    /// Takes the words of another instance; returns what that one lacks.
-    pub(crate) fn merge(&self, fleet: &Fleet, words: &[SuspectRecord]) -> Vec<SuspectRecord> {
-        let me = fleet.incarnation();
-        let keeps = |word: &SuspectRecord| {
-            let keepers = fleet.roster().owners(word.digest.placement_key());
-            keepers.iter().any(|m| m.id == me)
+    /// Merges records of another instance; returns those that the other instance is missing.
+    pub(crate) fn merge(&self, fleet: &Fleet, records: &[SuspectRecord]) -> Vec<SuspectRecord> {
+        let own = fleet.incarnation();
+        let is_owner = |record: &SuspectRecord| {
+            let owners = fleet.roster().owners(record.digest.placement_key());
+            owners.iter().any(|m| m.id == own)
         };
-        let heard = words.iter().map(|word| (word, keeps(word)));
-        let heard: Vec<(&SuspectRecord, bool)> = heard.collect();
+        let received = records.iter().map(|record| (record, is_owner(record)));
+        let received: Vec<(&SuspectRecord, bool)> = received.collect();
         self.update(|table, now| {
-            let lacks = heard.into_iter();
-            let lacks = lacks.filter_map(|(word, keeps)| table.merge(now, word, keeps));
-            lacks.collect()
+            let missing = received.into_iter();
+            let missing =
+                missing.filter_map(|(record, is_owner)| table.merge(now, record, is_owner));
+            missing.collect()
         })
     }
 
-    /// Returns what all instances should know.
+    /// Returns the records that all instances should know.
     pub(crate) fn list(&self) -> Vec<SuspectRecord> {
         let now = self.0.clock.now();
         self.table().list(now)
     }
 
-    /// Logs what another instance told when it was asked.
-    pub(crate) fn log_received(&self, from: SocketAddr, words: usize) {
-        let detail = format_args!("from={from} what=suspects words={words}");
+    /// Logs how many records another instance returned.
+    pub(crate) fn log_received(&self, from: SocketAddr, count: usize) {
+        let detail = format_args!("from={from} what=suspects words={count}");
         self.0.log.note(Event::NewsFromPeer, detail);
     }
 
-    /// Waits until something may have to be told.
+    /// Waits until there may be updates to send.
     pub(crate) async fn wait_for_updates(&self) {
         self.0.changed.notified().await;
     }
 
-    /// Returns what is to be told now, each with whether all instances are told, or those that keep it.
+    /// Returns the records to send now, each with whether all instances get it or only its owners.
     pub(crate) fn updates_to_send(&self) -> Vec<(SuspectRecord, bool)> {
         let now = self.0.clock.now();
         self.table().updates_to_send(now)
     }
 
-    /// Returns the next words in turn of those that all instances should know.
-    pub(crate) fn next_page(&self, most: usize) -> Vec<SuspectRecord> {
+    /// Returns the records of the next refused requests in turn.
+    pub(crate) fn next_page(&self, limit: usize) -> Vec<SuspectRecord> {
         let now = self.0.clock.now();
-        self.table().next_page(now, most)
+        self.table().next_page(now, limit)
     }
 
-    /// Waits until something may have to be written to the store.
+    /// Waits until there may be something to write to the store.
     pub(crate) async fn wait_for_unsaved(&self) {
         self.0.unsaved.notified().await;
     }
 
-    /// Returns the requests of which the store has something else.
+    /// Returns the requests whose record in the store is out of date.
     pub(crate) fn unsaved(&self) -> Vec<Digest> {
         self.table().unsaved()
     }
 
-    /// Returns what the store should have of a request, if anything.
+    /// Returns the record that the store should have of a request, if any.
     pub(crate) fn to_save(&self, digest: Digest) -> Option<SuspectRecord> {
         let now = self.0.clock.now();
         self.table().to_save(now, digest)
     }
 
-    /// Notes what the store has of a request.
-    pub(crate) fn mark_saved(&self, digest: Digest, word: Option<&SuspectRecord>) {
-        self.table().mark_saved(digest, word);
+    /// Records what the store now has of a request.
+    pub(crate) fn mark_saved(&self, digest: Digest, record: Option<&SuspectRecord>) {
+        self.table().mark_saved(digest, record);
     }
 
-    /// Takes what the store has of a request.
-    pub(crate) fn load(&self, word: SuspectRecord) {
-        self.update(|table, now| table.load(now, word));
+    /// Merges a record that was read from the store.
+    pub(crate) fn load(&self, record: SuspectRecord) {
+        self.update(|table, now| table.load(now, record));
     }
 }
 
-fn refusal(blame: &CrashHistory) -> Refusal {
-    let retry_ms = blame.retry_ms.unwrap_or(RETRY_NO_TRIAL_LEFT_MS);
-    Refusal::new(Kind::EndsUpstreams, blame.to_string()).back_at(retry_ms)
+/// Returns the refusal of a request.
+fn refusal(history: &CrashHistory) -> Refusal {
+    let retry_ms = history.retry_ms.unwrap_or(RETRY_NO_TRIAL_LEFT_MS);
+    Refusal::new(Kind::EndsUpstreams, history.to_string()).back_at(retry_ms)
 }
