--- a/crates/budget/src/archived_bills.rs
+++ b/crates/budget/src/archived_bills.rs
@@ -1,30 +1,38 @@
-//! The bills of the last minutes that were moved out of the record.
+//! Recent bills that were moved from the record to segments.
 //!
-//! A request may be settled twice under one id, by homes that could not hear each other: the second
-//! one must find the first one's bill even when that has left the record meanwhile.
+//! Homes that cannot reach each other may both settle a request under the same id. The second one
+//! must find the bill of the first one even if it was moved to a segment in the meantime, or the
+//! request would be billed twice.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::record::{Bill, BillSegment};
 
-/// How long a request's id is looked for among older bills, in milliseconds.
+/// Age up to which archived bills are kept to find duplicates, in milliseconds.
 const BILL_WINDOW_MS: u64 = 600_000;
-/// Segment names remembered as loaded.
+/// Number of segment names remembered as loaded.
 const MAX_LOADED_SEGMENTS: usize = 1_024;
 
-/// Older bills, as far as they are loaded.
+/// The recent archived bills, as far as their segments are loaded.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ArchivedBills {
+    /// Names of segments whose bills were loaded, oldest first.
     loaded: VecDeque<String>,
+    /// Bills by account and request id.
     bills: BTreeMap<(String, String), Bill>,
-    latest_ms: u64,
-    /// The segments of a walk that has not reached a loaded or an old one yet, latest first.
+    /// Time of the newest bill added so far.
+    newest_ms: u64,
+    /// Segments read so far while following the chain back from the record, newest first. They
+    /// count as loaded once the chain has reached a loaded segment or one beyond `BILL_WINDOW_MS`.
     walk: Vec<String>,
+    /// Next segment of the walk.
     next: Option<String>,
 }
 
 impl ArchivedBills {
-    /// Returns the segment to load next, if a record's segments are not all known.
+    /// Returns the segment to load next, unless all recent segments of a record are loaded.
+    ///
+    /// `last` is the record's newest segment.
     pub(crate) fn next_missing(&mut self, last: Option<&String>) -> Option<String> {
         let last = last?;
         if self.loaded.contains(last) {
@@ -37,17 +45,17 @@
         self.next.clone()
     }
 
-    /// Returns whether a record's segments are known.
+    /// Returns whether all recent segments of a record are loaded; `last` is its newest segment.
     pub(crate) fn covers(&self, last: Option<&String>) -> bool {
         last.is_none_or(|name| self.loaded.contains(name))
     }
 
-    /// Takes a segment that was asked for.
+    /// Adds a segment that was read as the next one of the walk.
     pub(crate) fn add_loaded(&mut self, segment: BillSegment) {
         let newest = self.add_bills(&segment);
         let prev = segment.prev.filter(|p| !self.loaded.contains(p));
         match prev {
-            Some(prev) if newest + BILL_WINDOW_MS >= self.latest_ms => {
+            Some(prev) if newest + BILL_WINDOW_MS >= self.newest_ms => {
                 self.walk.push(prev.clone());
                 self.next = Some(prev);
             }
@@ -60,7 +68,7 @@
         }
     }
 
-    /// Takes a segment that this home has written itself.
+    /// Adds a segment that this instance wrote.
     pub(crate) fn add_written(&mut self, name: &str, segment: &BillSegment) {
         self.add_bills(segment);
         self.mark_loaded(name.to_string());
@@ -73,6 +81,8 @@
         }
     }
 
+    /// Adds the bills of a segment, drops those that are too old, and returns the time of the
+    /// segment's newest bill.
     fn add_bills(&mut self, segment: &BillSegment) -> u64 {
         let mut newest = 0;
         for (account, bills) in &segment.bills {
@@ -82,13 +92,13 @@
                 self.bills.insert(key, bill.clone());
             }
         }
-        self.latest_ms = self.latest_ms.max(newest);
-        let oldest = self.latest_ms.saturating_sub(BILL_WINDOW_MS);
+        self.newest_ms = self.newest_ms.max(newest);
+        let oldest = self.newest_ms.saturating_sub(BILL_WINDOW_MS);
         self.bills.retain(|_, b| b.at_ms >= oldest);
         newest
     }
 
-    /// Returns the older bill of a request.
+    /// Returns the archived bill of a request.
     pub(crate) fn bill(&self, account: &str, request: &str) -> Option<&Bill> {
         let key = (account.to_string(), request.to_string());
         self.bills.get(&key)
--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -1,65 +1,71 @@
-//! How many tokens a holder takes at a time.
+//! Sizes of grants.
 //!
-//! Large grants live through outages and partitions; small ones strand and fragment less.
+//! Large grants last through outages and partitions. Small grants strand fewer tokens in a crash
+//! and fragment the budget less.
 
 use serde::{Deserialize, Serialize};
 
-/// How grants are sized.
+/// Policy for the size of grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GrantSizing {
-    /// A share of what is free, by the customer's weight: tapers as the budget drains.
+    /// A percentage of the free budget, set by the customer's weight: grants shrink as the budget
+    /// drains.
     Share,
-    /// What the last seconds' demand needs over a horizon, at most the share.
+    /// The demand of the last seconds projected over a horizon, at most the size of `Share`.
     Demand {
-        /// The horizon, in milliseconds.
+        /// Horizon, in milliseconds.
         horizon_ms: u64,
     },
-    /// Just what the request needs: a baseline.
+    /// Exactly what the waiting requests need; a baseline for comparisons.
     Exact,
-    /// A fixed part of the whole budget, once: a baseline.
+    /// A fixed part of the whole budget, granted once; a baseline for comparisons.
     Split {
-        /// The number of parts.
+        /// Number of parts.
         parts: u64,
     },
 }
 
-/// What a size is worked out from.
+/// Inputs to the size of a grant.
 #[derive(Clone, Copy, Debug)]
 pub struct SizingInput {
-    /// Tokens that lack for the waiting requests.
+    /// Tokens that the waiting requests are short of.
     pub need: u64,
-    /// Tokens that may be granted.
+    /// Tokens of the budget that can still be granted.
     pub free: u64,
-    /// The whole budget.
+    /// Sum of all top-ups.
     pub total: u64,
     /// Tokens granted to this holder so far.
     pub granted: u64,
     /// Percentage of the free budget that one grant may take.
     pub weight: u8,
-    /// Tokens a second that this holder lately reserved.
+    /// Tokens per second that were recently requested from this holder.
     pub rate: f64,
 }
 
 impl GrantSizing {
-    /// Returns the tokens to take; 0 when the need can't be met.
-    pub fn size(self, b: SizingInput) -> u64 {
-        if b.need > b.free {
+    /// Returns the number of tokens to grant; 0 if it cannot cover the need.
+    pub fn size(self, input: SizingInput) -> u64 {
+        if input.need > input.free {
             return 0;
         }
-        let share = (u128::from(b.free) * u128::from(b.weight) / 100) as u64;
+        let share = (u128::from(input.free) * u128::from(input.weight) / 100) as u64;
         let wanted = match self {
             GrantSizing::Share => share,
             GrantSizing::Demand { horizon_ms } => {
-                let horizon = b.rate * horizon_ms as f64 / 1000.0;
+                let horizon = input.rate * horizon_ms as f64 / 1000.0;
                 (horizon as u64).min(share)
             }
-            GrantSizing::Exact => b.need,
+            GrantSizing::Exact => input.need,
             GrantSizing::Split { parts } => {
-                let part = b.total / parts.max(1);
-                let left = part.saturating_sub(b.granted);
-                return if b.need <= left { left.min(b.free) } else { 0 };
+                let part = input.total / parts.max(1);
+                let left = part.saturating_sub(input.granted);
+                return if input.need <= left {
+                    left.min(input.free)
+                } else {
+                    0
+                };
             }
         };
-        wanted.clamp(b.need, b.free)
+        wanted.clamp(input.need, input.free)
     }
 }
--- a/crates/budget/src/joint_grant.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -1,9 +1,11 @@
-//! Joint grants: large ones that a crash does not strand.
+//! Joint grants: large grants of which a crash strands only a small part.
 //!
-//! A holder opens a joint grant in small steps, and each step needs the word of a witness, another
-//! instance of its zone. When the holder falls silent, the witness stops giving its word and hands
-//! the unopened rest back to the record; when the witness falls silent, the holder does. Either
-//! act is one compare-and-swap, so only one of them counts. What a crash strands is the last step.
+//! A holder may spend only the opened part of a joint grant. It opens the grant in small steps, and
+//! each step must be approved by a witness, another instance of the same zone. If the holder
+//! becomes unresponsive, the witness stops approving steps and returns the unopened part to the
+//! record; if the witness becomes unresponsive, the holder returns it. Both do so by
+//! compare-and-swap on the record, so only one of them takes effect. A crash strands the last step
+//! at most.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,69 +15,74 @@
 use crate::record::{parse_joint_key, Account, ShardRecord};
 use crate::shard::{Role, Shard};
 
-/// A step covers this much of the demand, in milliseconds.
+/// Time for which a step covers the demand, in milliseconds.
 const STEP_DEMAND_MS: f64 = 1_500.0;
-/// A witness that does not answer for this long is done without, in milliseconds.
+/// Time after which the holder does without a witness that has not answered, in milliseconds.
 const WITNESS_TIMEOUT_MS: u64 = 200;
-/// Of its own, a holder with a witness keeps so many steps: what is opened ahead, and what requests give back.
+/// Number of steps' worth of tokens that a holder with a witness keeps in its own grant: room for
+/// steps that are opened ahead and for what requests give back of their holds.
 const MAX_UNWITNESSED_STEPS: f64 = 4.0;
-/// Or this part of the whole budget, where that is more: less is not worth a write.
+/// The holder keeps at least the whole budget divided by this: returning less is not worth a write.
 const UNWITNESSED_DIVISOR: u64 = 100;
-/// Closed joint grants whose keys are remembered, so that no late step opens them again.
+/// Number of closed joint grants whose keys a witness remembers, to refuse late steps.
 const MAX_CLOSED_GRANTS: usize = 4_096;
 
 /// The joint grant of one account at its holder.
 #[derive(Clone, Debug, Serialize)]
 pub struct LocalJointGrant {
-    /// Its key in the record.
+    /// Key in the record.
     pub key: String,
     /// Tokens opened, cumulative.
     pub opened: u64,
-    /// When the witness was asked for a step, in milliseconds, and up to where.
+    /// Step that the witness was asked for: the time of the request, in milliseconds, and the
+    /// tokens opened after the step.
     #[serde(rename = "asked")]
     pub pending_step: Option<(u64, u64)>,
-    /// Whether the witness knows of it, and so hands it back when this holder falls silent.
+    /// Whether the witness knows of the grant, and so returns it if this holder becomes
+    /// unresponsive.
     pub is_watched: bool,
-    /// Set when no step is opened any more.
+    /// Set once no more steps may be opened because the grant is being returned.
     pub closing: bool,
 }
 
-/// A call for tokens that waits for a step.
+/// Another holder's recall whose answer waits for a step to be opened.
 #[derive(Clone, Debug)]
 pub struct DeferredRecall {
-    /// Names the reply.
+    /// Id of the reply.
     pub reply_to: u64,
-    /// The holder that asks.
+    /// Holder that asks for the tokens.
     pub to: String,
-    /// Tokens.
+    /// Tokens asked for.
     pub tokens: u64,
-    /// When it is answered with what there is, in milliseconds.
+    /// When the recall is answered with what is available, in milliseconds.
     pub deadline: u64,
 }
 
-/// What an instance knows as a witness.
+/// State of an instance in its role as a witness.
 #[derive(Debug, Default)]
 pub(crate) struct WitnessState {
-    /// Tokens opened of each joint grant, by its key.
+    /// Tokens opened of each joint grant, by key.
     opened: BTreeMap<String, u64>,
-    /// Joint grants that get no step any more.
+    /// Keys of joint grants whose steps are no longer approved.
     closed: BTreeSet<String>,
+    /// The closed keys, oldest first.
     closed_order: VecDeque<String>,
-    /// Holders that fell silent.
+    /// Holders that became unresponsive.
     pub(crate) unresponsive: BTreeSet<String>,
 }
 
 impl WitnessState {
-    /// Gives its word for a step; returns all that is opened.
-    pub(crate) fn approve_step(&mut self, key: &str, upto: u64) -> u64 {
+    /// Approves a step unless the grant is closed; returns the tokens opened in total.
+    pub(crate) fn approve_step(&mut self, key: &str, up_to: u64) -> u64 {
         let opened = self.opened.entry(key.to_string()).or_default();
         if !self.closed.contains(key) {
-            *opened = upto.max(*opened);
+            *opened = up_to.max(*opened);
         }
         *opened
     }
 
-    /// Stops giving its word, before anything is handed back.
+    /// Stops approving steps of a grant and returns the tokens opened; to be called before the
+    /// unopened part is returned to the record.
     fn close(&mut self, key: &str) -> u64 {
         if self.closed.insert(key.to_string()) {
             self.closed_order.push_back(key.to_string());
@@ -89,15 +96,15 @@
         self.opened.get(key).copied().unwrap_or(0)
     }
 
-    /// Returns whether it is witness to any joint grant of a holder.
+    /// Returns whether this instance is the witness of any joint grant of a holder.
     pub(crate) fn watches(&self, holder: &str) -> bool {
-        let of = |k: &String| parse_joint_key(k).is_some_and(|(h, _)| h == holder);
-        self.opened.keys().any(of)
+        let is_of_holder = |k: &String| parse_joint_key(k).is_some_and(|(h, _)| h == holder);
+        self.opened.keys().any(is_of_holder)
     }
 }
 
 impl Shard {
-    /// Returns the tokens that the account's joint grant has left to open, while that works.
+    /// Returns the unopened tokens of the account's joint grant; 0 while no step can be opened.
     pub(crate) fn joint_remaining(&self, now: u64, name: &str) -> u64 {
         let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         let Some(joint) = joint.filter(|j| !j.closing && !witness_timed_out(now, j)) else {
@@ -109,26 +116,32 @@
         stored.map_or(0, |s| s.granted.saturating_sub(joint.opened))
     }
 
-    /// Returns tokens that the joint grant has opened here, as long as the record shows it.
+    /// Returns the tokens opened of the account's joint grant; 0 unless the record shows the grant.
     pub(crate) fn joint_opened(&self, name: &str) -> u64 {
         let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
-        let shown = joint.filter(|j| {
+        let on_record = joint.filter(|j| {
             self.stored_account(name)
                 .is_some_and(|a| a.joint_grants.contains_key(&j.key))
         });
-        shown.map_or(0, |j| j.opened)
+        on_record.map_or(0, |j| j.opened)
     }
 
-    /// Returns whether grants of an account go to a joint grant.
+    /// Returns whether new grants of an account are added to a joint grant.
     pub(crate) fn uses_joint_grant(&self, now: u64, name: &str) -> bool {
         let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         let usable = joint.is_none_or(|j| !j.closing && !witness_timed_out(now, j));
         self.params.joint_grants && self.witness.is_some() && usable
     }
 
-    /// Asks the witness for a step that covers a lack.
-    pub(crate) fn request_step(&mut self, now: u64, name: &str, lack: u64, out: &mut Vec<Action>) {
-        let left = self.joint_remaining(now, name);
+    /// Asks the witness for a step that covers a shortfall, unless one is pending already.
+    pub(crate) fn request_step(
+        &mut self,
+        now: u64,
+        name: &str,
+        shortfall: u64,
+        out: &mut Vec<Action>,
+    ) {
+        let remaining = self.joint_remaining(now, name);
         let Some(local) = self.local_accounts.get_mut(name) else {
             return;
         };
@@ -136,43 +149,45 @@
         let Some(joint) = local.joint.as_mut().filter(|j| j.pending_step.is_none()) else {
             return;
         };
-        let Some((_, witness)) = parse_joint_key(&joint.key).filter(|_| left > 0) else {
+        let Some((_, witness)) = parse_joint_key(&joint.key).filter(|_| remaining > 0) else {
             return;
         };
-        let upto = joint.opened + lack.max(step).min(left);
-        joint.pending_step = Some((now, upto));
+        let up_to = joint.opened + shortfall.max(step).min(remaining);
+        joint.pending_step = Some((now, up_to));
         out.push(Action::OpenStep {
             account: name.to_string(),
             witness: witness.to_string(),
             key: joint.key.clone(),
-            up_to: upto,
+            up_to,
         });
     }
 
-    /// Takes the witness' answer; none when it did not come.
-    pub(crate) fn on_step_reply(&mut self, name: &str, key: &str, opened: Option<u64>) {
+    /// Handles the witness's answer to a step; `total_opened` is `None` if it did not answer.
+    pub(crate) fn on_step_reply(&mut self, name: &str, key: &str, total_opened: Option<u64>) {
         let local = self.local_accounts.get_mut(name);
         let joint = local.and_then(|l| l.joint.as_mut());
         let Some(joint) = joint.filter(|j| j.key == key && !j.closing) else {
-            // It is being handed back: a step that comes now must not be spent.
+            // The grant is being returned to the record, so this step must not be spent.
             return;
         };
-        let Some((_, upto)) = joint.pending_step.take() else {
+        let Some((_, up_to)) = joint.pending_step.take() else {
             return;
         };
-        match opened {
-            Some(opened) if opened >= upto => {
+        match total_opened {
+            Some(opened) if opened >= up_to => {
                 joint.opened = joint.opened.max(opened);
                 joint.is_watched = true;
             }
-            // The witness has closed it, or does not answer: another one is needed.
+            // The witness closed the grant or did not answer: a grant with another witness is
+            // needed.
             Some(_) | None => joint.closing = true,
         }
     }
 
-    /// Opens the next step before the last one is used up, and tells witnesses of new grants.
+    /// Requests the next step before the last one is used up, and the first step of new grants, by
+    /// which their witnesses learn of them.
     pub(crate) fn open_steps_ahead(&mut self, now: u64, out: &mut Vec<Action>) {
-        let due = |n: &&String| {
+        let needs_step = |n: &&String| {
             let Some(local) = self.local_accounts.get(*n) else {
                 return false;
             };
@@ -180,44 +195,50 @@
             unwatched
                 || self.available(n) < (local.demand_rate(now) * STEP_DEMAND_MS / 2000.0) as u64
         };
-        let names: Vec<String> = self.active_accounts.iter().filter(due).cloned().collect();
+        let names: Vec<String> = self
+            .active_accounts
+            .iter()
+            .filter(needs_step)
+            .cloned()
+            .collect();
         for name in names {
             self.request_step(now, &name, 0, out);
         }
     }
 
-    /// Returns whether the account's joint grant is to be handed back by this holder.
+    /// Returns whether this holder has to return the account's joint grant to the record.
     pub(crate) fn must_close_joint(&self, name: &str) -> bool {
         let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         joint.is_some_and(|j| {
             let witness = parse_joint_key(&j.key).map(|(_, w)| w);
-            let alone = !self.peers.iter().any(|p| Some(p.as_str()) == witness);
-            j.closing || self.role == Role::None || alone
+            let witness_gone = !self.peers.iter().any(|p| Some(p.as_str()) == witness);
+            j.closing || self.role == Role::None || witness_gone
         })
     }
 
-    /// Hands back what was granted to this holder alone, once it has a witness.
+    /// Returns tokens that were granted to this holder alone, once it has a witness.
     ///
-    /// A partner that is late on a busy machine counts as silent for a while, and grants are taken without it
-    /// meanwhile: up to a quarter of a budget, which a crash much later would strand whole.
+    /// A witness that is late on a busy machine counts as unresponsive for a while, and grants are
+    /// taken without it in the meantime: up to a quarter of a budget. Without this, a crash much
+    /// later would strand all of it.
     pub(crate) fn return_unwitnessed(&mut self, now: u64) {
         if self.consecutive_failures > 0 {
             return;
         }
         let names: Vec<String> = self.active_accounts.iter().cloned().collect();
         for name in names {
-            let lone = self.unwitnessed_excess(now, &name);
+            let excess = self.unwitnessed_excess(now, &name);
             let Some(local) = self.local_accounts.get_mut(&name) else {
                 continue;
             };
-            if lone > 0 && local.waiting.is_empty() && local.returning == 0 {
-                local.returning = lone;
+            if excess > 0 && local.waiting.is_empty() && local.returning == 0 {
+                local.returning = excess;
             }
         }
     }
 
-    /// Returns the tokens that were granted to this holder alone, beyond what a holder with a witness keeps of its own; 0 while it has
-    /// none.
+    /// Returns the tokens granted to this holder alone in excess of what a holder with a witness
+    /// keeps in its own grant; 0 while it has no witness.
     pub(crate) fn unwitnessed_excess(&self, now: u64, name: &str) -> u64 {
         if !self.uses_joint_grant(now, name) {
             return 0;
@@ -227,29 +248,34 @@
         };
         let own = self.granted(name).min(self.available(name));
         let total = self.stored_account(name).map_or(0, Account::total);
-        let steps =
+        let kept_steps =
             (local.demand_rate(now) * STEP_DEMAND_MS / 1000.0 * MAX_UNWITNESSED_STEPS) as u64;
-        own.saturating_sub(steps.max(total / UNWITNESSED_DIVISOR))
+        own.saturating_sub(kept_steps.max(total / UNWITNESSED_DIVISOR))
     }
 
-    /// Takes no further step of joint grants that the next write ends.
+    /// Accepts no more steps of the joint grants that the next write closes.
     ///
-    /// A step that came while the write is on its way would be handed back and spent as well.
+    /// A step that arrived while that write is in flight would be both returned and spent.
     pub(crate) fn stop_steps(&mut self) {
-        let ends = |n: &String| self.must_close_joint(n);
+        let closes = |n: &String| self.must_close_joint(n);
         let names: Vec<String> = self
             .active_accounts
             .iter()
-            .filter(|n| ends(n))
+            .filter(|n| closes(n))
             .cloned()
             .collect();
         for name in names {
             let local = self.local_accounts.get_mut(&name).expect("listed above");
-            local.joint.as_mut().expect("must_close found it").closing = true;
+            local
+                .joint
+                .as_mut()
+                .expect("must_close_joint found it")
+                .closing = true;
         }
     }
 
-    /// Returns the joint grants that this witness is to hand back for silent holders.
+    /// Returns account and key of the joint grants that this witness has to return to the record
+    /// because their holders are unresponsive.
     fn joints_to_close(&self, record: &ShardRecord) -> Vec<(String, String)> {
         let mut keys = Vec::new();
         for (name, account) in &record.accounts {
@@ -265,7 +291,7 @@
         keys
     }
 
-    /// Returns whether joint grants of silent holders are to be handed back.
+    /// Returns whether this witness has to return joint grants of unresponsive holders.
     pub(crate) fn has_joints_to_close(&self) -> bool {
         !self.witness_state.unresponsive.is_empty()
             && self
@@ -273,7 +299,8 @@
                 .is_some_and(|r| !self.joints_to_close(r).is_empty())
     }
 
-    /// Hands joint grants of silent holders back; their steps end first.
+    /// Returns the joint grants of unresponsive holders to the record, after it has stopped
+    /// approving their steps.
     pub(crate) fn close_joints_of_unresponsive(&mut self, record: &mut ShardRecord) {
         for (name, key) in self.joints_to_close(record) {
             let opened = self.witness_state.close(&key);
@@ -282,8 +309,11 @@
         }
     }
 
-    /// Writes this holder's joint grant: what is opened, what is added, or its end.
-    pub(crate) fn write_joint(&self, name: &str, number: u64, adds: u64, account: &mut Account) {
+    /// Updates this holder's joint grant in an account to be written: raises the opened tokens,
+    /// adds `added` tokens, or closes the grant.
+    ///
+    /// `number` is the number of the write.
+    pub(crate) fn write_joint(&self, name: &str, number: u64, added: u64, account: &mut Account) {
         let own = account.joint_grant_of(&self.me).map(|(k, _)| k.clone());
         let local = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         if let (Some(key), Some(local)) = (&own, local) {
@@ -294,19 +324,20 @@
             let joint = account.joint_grants.get_mut(key).expect("found above");
             joint.opened = joint.opened.max(local.opened);
         }
-        if adds == 0 {
+        if added == 0 {
             return;
         }
         let key = own.or_else(|| {
             let witness = self.witness.as_ref()?;
-            // The account is part of it: one write makes joint grants for many accounts.
+            // The key contains the account because one write can create joint grants of several
+            // accounts, whose steps must not be mixed up.
             Some(format!("{}+{witness}+{number}+{name}", self.me))
         });
-        let key = key.expect("checked by grants_jointly");
-        account.joint_grants.entry(key).or_default().granted += adds;
+        let key = key.expect("checked by uses_joint_grant");
+        account.joint_grants.entry(key).or_default().granted += added;
     }
 
-    /// Forgets silent holders whose joint grants are all handed back.
+    /// Forgets unresponsive holders whose joint grants have all been returned to the record.
     pub(crate) fn forget_unresponsive(&mut self) {
         let Some(record) = self.snapshot.as_ref().map(|(s, _)| &s.record) else {
             return;
@@ -314,11 +345,11 @@
         let keys = record.accounts.values().flat_map(|a| a.joint_grants.keys());
         let pairs: Vec<_> = keys.filter_map(|k| parse_joint_key(k)).collect();
         let me = self.me.as_str();
-        let silent = &mut self.witness_state.unresponsive;
-        silent.retain(|h| pairs.iter().any(|(holder, w)| h == holder && *w == me));
+        let unresponsive = &mut self.witness_state.unresponsive;
+        unresponsive.retain(|h| pairs.iter().any(|(holder, w)| h == holder && *w == me));
     }
 
-    /// Takes over which joint grant the record shows for each account.
+    /// Updates the joint grants of this holder to what the record shows.
     pub(crate) fn adopt_joints(&mut self) {
         let Some((stored, _)) = &self.snapshot else {
             return;
@@ -341,13 +372,14 @@
             }
         }
         for (name, local) in &mut self.local_accounts {
-            let shown = |j: &LocalJointGrant| {
+            let on_record = |j: &LocalJointGrant| {
                 accounts
                     .get(name)
                     .is_some_and(|a| a.joint_grants.contains_key(&j.key))
             };
-            // Closed by the witness: what was opened is part of the line's grant now.
-            local.joint = local.joint.take().filter(shown);
+            // A grant that is gone was closed, by the witness for instance: its opened tokens are
+            // part of the ledger entry's grant now.
+            local.joint = local.joint.take().filter(on_record);
         }
     }
 }
--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -1,7 +1,14 @@
-//! Prepaid budgets: who may spend how much, decided without I/O.
+//! Decisions on prepaid token budgets, as state machines without I/O.
 //!
-//! The record in the platform's service is the only truth. An instance spends only tokens that the
-//! record grants to it, so instances that can't hear each other can't overspend together.
+//! The accounts are grouped into shards, and the platform's key-value store keeps one record per
+//! shard, which is the source of truth. A *holder*, an incarnation of an instance, spends only
+//! tokens that a record grants to it, so instances that cannot reach each other cannot overspend a
+//! budget together.
+//!
+//! The instance that received a request is its *entry*. It reserves the most that the request can
+//! cost at the *home*, the instance that is responsible for the account's shard, or at a *standby*
+//! in another availability zone. The reservation is a *hold* of the instance that made it. A hold
+//! ends when it is settled: the tokens spent are posted to the record, usually with a bill.
 
 mod archived_bills;
 pub mod grant;
--- a/crates/budget/src/local_account.rs
+++ b/crates/budget/src/local_account.rs
@@ -1,4 +1,4 @@
-//! What a home knows of an account besides the record.
+//! State of an account at one instance that is not, or not yet, in the record.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,61 +8,65 @@
 use crate::joint_grant::{DeferredRecall, LocalJointGrant};
 use crate::msg::{AttemptRef, OperatorCommand, ReserveReply, Settlement};
 
-/// Finished requests remembered for callers that retry.
+/// Number of finished requests remembered per account, to answer callers that retry.
 const MAX_FINISHED: usize = 1024;
-/// How long a finished request is remembered, in milliseconds.
+/// Time for which a finished request is remembered, in milliseconds.
 const FINISHED_TTL_MS: u64 = 600_000;
-/// Requests remembered as given up before they were reserved.
+/// Number of voided reservations remembered per account.
 const MAX_VOIDED: usize = 256;
-/// The demand is averaged over about this long, in milliseconds.
+/// Time constant of the demand's exponential average, in milliseconds.
 const DEMAND_WINDOW_MS: f64 = 5_000.0;
 
-/// Tokens held back for one request.
+/// A hold: tokens reserved for one request.
+///
+/// Holds are printed in the dump.
 #[derive(Clone, Debug, Serialize)]
 pub struct Hold {
-    /// The request's id.
+    /// Id of the request.
     #[serde(rename = "request")]
     pub request_id: String,
     /// Hash of the request's body.
     #[serde(rename = "body")]
     pub body_hash: u64,
-    /// The entries that serve it.
+    /// Incarnations of the entries that serve the request.
     pub entries: SmallVec<[String; 2]>,
-    /// Where it runs.
+    /// Attempt that runs the request.
     #[serde(rename = "at")]
     pub attempt: AttemptRef,
-    /// Tokens.
+    /// Tokens reserved.
     pub tokens: u64,
-    /// Tokens of the same run that are settled already.
+    /// Tokens of the same attempt that were settled before.
     #[serde(rename = "paid")]
     pub settled: u64,
-    /// Set when the bill is made and only an upstream's word on the rest is missing.
+    /// Whether the request is settled and this hold only covers what the upstream may have used in
+    /// addition, until the upstream reports it.
     #[serde(rename = "uncertain")]
     pub unconfirmed: bool,
-    /// When to ask the upstream, once no entry is left.
+    /// When to cancel the attempt and ask the upstream for its usage; `None` while an entry serves
+    /// the request.
     #[serde(rename = "probe_at")]
     pub cancel_at: Option<u64>,
 }
 
-/// A finished request.
+/// A finished request, remembered to answer retries.
 #[derive(Clone, Debug, Serialize)]
 pub struct FinishedRequest {
-    /// The hold's number.
+    /// Number of the request's hold.
     pub hold: u64,
     /// Hash of the request's body.
     pub body_hash: u64,
-    /// Where it ran.
+    /// Attempt that ran the request.
     pub attempt: AttemptRef,
     /// Tokens billed.
     pub tokens: u64,
-    /// When it was forgotten, in milliseconds.
+    /// When it may be forgotten, in milliseconds.
     pub expires_at: u64,
 }
 
 impl FinishedRequest {
-    /// Returns the answer to a retry.
-    pub fn reply(&self, me: &str, body: u64) -> ReserveReply {
-        if self.body_hash != body {
+    /// Returns the answer to a retry with the given hash of its body.
+    pub fn reply(&self, me: &str, body_hash: u64) -> ReserveReply {
+        if self.body_hash != body_hash {
             return ReserveReply::IdReused;
         }
         ReserveReply::Exists {
@@ -74,43 +78,43 @@
     }
 }
 
-/// What a waiting entry wants.
+/// What a waiting reservation asks for.
 #[derive(Clone, Debug)]
 pub enum ReservationKind {
     /// A new hold.
     NewHold {
-        /// The request's id.
+        /// Id of the request.
         request_id: String,
-        /// Hash of its body.
+        /// Hash of the request's body.
         body_hash: u64,
-        /// The entry.
+        /// Incarnation of the entry.
         entry: String,
     },
-    /// More tokens in a hold.
+    /// More tokens for a hold.
     ExtendHold {
-        /// The hold.
+        /// Number of the hold.
         hold: u64,
     },
 }
 
-/// An entry that waits for tokens.
+/// A reservation that waits for tokens.
 #[derive(Clone, Debug)]
 pub struct WaitingReservation {
-    /// Names the reply.
+    /// Id of the reply.
     pub reply_to: u64,
-    /// What it wants.
+    /// What it asks for.
     pub kind: ReservationKind,
-    /// Where it will send the request.
+    /// Attempt that the entry will make.
     pub attempt: AttemptRef,
-    /// Tokens.
+    /// Tokens asked for.
     pub tokens: u64,
     /// Percentage of the free budget that one grant may take.
     pub weight: u8,
-    /// When it came, in milliseconds.
+    /// When it arrived, in milliseconds.
     pub requested_at: u64,
-    /// When it gives up, in milliseconds.
+    /// When it is refused if it still waits, in milliseconds.
     pub deadline: u64,
-    /// Whether the other holders were asked on its behalf.
+    /// Whether the other holders were asked for tokens on its behalf.
     pub recall_sent: bool,
 }
 
@@ -119,67 +123,70 @@
 pub struct PendingSettlement {
     /// The settlement.
     pub settlement: Settlement,
-    /// Replies that wait for it.
+    /// Ids of the replies that wait for it.
     pub reply_to: SmallVec<[u64; 2]>,
-    /// When to ask for a copy in another zone, while replies wait.
+    /// When to send a copy to another zone if replies still wait.
     pub copy_at: u64,
-    /// How often a copy was asked for.
+    /// Number of copies sent so far.
     pub copy_attempts: u32,
 }
 
-/// One account at one home.
+/// State of one account at one instance.
 #[derive(Clone, Debug, Default)]
 pub struct LocalAccount {
     /// Open holds by number.
     pub holds: BTreeMap<u64, Hold>,
-    /// Open holds by request.
+    /// Numbers of the open holds by request id.
     pub hold_by_request: BTreeMap<String, u64>,
-    /// Finished requests.
+    /// Finished requests by request id.
     pub finished: BTreeMap<String, FinishedRequest>,
+    /// Ids of the finished requests, oldest first.
     finished_order: VecDeque<String>,
-    /// Requests that their entry gave up, as `entry/request`.
+    /// Reservations that their entries voided, as `entry/request_id`.
     voided: VecDeque<String>,
-    /// Settlements on their way to the record.
+    /// Settlements that are not in the record yet.
     pub pending: Vec<PendingSettlement>,
-    /// Entries that wait for tokens, first come first.
+    /// Reservations that wait for tokens, in order of arrival.
     pub waiting: VecDeque<WaitingReservation>,
-    /// Tokens handed to other holders, cumulative.
+    /// Tokens transferred to other holders, cumulative by holder.
     pub sent: BTreeMap<String, u64>,
-    /// Tokens received from other holders, cumulative.
+    /// Tokens received from other holders, cumulative by holder.
     pub received: BTreeMap<String, u64>,
-    /// Tokens on their way back to the record: no longer spendable here.
+    /// Tokens that are being returned to the record and can no longer be spent here.
     pub returning: u64,
-    /// Operators' acts on their way to the record.
+    /// Operator commands that are not in the record yet, with the ids of their replies.
     pub commands: Vec<(u64, OperatorCommand)>,
-    /// Recalls without an answer.
+    /// Number of recalls sent to other holders and not answered yet.
     pub open_recalls: u32,
-    /// The joint grant that the record shows.
+    /// Joint grant that the record shows.
     pub joint: Option<LocalJointGrant>,
-    /// Other holders' calls for tokens that wait for a step.
+    /// Other holders' recalls that wait for a step of the joint grant.
     pub deferred_recalls: Vec<DeferredRecall>,
     /// When the account was last used, in milliseconds.
     pub last_used_at: u64,
+    /// Demand as of `demand_at`, in tokens per second.
     demand_rate: f64,
+    /// When the demand was last updated, in milliseconds.
     demand_at: u64,
 }
 
 impl LocalAccount {
-    /// Returns tokens held back for open requests.
+    /// Returns the tokens reserved by open holds.
     pub fn reserved(&self) -> u64 {
         self.holds.values().map(|h| h.tokens).sum()
     }
 
-    /// Returns tokens spent by this holder that the record does not show yet.
+    /// Returns the tokens spent by this holder that are not in the record yet.
     pub fn unrecorded(&self, me: &str) -> u64 {
-        let mine = self.pending.iter().filter(|p| p.settlement.holder == me);
-        mine.map(|p| p.settlement.tokens).sum()
+        let own = self.pending.iter().filter(|p| p.settlement.holder == me);
+        own.map(|p| p.settlement.tokens).sum()
     }
 
     /// Remembers a finished request.
-    pub fn add_finished(&mut self, now: u64, request: String, mut done: FinishedRequest) {
+    pub fn add_finished(&mut self, now: u64, request_id: String, mut done: FinishedRequest) {
         done.expires_at = now + FINISHED_TTL_MS;
-        if self.finished.insert(request.clone(), done).is_none() {
-            self.finished_order.push_back(request);
+        if self.finished.insert(request_id.clone(), done).is_none() {
+            self.finished_order.push_back(request_id);
         }
         while self.finished_order.len() > MAX_FINISHED || self.oldest_is_stale(now) {
             if let Some(old) = self.finished_order.pop_front() {
@@ -196,21 +203,21 @@
         oldest.is_some_and(|d| d.expires_at <= now)
     }
 
-    /// Remembers that an entry will not use a reservation that may still arrive.
-    pub fn add_voided(&mut self, entry: &str, request: &str) {
-        self.voided.push_back(format!("{entry}/{request}"));
+    /// Remembers that an entry voided a reservation; its request may still arrive.
+    pub fn add_voided(&mut self, entry: &str, request_id: &str) {
+        self.voided.push_back(format!("{entry}/{request_id}"));
         if self.voided.len() > MAX_VOIDED {
             self.voided.pop_front();
         }
     }
 
-    /// Returns whether an entry gave a request up before it was reserved.
-    pub fn is_voided(&self, entry: &str, request: &str) -> bool {
-        let name = format!("{entry}/{request}");
-        self.voided.contains(&name)
+    /// Returns whether an entry voided its reservation for a request.
+    pub fn is_voided(&self, entry: &str, request_id: &str) -> bool {
+        let key = format!("{entry}/{request_id}");
+        self.voided.contains(&key)
     }
 
-    /// Counts demand.
+    /// Adds requested tokens to the demand.
     pub fn add_demand(&mut self, now: u64, tokens: u64) {
         let passed = now.saturating_sub(self.demand_at) as f64;
         self.demand_rate *= (-passed / DEMAND_WINDOW_MS).exp();
@@ -219,13 +226,13 @@
         self.last_used_at = now;
     }
 
-    /// Returns the demand, in tokens a second.
+    /// Returns the demand, in tokens per second.
     pub fn demand_rate(&self, now: u64) -> f64 {
         let passed = now.saturating_sub(self.demand_at) as f64;
         self.demand_rate * (-passed / DEMAND_WINDOW_MS).exp()
     }
 
-    /// Returns whether nothing is under way.
+    /// Returns whether there are no holds, pending settlements or waiting reservations.
     pub fn is_idle(&self) -> bool {
         self.holds.is_empty() && self.pending.is_empty() && self.waiting.is_empty()
     }
--- a/crates/budget/src/msg.rs
+++ b/crates/budget/src/msg.rs
@@ -1,333 +1,337 @@
-//! What goes into and comes out of the decisions on budgets.
+//! Events that a shard's state machine handles, actions that it asks for, and the messages in them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::record::{BillSegment, ShardRecord};
 
-/// Where a request runs: one attempt at one upstream.
+/// One attempt to run a request at an upstream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptRef {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: String,
-    /// The name of the attempt there.
+    /// Id of the attempt at that upstream.
     #[serde(rename = "run")]
     pub id: String,
 }
 
-/// A request for tokens to be held back before a dispatch.
+/// A request to reserve tokens, made before a request is sent to an upstream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReserveRequest {
-    /// The customer.
+    /// Name of the customer's account.
     pub account: String,
-    /// The request's id.
+    /// Id of the request.
     #[serde(rename = "request")]
     pub request_id: String,
-    /// Hash of the request's body, to tell a reused id.
+    /// Hash of the request's body, to detect an id that is reused for another request.
     #[serde(rename = "body")]
     pub body_hash: u64,
-    /// The entry's incarnation.
+    /// Incarnation of the entry.
     pub entry: String,
-    /// Where the entry will send it.
+    /// Attempt that the entry will make.
     #[serde(rename = "at")]
     pub attempt: AttemptRef,
-    /// The most that the request can spend.
+    /// Most tokens that the request can cost.
     pub tokens: u64,
     /// Percentage of the free budget that one grant may take.
     pub weight: u8,
 }
 
-/// The answer to a reservation.
+/// Answer to a reservation or to the extension of a hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReserveReply {
-    /// The tokens are held back under this number.
+    /// The tokens are reserved in a hold.
     Held {
-        /// The holder that pays.
+        /// Holder that the tokens are charged to.
         holder: String,
-        /// The hold's number at that holder.
+        /// Number of the hold at that holder.
         hold: u64,
     },
-    /// The entry had given this request up before.
+    /// The entry voided this reservation before, or the hold to extend has ended.
     Voided,
-    /// The request is known: it runs, or ran, at an upstream.
+    /// A request with this id and body is running or was billed.
     Exists {
-        /// The holder that pays.
+        /// Holder that the tokens are charged to.
         holder: String,
-        /// The hold's number at that holder.
+        /// Number of the hold at that holder.
         hold: u64,
-        /// Where it runs.
+        /// Attempt that runs or ran the request.
         #[serde(rename = "at")]
         attempt: AttemptRef,
-        /// The tokens billed, when it is finished.
+        /// Tokens billed, if the request is finished.
         billed: Option<u64>,
     },
-    /// The id was used with another body.
+    /// The request id was used with another body.
     #[serde(rename = "Reused")]
     IdReused,
-    /// The budget can't cover it, and nothing can come back.
+    /// The budget has fewer unspent tokens than requested, wherever they are.
     Exhausted {
-        /// Tokens left.
+        /// Tokens of the budget that are not spent.
         left: u64,
     },
-    /// The budget may cover it, but not from here and now.
+    /// The budget may cover the request, but this instance cannot get the tokens now.
     OutOfReach {
-        /// Milliseconds after which it may be otherwise.
+        /// Time after which a retry may succeed, in milliseconds.
         retry_ms: u64,
     },
 }
 
-/// How sure it is that a settlement lasts.
+/// How durable a settlement is.
+///
+/// The names are sent between instances and written to the request journal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Durability {
-    /// It is in the platform's record.
+    /// It is in the record.
     Recorded,
-    /// Instances in two availability zones hold it, and will post it.
+    /// Instances in two availability zones have it and will post it to the record.
     Copied,
 }
 
-/// The settlement of one hold.
+/// Settlement of one hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Settlement {
-    /// The holder that pays.
+    /// Holder that the tokens are charged to.
     pub holder: String,
-    /// The hold's number at that holder.
+    /// Number of the hold at that holder.
     pub hold: u64,
-    /// The request's id.
+    /// Id of the request.
     #[serde(rename = "request")]
     pub request_id: String,
     /// Tokens spent.
     pub tokens: u64,
-    /// Whether the request is billed for them; else they are written off.
+    /// Whether the tokens are billed; otherwise they are written off.
     pub billed: bool,
     /// Hash of the request's body.
     #[serde(rename = "body")]
     pub body_hash: u64,
-    /// Where it ran.
+    /// Attempt that ran the request.
     #[serde(rename = "at")]
     pub attempt: AttemptRef,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the settlement, in milliseconds since the Unix epoch.
     pub at_ms: u64,
 }
 
-/// Tokens that an upstream may have spent on a run that broke off.
+/// Tokens that an upstream may have used for an attempt that broke off.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnconfirmedUsage {
-    /// Where it ran.
+    /// Attempt that broke off.
     #[serde(rename = "at")]
     pub attempt: AttemptRef,
-    /// The most that it may have spent beyond what is settled.
+    /// Most tokens that it may have used in addition to the settled ones.
     pub tokens: u64,
-    /// Tokens of this run that are settled.
+    /// Tokens of this attempt that are settled.
     #[serde(rename = "paid")]
     pub settled: u64,
 }
 
-/// An operator's act on a budget.
+/// An operator's change to a budget.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum OperatorCommand {
     /// Adds tokens.
     TopUp {
-        /// The act's id.
+        /// Id of the top-up; a repeated id is applied once.
         id: String,
-        /// Tokens.
+        /// Tokens to add.
         tokens: u64,
     },
-    /// Takes back what a vanished holder left unspent.
+    /// Takes back the unspent tokens of a holder that is gone.
     Release {
-        /// The act's id.
+        /// Id of the release; a repeated id is applied once.
         id: String,
-        /// The holder.
+        /// Holder that is gone.
         holder: String,
-        /// Why.
+        /// Reason given by the operator.
         reason: String,
-        /// Who.
+        /// Who released the tokens.
         #[serde(rename = "who")]
         operator: String,
     },
 }
 
-/// The answer to an operator's act.
+/// Answer to an operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorReply {
-    /// It is in force, with this many tokens.
+    /// The record shows it, with this number of tokens.
     Done(u64),
-    /// The id was used for another number of tokens.
+    /// The id was used for this other number of tokens.
     IdReused(u64),
-    /// The platform can't be reached; the act may or may not come into force.
+    /// The platform cannot be reached; the command may or may not take effect.
     Unknown,
 }
 
-/// An input of the decisions.
+/// An input of a shard's state machine.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An entry asks for tokens.
+    /// An entry asks to reserve tokens.
     Reserve {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The request.
+        /// Tokens asked for, and for which request.
         request: ReserveRequest,
-        /// When the asker gives up, in milliseconds.
+        /// When the reservation is refused if it still waits, in milliseconds.
         deadline: u64,
     },
-    /// An entry that repeats a request at another upstream asks for more.
+    /// An entry that retries a request at another upstream asks for more tokens.
     Extend {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The hold.
+        /// Number of the hold.
         hold: u64,
-        /// Where the entry will send it.
+        /// Attempt that the entry will make.
         attempt: AttemptRef,
-        /// Tokens more.
+        /// Tokens to add to the hold.
         tokens: u64,
-        /// When the asker gives up, in milliseconds.
+        /// When the reservation is refused if it still waits, in milliseconds.
         deadline: u64,
     },
-    /// An entry has given up waiting for a reservation, and will not use it.
+    /// An entry has stopped waiting for a reservation and will not use it.
     Void {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The request's id.
+        /// Id of the request.
         request_id: String,
-        /// The entry's incarnation.
+        /// Incarnation of the entry.
         entry: String,
     },
-    /// An entry whose caller left serves a request no more.
+    /// An entry whose caller left no longer serves a request.
     Detach {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The hold.
+        /// Number of the hold.
         hold: u64,
-        /// The entry's incarnation.
+        /// Incarnation of the entry.
         entry: String,
     },
-    /// Another instance asks to keep a copy of a settlement until it is recorded.
+    /// An instance of another availability zone asks to keep a copy of a settlement until the
+    /// record shows it.
     StoreCopy {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The settlement.
+        /// Settlement of the hold.
         settlement: Settlement,
     },
-    /// A hold is settled.
+    /// An entry settles a hold.
     Settle {
-        /// Names the reply, if one is wanted.
+        /// Id of the reply, if one is wanted.
         reply_to: Option<u64>,
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The settlement.
+        /// Settlement of the hold.
         settlement: Settlement,
-        /// What may have been spent besides, for which there is no proof yet.
+        /// Usage that may come in addition and is not confirmed by the upstreams yet.
         unconfirmed: Vec<UnconfirmedUsage>,
     },
-    /// Another holder asks for unspent tokens.
+    /// Another holder recalls unspent tokens: it asks to have them transferred.
     Recall {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The holder that asks.
+        /// Holder that asks.
         to: String,
-        /// Tokens that it lacks.
+        /// Tokens that it is short of.
         tokens: u64,
     },
-    /// Another holder has answered: all it ever handed over.
+    /// Another holder has answered a recall, or did not answer in time.
     RecallReply {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The holder that answered.
+        /// Holder that was asked.
         from: String,
-        /// Tokens, cumulative; none when it did not answer.
+        /// Tokens that it has transferred to this holder, cumulative; `None` if it did not answer.
         total_sent: Option<u64>,
     },
-    /// A holder asks its witness for a step of a joint grant.
+    /// A holder asks this instance, its witness, to approve a step of a joint grant.
     OpenStep {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The joint grant's key.
+        /// Key of the joint grant.
         key: String,
         /// Tokens opened after the step, cumulative.
         up_to: u64,
     },
-    /// The witness has answered.
+    /// The witness has answered a step, or did not answer in time.
     StepReply {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The joint grant's key.
+        /// Key of the joint grant.
         key: String,
-        /// All tokens opened; none when it did not answer.
+        /// Tokens opened, cumulative; `None` if it did not answer.
         total_opened: Option<u64>,
     },
-    /// An operator acts.
+    /// An operator changes a budget.
     Operator {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The act.
+        /// Command of the operator.
         command: OperatorCommand,
     },
-    /// A read has ended; `None` inside when there is no record yet.
+    /// The record was read; `None` if there is none yet.
     RecordRead(Option<RecordSnapshot>),
-    /// A read has failed.
+    /// Reading the record failed.
     ReadFailed,
-    /// A write took effect.
+    /// The write of the record took effect.
     WriteCommitted {
-        /// The new revision.
+        /// New revision of the record.
         revision: i64,
     },
-    /// A write lost to another.
+    /// The record had changed, so the write did not take effect; holds the current record, `None`
+    /// if there is none.
     WriteConflict(Option<RecordSnapshot>),
-    /// A write was refused before it could take effect.
+    /// The write was refused and cannot take effect.
     WriteRefused,
-    /// A write may or may not have taken effect, or may yet.
+    /// The write may have taken effect, or may still do so.
     WriteOutcomeUnknown,
-    /// An instance in another availability zone holds a copy of the settlement.
+    /// An instance of another availability zone has stored a copy of the hold's settlement.
     CopyStored {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The hold.
+        /// Number of the hold.
         hold: u64,
     },
-    /// An entry is gone.
+    /// An instance, which may be an entry or the holder of a joint grant, no longer responds.
     InstanceUnresponsive {
-        /// Its incarnation.
+        /// Incarnation of the instance.
         instance: String,
     },
-    /// An upstream has told what a hold spent.
+    /// An upstream has cancelled an attempt and reported its usage.
     UsageReported {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The hold.
+        /// Number of the hold.
         hold: u64,
-        /// Tokens.
+        /// Tokens that the attempt used.
         tokens: u64,
-        /// When, in milliseconds since the Unix epoch.
+        /// When it was reported, in milliseconds since the Unix epoch.
         at_ms: u64,
     },
-    /// Older bills were written to a value of their own.
+    /// A segment was written, or the write failed (`false`).
     SegmentWritten(bool),
-    /// A value with older bills was read, or could not be.
+    /// A segment was read; `None` if that failed.
     SegmentRead(Option<BillSegment>),
-    /// Time passes.
+    /// Time has passed.
     Tick,
 }
 
-/// A record as it was read.
+/// A record and its revision.
 #[derive(Clone, Debug)]
 pub struct RecordSnapshot {
-    /// The revision of its last write.
+    /// Revision of the record in the store; 0 if it does not exist yet.
     pub revision: i64,
-    /// The record.
+    /// Contents of the record.
     pub record: ShardRecord,
 }
 
 impl Event {
-    /// Returns the customer that it is about, if it is about one.
+    /// Returns the name of the account that the event concerns, if it is a single one.
     pub fn account(&self) -> Option<&str> {
         match self {
-            Event::Reserve { request: req, .. } => Some(&req.account),
+            Event::Reserve { request, .. } => Some(&request.account),
             Event::Extend { account, .. }
             | Event::Void { account, .. }
             | Event::Detach { account, .. }
@@ -344,127 +348,128 @@
     }
 }
 
-/// An output of the decisions.
+/// An output of a shard's state machine, to be carried out by the caller.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Read the record.
     ReadRecord,
-    /// Write the record if its revision is still `base`; 0 means absent.
+    /// Write the record, on condition that its revision has not changed.
     WriteRecord {
-        /// The revision it replaces.
+        /// Revision that is replaced; 0 if the record must not exist.
         base_revision: i64,
-        /// The record.
+        /// New contents of the record.
         record: ShardRecord,
     },
-    /// Write older bills to a value of their own, which must not exist yet.
+    /// Write a segment under a new name.
     WriteSegment {
-        /// Its name.
+        /// Name of the segment.
         name: String,
-        /// The bills.
+        /// Contents of the segment.
         segment: BillSegment,
     },
-    /// Read a value with older bills.
+    /// Read a segment.
     ReadSegment {
-        /// Its name.
+        /// Name of the segment.
         name: String,
     },
-    /// Answer a reservation or an extension.
+    /// Answer a reservation or the extension of a hold.
     ReserveReply {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The answer.
+        /// Answer to send.
         reply: ReserveReply,
     },
     /// Answer a settlement.
     SettleReply {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The answer.
+        /// How durable the settlement is.
         durability: Durability,
     },
-    /// Answer an operator's act.
+    /// Answer an operator's command.
     OperatorReply {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// The answer.
+        /// Answer to send.
         reply: OperatorReply,
     },
     /// Answer another holder's recall.
     RecallReply {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// All tokens ever handed to that holder.
+        /// Tokens transferred to that holder, cumulative.
         total_sent: u64,
     },
-    /// Ask another holder for unspent tokens.
+    /// Recall unspent tokens from another holder.
     Recall {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The holder.
+        /// Holder to ask.
         from: String,
-        /// Tokens that lack.
+        /// Tokens that this holder is short of.
         tokens: u64,
     },
-    /// Ask the witness for a step of a joint grant.
+    /// Ask the witness to approve a step of a joint grant.
     OpenStep {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The witness.
+        /// Incarnation of the witness.
         witness: String,
-        /// The joint grant's key.
+        /// Key of the joint grant.
         key: String,
         /// Tokens opened after the step, cumulative.
         up_to: u64,
     },
-    /// Answer a holder's step.
+    /// Answer a holder that asked for a step of a joint grant.
     StepReply {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// All tokens opened.
+        /// Tokens opened, cumulative.
         total_opened: u64,
     },
-    /// Give a copy of a settlement to an instance in another availability zone.
+    /// Send a copy of a settlement to an instance of another availability zone.
     SendCopy {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The settlement.
+        /// Settlement of the hold.
         settlement: Settlement,
     },
-    /// Cancel an orphaned request at its upstream and read what it spent.
+    /// Cancel an attempt at its upstream and ask for its usage: the request is orphaned, or its
+    /// attempt broke off before the usage was known.
     CancelAttempt {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The hold.
+        /// Number of the hold.
         hold: u64,
-        /// Where it runs.
+        /// Attempt to cancel.
         attempt: AttemptRef,
     },
-    /// Tell an entry that dropped out whether others still serve the request.
+    /// Answer an entry that no longer serves a request.
     DetachReply {
-        /// Names the reply.
+        /// Id of the reply.
         reply_to: u64,
-        /// Whether others do.
+        /// Whether other entries still serve the request.
         others_remain: bool,
     },
-    /// Something an operator may want to know.
+    /// Log something that an operator may want to know.
     Warn(Warning),
 }
 
-/// What an operator may want to know.
+/// Something that an operator may want to know.
 #[derive(Clone, Debug)]
 pub enum Warning {
-    /// An upstream served more than was asked for, and the hold can't cover it.
+    /// An upstream used more tokens than the hold covers.
     ExcessUsage {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// Tokens beyond the hold.
+        /// Tokens in excess of the hold.
         tokens: u64,
     },
-    /// A request was billed before under the same id.
+    /// A request with the same id was billed before.
     DuplicateBill {
-        /// The customer.
+        /// Name of the customer's account.
         account: String,
-        /// The request's id.
+        /// Id of the request.
         request_id: String,
     },
 }
--- a/crates/budget/src/params.rs
+++ b/crates/budget/src/params.rs
@@ -1,35 +1,40 @@
-//! Parameters of a home, and what an instance is to a shard.
+//! Parameters of a shard and the roles of instances in it.
 
 use crate::grant::GrantSizing;
 
-/// What an instance is to a shard.
+/// Role of an instance in a shard.
+///
+/// The names are printed in the dump.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Role {
-    /// Entries ask it first.
+    /// Responsible for the shard: entries ask it first.
     Home,
-    /// Entries of its zone ask it when they can't reach the home.
+    /// First instance of a zone other than the home's: entries ask it when the home does not
+    /// answer, those of its own zone first.
     Standby,
-    /// It hands back what it holds.
+    /// No part in the shard: returns its unspent tokens to the record.
     #[default]
     None,
 }
 
-/// Parameters of a home.
+/// Parameters of a shard's state machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Params {
-    /// How grants are sized.
+    /// Policy for the size of grants.
     pub sizing: GrantSizing,
-    /// Whether other holders are asked before a refusal.
+    /// Whether other holders are asked for unspent tokens before a request is refused.
     pub recall: bool,
-    /// Whether grants are joint, where the zone has another instance.
+    /// Whether grants are joint grants if the zone has another instance as witness.
     pub joint_grants: bool,
-    /// Percentage of the free budget that a standby holds; 0 for none.
+    /// Percentage of the free budget that a standby holds; 0 if standbys hold nothing.
     pub standby_pct: u8,
-    /// How often a standby looks at the record, in milliseconds.
+    /// Interval at which a standby reads the record, in milliseconds.
     pub standby_check_ms: u64,
-    /// How long a settlement may wait for the record before a copy is made, in milliseconds.
+    /// Time a settlement waits for the record write before a copy is sent to another zone, in
+    /// milliseconds.
     pub copy_delay_ms: u64,
-    /// How long an orphaned request waits for its caller, in milliseconds.
+    /// Time an orphaned request waits for its caller to come back before it is cancelled, in
+    /// milliseconds.
     pub orphan_grace_ms: u64,
 }
 
--- a/crates/budget/src/range_set.rs
+++ b/crates/budget/src/range_set.rs
@@ -1,20 +1,22 @@
-//! A set of whole numbers, kept as ranges: mostly one range, since numbers are used in order.
+//! A set of integers stored as inclusive ranges.
+//!
+//! Hold numbers are used in order, so a set is mostly a single range.
 
 use serde::{Deserialize, Serialize};
 
-/// A set of whole numbers.
+/// A set of integers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RangeSet(Vec<(u64, u64)>);
 
 impl RangeSet {
-    /// Returns whether the number is in the set.
+    /// Returns whether a number is in the set.
     pub fn contains(&self, n: u64) -> bool {
         let at = self.0.partition_point(|r| r.1 < n);
         self.0.get(at).is_some_and(|r| r.0 <= n)
     }
 
-    /// Adds a number; returns whether it was new.
+    /// Adds a number; returns false if it was in the set already.
     pub fn insert(&mut self, n: u64) -> bool {
         if self.contains(n) {
             return false;
--- a/crates/budget/src/record_sync.rs
+++ b/crates/budget/src/record_sync.rs
@@ -1,4 +1,4 @@
-//! How a home gets its part into the record: what it reads, writes and adopts.
+//! Synchronisation of a shard with its record: what is read, written and adopted.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,18 @@
 use crate::shard::{stored_operator_reply, PlatformCall, Role, Shard, UnresolvedWrite};
 use crate::write_limiter::WriteLimiter;
 
-/// Bills in a record above which the older half moves to a segment: each commit writes them all.
+/// Number of bills in a record above which the older half moves to a segment, because each write of
+/// the record contains all of them.
 const MAX_RECORD_BILLS: usize = 128;
-/// The same, while the platform has no writes to spare.
+/// The same while the write limiter has no writes to spare.
 const MAX_RECORD_BILLS_BUSY: usize = 512;
-/// Read again when a write waits for the pacer no longer than this, in milliseconds.
+/// Time after its last use at which an empty account is forgotten, in milliseconds.
 const IDLE_ACCOUNT_MS: u64 = 300_000;
 
 impl Shard {
-    /// Serves who waits, then starts the platform call that is due.
-    pub(crate) fn advance(&mut self, now: u64, pacer: &mut WriteLimiter, out: &mut Vec<Action>) {
+    /// Serves the waiting reservations, then starts the next platform call, if one is due and none
+    /// is open.
+    pub(crate) fn advance(&mut self, now: u64, limiter: &mut WriteLimiter, out: &mut Vec<Action>) {
         self.serve_waiting(now, out);
         if self.open_call != PlatformCall::Idle || now < self.retry_at {
             return;
@@ -30,25 +32,27 @@
         } else if let Some(name) = self.missing_segment() {
             self.open_call = PlatformCall::Segment;
             out.push(Action::ReadSegment { name });
-        } else if self.snapshot.is_some() && self.must_archive(now, pacer) {
-            self.write_segment(pacer, now, out);
-        } else if self.snapshot.is_some() && self.needs_write(now) && pacer.try_acquire(now) {
+        } else if self.snapshot.is_some() && self.must_archive(now, limiter) {
+            self.write_segment(limiter, now, out);
+        } else if self.snapshot.is_some() && self.needs_write(now) && limiter.try_acquire(now) {
             self.write_record(now, out);
         }
     }
 
-    /// Returns the segment of older bills to load before more is held or settled.
+    /// Returns the segment to load before reservations are granted or holds are settled.
+    ///
+    /// Without the recent bills a request could be run or billed a second time.
     fn missing_segment(&mut self) -> Option<String> {
         let needs = |l: &LocalAccount| !l.pending.is_empty() || !l.waiting.is_empty();
         if !self.active_local_accounts().any(|(_, l)| needs(l)) {
             return None;
         }
-        let (stored, _) = self.snapshot.as_ref()?;
+        let (snapshot, _) = self.snapshot.as_ref()?;
         self.archived_bills
-            .next_missing(stored.record.last_segment.as_ref())
+            .next_missing(snapshot.record.last_segment.as_ref())
     }
 
-    /// Takes a segment of older bills.
+    /// Handles the end of a segment read; `None` if it failed.
     pub(crate) fn on_segment_read(&mut self, now: u64, segment: Option<BillSegment>) {
         match segment {
             Some(segment) => {
@@ -60,41 +64,42 @@
         }
     }
 
-    /// Returns whether the record lacks something that only a write can bring.
+    /// Returns whether there is anything to write to the record.
     fn needs_write(&mut self, now: u64) -> bool {
         self.standby_check_due = self.standby_check_due && self.standby_needs_grant(now);
-        let any = |(name, l): (&String, &LocalAccount)| {
+        let has_changes = |(name, l): (&String, &LocalAccount)| {
             let local = !l.pending.is_empty() || !l.commands.is_empty() || l.returning > 0;
-            let lacks = self.tokens_to_grant(now, name) > 0 || self.has_unrecorded_transfers(name);
-            local || lacks || self.must_close_joint(name)
+            let tokens = self.tokens_to_grant(now, name) > 0 || self.has_unrecorded_transfers(name);
+            local || tokens || self.must_close_joint(name)
         };
-        let own = self.written_segment.is_some() || self.active_local_accounts().any(any);
+        let own = self.written_segment.is_some() || self.active_local_accounts().any(has_changes);
         own || self.standby_check_due || self.has_joints_to_close()
     }
 
     fn active_local_accounts(&self) -> impl Iterator<Item = (&String, &LocalAccount)> {
-        let hot = self.active_accounts.iter();
-        hot.filter_map(|n| self.local_accounts.get_key_value(n))
+        let names = self.active_accounts.iter();
+        names.filter_map(|n| self.local_accounts.get_key_value(n))
     }
 
-    /// Returns whether a transfer is not in the record yet.
+    /// Returns whether any transfer of an account is not in the record yet.
     ///
-    /// A giver that leaves before would show the tokens as its own, and so as stranded.
+    /// If the sender left before its transfers are recorded, the record would show the tokens as
+    /// its own and so as stranded.
     pub(crate) fn has_unrecorded_transfers(&self, name: &str) -> bool {
         let local = &self.local_accounts[name];
         let stored = self.stored_account(name);
-        let shown = |pair: String| stored.and_then(|a| a.transfers.get(&pair)).copied();
+        let recorded = |pair: String| stored.and_then(|a| a.transfers.get(&pair)).copied();
         let me = &self.me;
         let sent = local.sent.iter().map(|(to, t)| (format!("{me}>{to}"), *t));
-        let got = local
+        let received = local
             .received
             .iter()
             .map(|(from, t)| (format!("{from}>{me}"), *t));
-        sent.chain(got)
-            .any(|(pair, t)| t > shown(pair).unwrap_or(0))
+        sent.chain(received)
+            .any(|(pair, t)| t > recorded(pair).unwrap_or(0))
     }
 
-    /// Returns the tokens to take for an account: for who waits here, or as a standby.
+    /// Returns the tokens to be granted to this holder for the reservations that wait here.
     fn tokens_to_grant(&self, now: u64, name: &str) -> u64 {
         let need = self.grantable(now, name);
         let need = need.saturating_sub(self.joint_remaining(now, name));
@@ -115,21 +120,22 @@
             rate: local.demand_rate(now),
         });
         if self.params.joint_grants && self.witness.is_some() && !self.uses_joint_grant(now, name) {
-            // The witness does not answer: as little as possible without it.
+            // The witness does not answer. All of a grant without it is stranded by a crash, so
+            // take little more than is needed.
             return size.min(need.saturating_mul(2)).min(account.free());
         }
         size
     }
 
-    /// Returns what a standby should add to its own grant of an account.
+    /// Returns the tokens to be added to this holder's grant as a standby.
     fn standby_grant(&self, now: u64, name: &str, account: &Account) -> u64 {
         if self.role != Role::Standby || self.params.standby_pct == 0 {
             return 0;
         }
         let can_be_joint = self.params.joint_grants && self.witness.is_some();
         if can_be_joint && !self.uses_joint_grant(now, name) {
-            // Its joint grant is being handed back: a standby can wait for the next one, and a
-            // grant of its own would strand whole.
+            // Its joint grant is being returned. A standby can wait for the next one, and a crash
+            // would strand all of a grant that is not joint.
             return 0;
         }
         let pct = u128::from(self.params.standby_pct);
@@ -146,25 +152,30 @@
         let Some(record) = self.record() else {
             return false;
         };
-        let lacks = |(name, a): (&String, &Account)| self.standby_grant(now, name, a) > 0;
-        record.accounts.iter().any(lacks)
+        let needs_grant = |(name, a): (&String, &Account)| self.standby_grant(now, name, a) > 0;
+        record.accounts.iter().any(needs_grant)
     }
 
-    fn must_archive(&self, now: u64, pacer: &mut WriteLimiter) -> bool {
-        let most = if pacer.has_spare(now) {
+    fn must_archive(&self, now: u64, limiter: &mut WriteLimiter) -> bool {
+        let max_bills = if limiter.has_spare(now) {
             MAX_RECORD_BILLS
         } else {
             MAX_RECORD_BILLS_BUSY
         };
-        let full = |r: &ShardRecord| r.bill_count() > most;
-        self.role == Role::Home && self.written_segment.is_none() && self.record().is_some_and(full)
+        let is_full = |r: &ShardRecord| r.bill_count() > max_bills;
+        self.role == Role::Home
+            && self.written_segment.is_none()
+            && self.record().is_some_and(is_full)
     }
 
-    fn write_segment(&mut self, pacer: &mut WriteLimiter, now: u64, out: &mut Vec<Action>) {
-        if !pacer.try_acquire(now) {
+    fn write_segment(&mut self, limiter: &mut WriteLimiter, now: u64, out: &mut Vec<Action>) {
+        if !limiter.try_acquire(now) {
             return;
         }
-        let segment = self.record().expect("checked by must_roll").next_segment();
+        let segment = self
+            .record()
+            .expect("checked by must_archive")
+            .next_segment();
         let name = format!("{}.{}", self.me, self.next_write);
         self.next_write += 1;
         self.written_segment = Some((name.clone(), segment.clone()));
@@ -173,17 +184,17 @@
     }
 
     fn write_record(&mut self, now: u64, out: &mut Vec<Action>) {
-        let (stored, _) = self.snapshot.as_ref().expect("checked by pump");
-        let base = stored.revision;
-        let mut record = stored.record.clone();
+        let (snapshot, _) = self.snapshot.as_ref().expect("checked by advance");
+        let base_revision = snapshot.revision;
+        let mut record = snapshot.record.clone();
         let number = self.next_write;
         self.next_write += 1;
-        let mut giving = BTreeMap::new();
+        let mut returning = BTreeMap::new();
         self.stop_steps();
         for (name, local) in self.active_local_accounts() {
             self.write_account(now, number, name, &mut record);
             if local.returning > 0 {
-                giving.insert(name.clone(), local.returning);
+                returning.insert(name.clone(), local.returning);
             }
         }
         self.write_standby(now, number, &mut record);
@@ -191,64 +202,65 @@
         self.close_joints_of_unresponsive(&mut record);
         record.writers.insert(self.me.clone(), number);
         if !record.accounts.values().all(Account::is_covered) {
-            self.recheck_base(now, base);
+            self.recheck_base(now, base_revision);
             return;
         }
         self.unresolved_writes.push(UnresolvedWrite {
             number,
-            base_revision: base,
-            returning: giving,
+            base_revision,
+            returning,
             record: record.clone(),
         });
         self.open_call = PlatformCall::Write { started_at: now };
         out.push(Action::WriteRecord {
-            base_revision: base,
+            base_revision,
             record,
         });
     }
 
-    /// Reads again before a write that would put an overspend in force.
+    /// Requests another read in place of a write that would record an overspend.
     ///
-    /// On a stale record such a write comes about by itself, and would lose anyway: the top-up or
-    /// grant that covers it is missing there.
+    /// On a stale record this is no fault: the top-up or grant that covers the write is missing
+    /// there, and the write would fail anyway.
     ///
     /// # Panics
     ///
-    /// Panics when the record is the current one: something was spent that nobody granted, and
-    /// stopping this instance strands a grant at worst.
-    fn recheck_base(&mut self, now: u64, base: i64) {
-        let read_at = self.snapshot.as_ref().map_or(0, |(_, since)| *since);
-        if let Some((revision, doubted_at)) = self.overspend_base {
+    /// Panics if the record is the current one. Something was spent then that was never granted,
+    /// and stopping this instance strands its grants at worst.
+    fn recheck_base(&mut self, now: u64, base_revision: i64) {
+        let read_at = self.snapshot.as_ref().map_or(0, |(_, at)| *at);
+        if let Some((revision, found_at)) = self.overspend_base {
             assert!(
-                revision != base || read_at < doubted_at,
-                "{}: overspend on the current record, revision {base}",
+                revision != base_revision || read_at < found_at,
+                "{}: overspend on the current record, revision {base_revision}",
                 self.me
             );
         }
         if self
             .overspend_base
-            .is_none_or(|(revision, _)| revision != base)
+            .is_none_or(|(revision, _)| revision != base_revision)
         {
-            self.overspend_base = Some((base, now));
+            self.overspend_base = Some((base_revision, now));
         }
         self.read_requested = true;
     }
 
+    /// Applies everything that this instance has to change in an account.
     fn write_account(&self, now: u64, number: u64, name: &str, record: &mut ShardRecord) {
         let local = &self.local_accounts[name];
-        let wanted = self.tokens_to_grant(now, name);
+        let new_tokens = self.tokens_to_grant(now, name);
         for pending in &local.pending {
-            let has_older = self
+            let in_segment = self
                 .archived_bills
                 .bill(name, &pending.settlement.request_id)
                 .is_some();
-            record.post(name, &pending.settlement, has_older);
+            record.post(name, &pending.settlement, in_segment);
         }
         if local.sent.is_empty()
             && local.received.is_empty()
             && local.commands.is_empty()
             && local.joint.is_none()
-            && wanted + local.returning == 0
+            && new_tokens + local.returning == 0
         {
             return;
         }
@@ -259,32 +271,38 @@
         for (from, tokens) in &local.received {
             raise_transfer(account, format!("{from}>{}", self.me), *tokens);
         }
-        for (_, act) in &local.commands {
-            apply_command(account, act);
+        for (_, command) in &local.commands {
+            apply_command(account, command);
         }
-        let jointly = self.uses_joint_grant(now, name);
-        let (joint, own) = if jointly { (wanted, 0) } else { (0, wanted) };
+        let is_joint = self.uses_joint_grant(now, name);
+        let (joint, own) = if is_joint {
+            (new_tokens, 0)
+        } else {
+            (0, new_tokens)
+        };
         self.write_joint(name, number, joint, account);
         if own + local.returning > 0 {
-            let line = account.ledger.entry(self.me.clone()).or_default();
-            line.granted += own as i64 - local.returning as i64;
+            let entry = account.ledger.entry(self.me.clone()).or_default();
+            entry.granted += own as i64 - local.returning as i64;
         }
     }
 
+    /// Adds to this holder's grants in all accounts as a standby.
     fn write_standby(&self, now: u64, number: u64, record: &mut ShardRecord) {
         if self.role != Role::Standby {
             return;
         }
         for (name, account) in &mut record.accounts {
-            let adds = self.standby_grant(now, name, account).min(account.free());
-            if adds > 0 && self.uses_joint_grant(now, name) {
-                self.write_joint(name, number, adds, account);
-            } else if adds > 0 {
-                account.ledger.entry(self.me.clone()).or_default().granted += adds as i64;
+            let added = self.standby_grant(now, name, account).min(account.free());
+            if added > 0 && self.uses_joint_grant(now, name) {
+                self.write_joint(name, number, added, account);
+            } else if added > 0 {
+                account.ledger.entry(self.me.clone()).or_default().granted += added as i64;
             }
         }
     }
 
+    /// Removes archived bills and retired holders from the record.
     fn write_housekeeping(&self, record: &mut ShardRecord) {
         if let Some((name, segment)) = &self.written_segment {
             record.apply_segment(name, segment);
@@ -294,63 +312,66 @@
         }
     }
 
-    /// Takes over what a read found.
+    /// Handles a record that was read.
     pub(crate) fn on_read(
         &mut self,
         now: u64,
-        stored: Option<RecordSnapshot>,
+        snapshot: Option<RecordSnapshot>,
         out: &mut Vec<Action>,
     ) {
-        let since = match self.open_call {
-            PlatformCall::Read { started_at: since } => since,
+        let started_at = match self.open_call {
+            PlatformCall::Read { started_at } => started_at,
             _ => now,
         };
         self.open_call = PlatformCall::Idle;
         self.consecutive_failures = 0;
         self.retry_at = 0;
-        self.adopt(or_empty(stored), since, out);
+        self.adopt(or_empty(snapshot), started_at, out);
     }
 
-    /// Takes over this home's own write.
+    /// Handles a write that took effect.
     pub(crate) fn on_write_committed(&mut self, revision: i64, out: &mut Vec<Action>) {
-        let Some(proposal) = self.unresolved_writes.last() else {
+        let Some(write) = self.unresolved_writes.last() else {
             return;
         };
-        let record = proposal.record.clone();
+        let record = write.record.clone();
         self.end_write(RecordSnapshot { revision, record }, out);
     }
 
-    /// Takes over the write that came first.
+    /// Handles a write that failed because the record had changed.
     pub(crate) fn on_write_conflict(
         &mut self,
-        stored: Option<RecordSnapshot>,
+        snapshot: Option<RecordSnapshot>,
         out: &mut Vec<Action>,
     ) {
-        self.end_write(or_empty(stored), out);
+        self.end_write(or_empty(snapshot), out);
     }
 
-    fn end_write(&mut self, stored: RecordSnapshot, out: &mut Vec<Action>) {
-        let since = match self.open_call {
-            PlatformCall::Write { started_at: since } => since,
+    fn end_write(&mut self, snapshot: RecordSnapshot, out: &mut Vec<Action>) {
+        let started_at = match self.open_call {
+            PlatformCall::Write { started_at } => started_at,
             _ => 0,
         };
         self.open_call = PlatformCall::Idle;
         self.consecutive_failures = 0;
         self.retry_at = 0;
-        self.adopt(stored, since, out);
+        self.adopt(snapshot, started_at, out);
     }
 
-    /// Makes a record the known one, and finds out which of this home's writes it holds.
-    fn adopt(&mut self, stored: RecordSnapshot, since: u64, out: &mut Vec<Action>) {
+    /// Replaces the known record and updates the local state to it.
+    ///
+    /// `started_at` is when the platform call that returned the record began.
+    fn adopt(&mut self, snapshot: RecordSnapshot, started_at: u64, out: &mut Vec<Action>) {
         if let Some((old, _)) = &self.snapshot {
-            if stored.revision < old.revision {
-                // A store that went back can't be believed: what it granted may be granted twice.
+            if snapshot.revision < old.revision {
+                // A store whose revision goes back cannot be trusted: it could grant the same
+                // tokens again.
                 return;
             }
         }
-        self.resolve_writes(&stored);
-        self.resolve_segment(&stored.record);
-        self.snapshot = Some((stored, since));
+        self.resolve_writes(&snapshot);
+        self.resolve_segment(&snapshot.record);
+        self.snapshot = Some((snapshot, started_at));
         self.standby_check_due = true;
         self.drop_retired();
         self.forget_unresponsive();
@@ -361,7 +382,7 @@
         self.drop_idle_accounts();
     }
 
-    /// Drops a segment that the record names now, or can't name any more.
+    /// Forgets the written segment if the record names it now or can no longer name it.
     fn resolve_segment(&mut self, record: &ShardRecord) {
         let Some((name, segment)) = self.written_segment.take() else {
             return;
@@ -373,44 +394,46 @@
         }
     }
 
-    /// Ends the doubt about writes that have landed or can land no more.
-    fn resolve_writes(&mut self, stored: &RecordSnapshot) {
-        let landed = stored.record.writers.get(&self.me).copied().unwrap_or(0);
-        for proposal in std::mem::take(&mut self.unresolved_writes) {
-            if proposal.number == landed {
-                for (name, tokens) in &proposal.returning {
+    /// Resolves the writes that took effect or can no longer do so.
+    fn resolve_writes(&mut self, snapshot: &RecordSnapshot) {
+        let last_write = snapshot.record.writers.get(&self.me).copied().unwrap_or(0);
+        for write in std::mem::take(&mut self.unresolved_writes) {
+            if write.number == last_write {
+                for (name, tokens) in &write.returning {
                     let local = self
                         .local_accounts
                         .get_mut(name)
-                        .expect("kept while giving");
+                        .expect("kept while returning tokens");
                     local.returning -= tokens;
                 }
-            } else if proposal.base_revision == stored.revision {
-                // Still on its way, perhaps: it can land until the revision moves.
-                self.unresolved_writes.push(proposal);
+            } else if write.base_revision == snapshot.revision {
+                // It may still be in flight and can take effect until the revision changes.
+                self.unresolved_writes.push(write);
             }
         }
     }
 
-    /// Drops transfers with holders that were folded up: they are grants of this holder now.
+    /// Drops transfers with retired holders: the record has added them to this holder's grant.
     fn drop_retired(&mut self) {
-        let Some((stored, _)) = &self.snapshot else {
+        let Some((snapshot, _)) = &self.snapshot else {
             return;
         };
-        let tombstones = &stored.record.tombstones;
+        let tombstones = &snapshot.record.tombstones;
         for local in self.local_accounts.values_mut() {
             local.received.retain(|h, _| !tombstones.contains(h));
             local.sent.retain(|h, _| !tombstones.contains(h));
         }
     }
 
+    /// Raises the transfers received to what the record shows.
     fn adopt_transfers(&mut self) {
-        let Some((stored, _)) = &self.snapshot else {
+        let Some((snapshot, _)) = &self.snapshot else {
             return;
         };
-        for (name, account) in &stored.record.accounts {
+        for (name, account) in &snapshot.record.accounts {
             if account.ledger.contains_key(&self.me) {
-                // A standby's grant came without a request; a stop must find and return it too.
+                // A standby has grants in accounts without requests. A planned stop must find these
+                // accounts to return the tokens.
                 self.local_accounts.entry(name.clone()).or_default();
             }
             for (pair, tokens) in &account.transfers {
@@ -419,53 +442,54 @@
                 };
                 if to == self.me {
                     let local = self.local_accounts.entry(name.clone()).or_default();
-                    let got = local.received.entry(from.to_string()).or_default();
-                    *got = (*got).max(*tokens);
+                    let received = local.received.entry(from.to_string()).or_default();
+                    *received = (*received).max(*tokens);
                 }
             }
         }
     }
 
-    /// Drops settlements and holds that the record shows as settled.
+    /// Drops settlements, copies and holds that the record shows as settled.
     fn drop_recorded(&mut self, out: &mut Vec<Action>) {
-        let Some((stored, _)) = &self.snapshot else {
+        let Some((snapshot, _)) = &self.snapshot else {
             return;
         };
-        let record = &stored.record;
+        let record = &snapshot.record;
         for (name, local) in &mut self.local_accounts {
             local.pending.retain_mut(|p| {
-                let posted = record.is_settled(name, &p.settlement.holder, p.settlement.hold);
-                if posted {
-                    let how = Durability::Recorded;
-                    out.extend(p.reply_to.drain(..).map(|ask| Action::SettleReply {
-                        reply_to: ask,
-                        durability: how,
+                let settled = record.is_settled(name, &p.settlement.holder, p.settlement.hold);
+                if settled {
+                    let durability = Durability::Recorded;
+                    out.extend(p.reply_to.drain(..).map(|reply_to| Action::SettleReply {
+                        reply_to,
+                        durability,
                     }));
                 }
-                !posted
+                !settled
             });
             let me = &self.me;
             local.holds.retain(|n, _| !record.is_settled(name, me, *n));
-            let held = &local.holds;
-            local.hold_by_request.retain(|_, n| held.contains_key(n));
+            let holds = &local.holds;
+            local.hold_by_request.retain(|_, n| holds.contains_key(n));
         }
         self.copies
-            .retain(|(_, a, p)| !record.is_settled(a, &p.holder, p.hold));
+            .retain(|(_, a, s)| !record.is_settled(a, &s.holder, s.hold));
     }
 
+    /// Answers the operator commands that the record shows.
     fn answer_operators(&mut self, out: &mut Vec<Action>) {
-        let Some((stored, _)) = &self.snapshot else {
+        let Some((snapshot, _)) = &self.snapshot else {
             return;
         };
         for (name, local) in &mut self.local_accounts {
-            let Some(account) = stored.record.accounts.get(name) else {
+            let Some(account) = snapshot.record.accounts.get(name) else {
                 continue;
             };
-            local.commands.retain(|(ask, act)| {
-                let reply = stored_operator_reply(account, act);
+            local.commands.retain(|(reply_to, command)| {
+                let reply = stored_operator_reply(account, command);
                 let answered = reply.is_some();
                 out.extend(reply.map(|reply| Action::OperatorReply {
-                    reply_to: *ask,
+                    reply_to: *reply_to,
                     reply,
                 }));
                 !answered
@@ -473,13 +497,14 @@
         }
     }
 
-    /// Forgets accounts that have had nothing here for a while.
+    /// Forgets empty accounts that were not used for a while and have no ledger entry of this
+    /// holder.
     fn drop_idle_accounts(&mut self) {
-        let Some((stored, since)) = &self.snapshot else {
+        let Some((snapshot, started_at)) = &self.snapshot else {
             return;
         };
-        let holds = |n: &String| {
-            let account = stored.record.accounts.get(n);
+        let has_entry = |n: &String| {
+            let account = snapshot.record.accounts.get(n);
             account.is_some_and(|a| a.ledger.contains_key(&self.me))
         };
         self.local_accounts.retain(|n, l| {
@@ -488,39 +513,43 @@
                 && l.commands.is_empty()
                 && l.sent.is_empty()
                 && l.received.is_empty();
-            !(empty && l.returning == 0 && l.last_used_at + IDLE_ACCOUNT_MS < *since && !holds(n))
+            !(empty
+                && l.returning == 0
+                && l.last_used_at + IDLE_ACCOUNT_MS < *started_at
+                && !has_entry(n))
         });
     }
 }
 
-fn or_empty(stored: Option<RecordSnapshot>) -> RecordSnapshot {
-    stored.unwrap_or(RecordSnapshot {
+/// Returns a snapshot, or that of an empty record if there is none yet.
+fn or_empty(snapshot: Option<RecordSnapshot>) -> RecordSnapshot {
+    snapshot.unwrap_or(RecordSnapshot {
         revision: 0,
         record: ShardRecord::default(),
     })
 }
 
-/// Only the larger word counts, so that giver and receiver may both report a transfer.
+/// Raises a transfer to a cumulative number of tokens; sender and receiver may both report it.
 fn raise_transfer(account: &mut Account, pair: String, tokens: u64) {
     if tokens > 0 {
-        let line = account.transfers.entry(pair).or_default();
-        *line = (*line).max(tokens);
+        let recorded = account.transfers.entry(pair).or_default();
+        *recorded = (*recorded).max(tokens);
     }
 }
 
-fn apply_command(account: &mut Account, act: &OperatorCommand) {
-    match act {
+fn apply_command(account: &mut Account, command: &OperatorCommand) {
+    match command {
         OperatorCommand::TopUp { id, tokens } => {
-            // A reused id is answered by `act_reply` from the record, which keeps the first act.
+            // `stored_operator_reply` reports a reused id: the record keeps the first top-up.
             let _ = account.top_up(id, *tokens);
         }
         OperatorCommand::Release {
             id,
             holder,
             reason,
-            operator: who,
+            operator,
         } => {
-            account.release(id, holder, reason, who);
+            account.release(id, holder, reason, operator);
         }
     }
 }
--- a/crates/budget/src/reservation.rs
+++ b/crates/budget/src/reservation.rs
@@ -1,4 +1,4 @@
-//! Who gets tokens, who waits, and who is refused with which reason.
+//! Reservations: which ones get tokens, wait for them, or are refused.
 
 use smallvec::smallvec;
 
@@ -6,42 +6,50 @@
 use crate::msg::{Action, ReserveReply};
 use crate::shard::{PlatformCall, Shard};
 
-/// When to come back for tokens that others hold or have reserved, in milliseconds.
+/// Time after which to retry for tokens that are reserved or that other holders have, in
+/// milliseconds.
 const RETRY_AFTER_MS: u64 = 1_000;
-/// When to come back while the platform is out, in milliseconds.
+/// Time after which to retry while the platform is unavailable, in milliseconds.
 const OUTAGE_RETRY_AFTER_MS: u64 = 5_000;
 
-/// Failed calls in a row after which the platform counts as out.
+/// Number of consecutive failed calls after which the platform counts as unavailable.
 const OUTAGE_FAILURES: u32 = 3;
 
-/// What to do for one waiting entry.
+/// What to do for a waiting reservation.
 enum Decision {
+    /// Keep waiting.
     Wait,
-    Read,
+    /// Read the record first.
+    ReadRecord,
+    /// Recall this many tokens from other holders.
     Recall(u64),
-    Step(u64),
+    /// Open a step of the joint grant with at least this many tokens.
+    OpenStep(u64),
+    /// Refuse the reservation.
     Refuse(ReserveReply),
 }
 
 impl Shard {
+    /// Serves the waiting reservations of all active accounts as far as possible.
     pub(crate) fn serve_waiting(&mut self, now: u64, out: &mut Vec<Action>) {
-        let waits = |(n, l): (&String, &LocalAccount)| (!l.waiting.is_empty()).then(|| n.clone());
-        let hot = self
+        let waiting = |(n, l): (&String, &LocalAccount)| (!l.waiting.is_empty()).then(|| n.clone());
+        let accounts = self
             .active_accounts
             .iter()
             .filter_map(|n| self.local_accounts.get_key_value(n));
-        let names: Vec<String> = hot.filter_map(waits).collect();
+        let names: Vec<String> = accounts.filter_map(waiting).collect();
         for name in names {
             self.reserve_from_available(&name, out);
             self.decide_remaining(now, &name, out);
         }
     }
 
-    /// Serves everyone whose request fits into what is held here.
+    /// Grants the reservations that the tokens available here cover, in order of arrival.
     fn reserve_from_available(&mut self, name: &str, out: &mut Vec<Action>) {
         let last = self.record().and_then(|r| r.last_segment.as_ref());
         if self.consecutive_failures == 0 && !self.archived_bills.covers(last) {
-            // Loaded in a moment: a request that was billed must not run again.
+            // Wait until the recent segments are loaded: they may have a bill of the request, which
+            // must not run again then.
             return;
         }
         self.answer_billed(name, out);
@@ -57,7 +65,7 @@
                 local.waiting.push_back(waiting);
                 continue;
             }
-            let ask = waiting.reply_to;
+            let reply_to = waiting.reply_to;
             let tokens = waiting.tokens;
             let reply = match open_or_extend_hold(local, waiting, next_hold) {
                 Some(hold) => {
@@ -68,15 +76,12 @@
                 }
                 None => ReserveReply::Voided,
             };
-            out.push(Action::ReserveReply {
-                reply_to: ask,
-                reply,
-            });
+            out.push(Action::ReserveReply { reply_to, reply });
         }
         self.next_hold = next_hold;
     }
 
-    /// Answers those whose request was billed at another home.
+    /// Answers the reservations whose requests were billed through another instance.
     fn answer_billed(&mut self, name: &str, out: &mut Vec<Action>) {
         let local = self
             .local_accounts
@@ -85,10 +90,10 @@
         for waiting in std::mem::take(&mut local.waiting) {
             let reply = match &waiting.kind {
                 ReservationKind::NewHold {
-                    request_id: request,
-                    body_hash: body,
+                    request_id,
+                    body_hash,
                     ..
-                } => self.billed_reply(name, request, *body),
+                } => self.billed_reply(name, request_id, *body_hash),
                 ReservationKind::ExtendHold { .. } => None,
             };
             let local = self
@@ -105,6 +110,7 @@
         }
     }
 
+    /// Decides on the reservations that the available tokens do not cover.
     fn decide_remaining(&mut self, now: u64, name: &str, out: &mut Vec<Action>) {
         let local = self
             .local_accounts
@@ -113,18 +119,15 @@
         for mut waiting in std::mem::take(&mut local.waiting) {
             match self.decide(now, name, &waiting) {
                 Decision::Wait => {}
-                Decision::Read => self.read_requested = true,
-                Decision::Recall(lack) => {
+                Decision::ReadRecord => self.read_requested = true,
+                Decision::Recall(shortfall) => {
                     waiting.recall_sent = true;
-                    self.send_recalls(name, lack, out);
+                    self.send_recalls(name, shortfall, out);
                 }
-                Decision::Step(lack) => self.request_step(now, name, lack, out),
+                Decision::OpenStep(shortfall) => self.request_step(now, name, shortfall, out),
                 Decision::Refuse(reply) => {
-                    let ask = waiting.reply_to;
-                    out.push(Action::ReserveReply {
-                        reply_to: ask,
-                        reply,
-                    });
+                    let reply_to = waiting.reply_to;
+                    out.push(Action::ReserveReply { reply_to, reply });
                     continue;
                 }
             }
@@ -147,82 +150,84 @@
             return refuse;
         }
         let available = self.available(name);
-        let lack = waiting.tokens.saturating_sub(available);
-        let left = self.joint_remaining(now, name);
-        if lack <= left {
-            return Decision::Step(lack);
+        let shortfall = waiting.tokens.saturating_sub(available);
+        let unopened = self.joint_remaining(now, name);
+        if shortfall <= unopened {
+            return Decision::OpenStep(shortfall);
         }
-        let lack = lack - left;
+        let shortfall = shortfall - unopened;
         if (1..OUTAGE_FAILURES).contains(&self.consecutive_failures) {
             return Decision::Wait;
         }
         let free = self.stored_account(name).map_or(0, |a| a.free());
         if self.consecutive_failures == 0 {
             if self.snapshot.is_none() {
-                return Decision::Read;
+                return Decision::ReadRecord;
             }
-            if free >= lack && self.can_grant(name, lack) {
+            if free >= shortfall && self.can_grant(name, shortfall) {
                 return Decision::Wait;
             }
             if !self.is_snapshot_since(waiting.requested_at) {
-                return Decision::Read;
+                return Decision::ReadRecord;
             }
             let left = self.remaining(name);
             if waiting.tokens > left {
                 return Decision::Refuse(ReserveReply::Exhausted { left });
             }
         }
-        let open = self.local_accounts.get(name).map_or(0, |l| l.open_recalls);
-        let write_open = matches!(self.open_call, PlatformCall::Write { .. });
-        match (waiting.recall_sent, open) {
+        let open_recalls = self.local_accounts.get(name).map_or(0, |l| l.open_recalls);
+        let is_writing = matches!(self.open_call, PlatformCall::Write { .. });
+        match (waiting.recall_sent, open_recalls) {
             (false, _) if self.params.recall && !self.donors(name).is_empty() => {
-                let granted = if self.consecutive_failures == 0 {
+                let grantable = if self.consecutive_failures == 0 {
                     free
                 } else {
                     0
                 };
-                Decision::Recall(lack.saturating_sub(granted))
+                Decision::Recall(shortfall.saturating_sub(grantable))
             }
             (true, 1..) => Decision::Wait,
-            _ if write_open && self.consecutive_failures == 0 => Decision::Wait,
+            _ if is_writing && self.consecutive_failures == 0 => Decision::Wait,
             _ => refuse,
         }
     }
 
-    fn can_grant(&self, name: &str, lack: u64) -> bool {
+    /// Returns whether the sizing policy allows a grant that covers a shortfall.
+    fn can_grant(&self, name: &str, shortfall: u64) -> bool {
         let Some(account) = self.stored_account(name) else {
             return false;
         };
-        let basis = crate::grant::SizingInput {
-            need: lack,
+        let input = crate::grant::SizingInput {
+            need: shortfall,
             free: account.free(),
             total: account.total(),
             granted: self.granted(name),
             weight: 100,
             rate: 0.0,
         };
-        lack == 0 || self.params.sizing.size(basis) > 0
+        shortfall == 0 || self.params.sizing.size(input) > 0
     }
 
-    /// Returns whether the record was read or written after a time.
-    fn is_snapshot_since(&self, asked_at: u64) -> bool {
+    /// Returns whether the known record comes from a call that began at or after a time.
+    fn is_snapshot_since(&self, time: u64) -> bool {
         self.snapshot
             .as_ref()
-            .is_some_and(|(_, since)| *since >= asked_at)
+            .is_some_and(|(_, started_at)| *started_at >= time)
     }
 
-    /// Returns the tokens of an account that nobody has spent.
+    /// Returns the tokens of an account that are not spent, as far as known here.
     fn remaining(&self, name: &str) -> u64 {
-        let unposted = self
+        let unrecorded = self
             .local_accounts
             .get(name)
             .map_or(0, |l| l.unrecorded(&self.me));
         let stored = self.stored_account(name);
         let left = stored.map_or(0, |a| a.total().saturating_sub(a.settled()));
-        left.saturating_sub(unposted)
+        left.saturating_sub(unrecorded)
     }
 
-    /// Returns the largest sum of waiting requests that a grant can serve.
+    /// Returns the tokens that have to be granted to serve the waiting reservations, without those
+    /// that the budget cannot cover.
     pub(crate) fn grantable(&self, now: u64, name: &str) -> u64 {
         let Some(account) = self.stored_account(name) else {
             return 0;
@@ -231,15 +236,16 @@
         let available = self.available(name);
         let mut sum = 0;
         for waiting in &self.local_accounts[name].waiting {
-            let lack = (sum + waiting.tokens).saturating_sub(available);
-            if lack <= free {
+            let shortfall = (sum + waiting.tokens).saturating_sub(available);
+            if shortfall <= free {
                 sum += waiting.tokens;
             }
         }
         sum.saturating_sub(available)
     }
 
-    fn send_recalls(&mut self, name: &str, lack: u64, out: &mut Vec<Action>) {
+    /// Recalls tokens from all holders that may have unspent ones.
+    fn send_recalls(&mut self, name: &str, shortfall: u64, out: &mut Vec<Action>) {
         let donors = self.donors(name);
         let local = self
             .local_accounts
@@ -250,23 +256,23 @@
             out.push(Action::Recall {
                 account: name.to_string(),
                 from,
-                tokens: lack,
+                tokens: shortfall,
             });
         }
     }
 
-    /// Returns the living holders that may hold unspent tokens.
+    /// Returns the live holders that have unspent tokens on record.
     fn donors(&self, name: &str) -> Vec<String> {
         let Some(account) = self.stored_account(name) else {
             return Vec::new();
         };
         let peers = self.peers.iter().filter(|p| **p != self.me);
-        let has = |p: &&String| account.unspent(p) + account.unopened(p) > 0;
-        peers.filter(has).cloned().collect()
+        let has_tokens = |p: &&String| account.unspent(p) + account.unopened(p) > 0;
+        peers.filter(has_tokens).cloned().collect()
     }
 }
 
-/// Opens or widens a hold; none when the hold to widen is gone.
+/// Opens or extends a hold and returns its number; `None` if the hold to extend has ended.
 fn open_or_extend_hold(
     local: &mut LocalAccount,
     waiting: WaitingReservation,
@@ -274,14 +280,14 @@
 ) -> Option<u64> {
     match waiting.kind {
         ReservationKind::NewHold {
-            request_id: request,
-            body_hash: body,
+            request_id,
+            body_hash,
             entry,
         } => {
-            local.hold_by_request.insert(request.clone(), next_hold);
-            let held = Hold {
-                request_id: request,
-                body_hash: body,
+            local.hold_by_request.insert(request_id.clone(), next_hold);
+            let new = Hold {
+                request_id,
+                body_hash,
                 entries: smallvec![entry],
                 attempt: waiting.attempt,
                 tokens: waiting.tokens,
@@ -289,13 +295,13 @@
                 unconfirmed: false,
                 cancel_at: None,
             };
-            local.holds.insert(next_hold, held);
+            local.holds.insert(next_hold, new);
             Some(next_hold)
         }
         ReservationKind::ExtendHold { hold } => {
-            let held = local.holds.get_mut(&hold)?;
-            held.tokens += waiting.tokens;
-            held.attempt = waiting.attempt;
+            let extended = local.holds.get_mut(&hold)?;
+            extended.tokens += waiting.tokens;
+            extended.attempt = waiting.attempt;
             Some(hold)
         }
     }
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -1,7 +1,7 @@
-//! One shard at one instance: holds, settlements and the record they go to.
+//! State machine of one shard at one instance: its holds, its settlements and its record.
 //!
-//! The machine has at most one platform call open. It never repeats a write blindly: after an
-//! unknown outcome it reads, and finds its own write again by the number it carries.
+//! At most one platform call is open at a time. A write with an unknown outcome is never simply
+//! repeated: the record is read first, and the number in it tells whether the write took effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,87 +20,103 @@
 use crate::record::{Account, BillSegment, ShardRecord};
 use crate::write_limiter::WriteLimiter;
 
-/// First wait after a failed platform call, in milliseconds.
+/// Base of the exponential backoff after failed platform calls, in milliseconds.
 const BACKOFF_BASE_MS: u64 = 100;
-/// Longest wait after failed platform calls, in milliseconds.
+/// Upper bound of the backoff, in milliseconds.
 const BACKOFF_MAX_MS: u64 = 5_000;
-/// How long a copy of another holder's settlement is kept before it is posted from here.
+/// Time after which an instance posts its copy of another holder's settlement, in milliseconds.
 const COPY_POST_DELAY_MS: u64 = 3_000;
-/// Pause between two attempts to learn what an orphaned request spent, in milliseconds.
+/// Interval at which cancelling an attempt is retried until its usage is known, in milliseconds.
 pub(crate) const CANCEL_RETRY_MS: u64 = 5_000;
-/// Pause between two requests for a copy of a settlement, in milliseconds.
+/// First interval at which sending a copy of a settlement is retried, in milliseconds.
 pub(crate) const COPY_RETRY_MS: u64 = 500;
-/// How long a call for tokens waits for a step of a joint grant, in milliseconds.
+/// Time for which a recall waits for a step of a joint grant, in milliseconds.
 pub(crate) const RECALL_STEP_WAIT_MS: u64 = 300;
-/// How long an account that was used is looked at, in milliseconds.
+/// Time for which an account stays active after its last use, in milliseconds.
 const ACTIVE_MS: u64 = 5_000;
 
-/// The platform call that is open.
+/// The open platform call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PlatformCall {
-    /// None.
+    /// No call is open.
     Idle,
-    /// A read.
+    /// A read of the record.
     Read {
-        /// When it began.
+        /// When it began, in milliseconds.
         started_at: u64,
     },
     /// A write of the record.
     Write {
-        /// When it began.
+        /// When it began, in milliseconds.
         started_at: u64,
     },
-    /// A write of a segment.
+    /// A read or write of a segment.
     Segment,
 }
 
-/// A write whose effect on `giving` is not known yet.
+/// A write of which it is not known yet whether it took effect.
 #[derive(Clone, Debug)]
 pub(crate) struct UnresolvedWrite {
+    /// Number of the write.
     pub(crate) number: u64,
+    /// Revision that it replaces.
     pub(crate) base_revision: i64,
+    /// Tokens that it returns, by account.
     pub(crate) returning: BTreeMap<String, u64>,
+    /// Record that it writes.
     pub(crate) record: ShardRecord,
 }
 
-/// One shard at one instance.
+/// State of one shard at one instance.
 pub struct Shard {
-    /// This incarnation.
+    /// Incarnation of this instance.
     pub(crate) me: String,
     pub(crate) params: Params,
     pub(crate) role: Role,
-    /// The other holders that seem to live.
+    /// Live instances of the region, including this one.
     pub(crate) peers: Vec<String>,
-    /// The instance that gives its word for steps of new joint grants.
+    /// Witness of new joint grants.
     pub(crate) witness: Option<String>,
-    /// What this instance knows as a witness for others.
+    /// State of this instance as a witness of other holders.
     pub(crate) witness_state: WitnessState,
-    /// The record as last read or written, with the time at which that call began.
+    /// Record as last read or written, and the time at which that call began.
     pub(crate) snapshot: Option<(RecordSnapshot, u64)>,
     pub(crate) open_call: PlatformCall,
+    /// Writes that may have taken effect or may still do so.
     pub(crate) unresolved_writes: Vec<UnresolvedWrite>,
     pub(crate) local_accounts: BTreeMap<String, LocalAccount>,
-    /// Accounts that something may have to be done for.
+    /// Accounts for which there may be something to do.
     pub(crate) active_accounts: BTreeSet<String>,
-    /// Whether a standby's own grants are to be looked at.
+    /// Whether to check if this standby needs more grants.
     pub(crate) standby_check_due: bool,
+    /// Number of the next hold.
     pub(crate) next_hold: u64,
+    /// Number of the next write.
     pub(crate) next_write: u64,
+    /// Failed platform calls since the last successful one.
     pub(crate) consecutive_failures: u32,
+    /// Earliest time of the next platform call, in milliseconds.
     pub(crate) retry_at: u64,
+    /// Whether the record is to be read again.
     pub(crate) read_requested: bool,
+    /// Copies of other holders' settlements, each with the time at which it is to be posted and its
+    /// account.
     pub(crate) copies: Vec<(u64, String, Settlement)>,
+    /// Segment that was written and that the record does not name yet.
     pub(crate) written_segment: Option<(String, BillSegment)>,
+    /// Recent bills that were moved out of the record.
     pub(crate) archived_bills: ArchivedBills,
+    /// Holders to retire.
     pub(crate) departed: Vec<String>,
+    /// When a standby reads the record again, in milliseconds.
     pub(crate) next_standby_check: u64,
-    /// A revision on which a write would have overspent, and when that was found: a read since
-    /// then tells whether the revision was stale.
+    /// Revision on which a write would have recorded an overspend, and when that was found. A read
+    /// that began later tells whether the revision was stale.
     pub(crate) overspend_base: Option<(i64, u64)>,
 }
 
 impl Shard {
-    /// Opens a home that knows nothing yet.
+    /// Creates the state of a shard whose record is not known yet.
     pub fn new(me: &str, params: Params) -> Shard {
         Shard {
             me: me.to_string(),
@@ -129,7 +145,8 @@
         }
     }
 
-    /// Sets what this instance is to the shard, and which other holders seem to live.
+    /// Sets the role of this instance, the live instances of the region, and the witness of new
+    /// joint grants.
     pub fn set_role(&mut self, role: Role, peers: Vec<String>, witness: Option<String>) {
         self.role = role;
         self.witness_state
@@ -142,17 +159,17 @@
             .extend(self.local_accounts.keys().cloned());
     }
 
-    /// Returns what this instance is to the shard.
+    /// Returns the role of this instance in the shard.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Returns the record as last known.
+    /// Returns the record as last read or written.
     pub fn record(&self) -> Option<&ShardRecord> {
         self.snapshot.as_ref().map(|(s, _)| &s.record)
     }
 
-    /// Returns the accounts with something here.
+    /// Returns the accounts that this instance has state for.
     pub fn local_accounts(&self) -> &BTreeMap<String, LocalAccount> {
         &self.local_accounts
     }
@@ -162,45 +179,46 @@
         self.consecutive_failures > 0
     }
 
-    /// Returns whether something waits for time or for the platform.
+    /// Returns whether anything waits for time to pass or for the platform.
     pub fn is_busy(&self) -> bool {
-        let busy = |l: &LocalAccount| {
+        let is_busy = |l: &LocalAccount| {
             !l.pending.is_empty() || !l.waiting.is_empty() || !l.commands.is_empty()
         };
-        self.open_call != PlatformCall::Idle || self.local_accounts.values().any(busy)
+        self.open_call != PlatformCall::Idle || self.local_accounts.values().any(is_busy)
     }
 
-    /// Returns whether nothing is left to settle or hand back.
+    /// Returns whether nothing is left to settle or to return to the record.
     pub fn is_drained(&self) -> bool {
-        let clear = |(name, l): (&String, &LocalAccount)| {
-            let quiet =
+        let is_drained = |(name, l): (&String, &LocalAccount)| {
+            let is_idle =
                 l.is_idle() && l.commands.is_empty() && l.open_recalls == 0 && l.joint.is_none();
-            let empty = l.returning == 0 && self.available(name) == 0;
-            quiet && empty && !self.has_unrecorded_transfers(name)
+            let is_empty = l.returning == 0 && self.available(name) == 0;
+            is_idle && is_empty && !self.has_unrecorded_transfers(name)
         };
         self.open_call == PlatformCall::Idle
             && self.copies.is_empty()
-            && self.local_accounts.iter().all(clear)
+            && self.local_accounts.iter().all(is_drained)
     }
 
-    /// Returns what this holder may still promise of an account.
+    /// Returns the tokens of an account that this holder can still reserve, transfer or return.
     ///
     /// # Panics
     ///
-    /// Panics when more was promised than is held, unless an operator took tokens back from this
-    /// living holder: that act is allowed to, and is refused new work instead.
+    /// Panics if more tokens are committed than this holder has. The exception is an operator's
+    /// release of tokens of this holder while it was live: none are available then, so new
+    /// reservations are refused.
     pub fn available(&self, account: &str) -> u64 {
         let none = LocalAccount::default();
         let local = self.local_accounts.get(account).unwrap_or(&none);
         let stored = self.record().and_then(|r| r.accounts.get(account));
-        let line = stored.and_then(|a| a.ledger.get(&self.me));
+        let entry = stored.and_then(|a| a.ledger.get(&self.me));
         let (granted, settled, released) =
-            line.map_or((0, 0, 0), |l| (l.granted, l.settled, l.released));
-        let got: u64 = local.received.values().sum();
+            entry.map_or((0, 0, 0), |l| (l.granted, l.settled, l.released));
+        let received: u64 = local.received.values().sum();
         let sent: u64 = local.sent.values().sum();
         let opened = self.joint_opened(account);
-        let has: i128 = i128::from(granted) + i128::from(got) + i128::from(opened);
-        let owes = [
+        let held: i128 = i128::from(granted) + i128::from(received) + i128::from(opened);
+        let committed = [
             settled,
             released,
             sent,
@@ -208,21 +226,22 @@
             local.reserved(),
             local.unrecorded(&self.me),
         ];
-        let left = has - owes.iter().map(|t| i128::from(*t)).sum::<i128>();
+        let available = held - committed.iter().map(|t| i128::from(*t)).sum::<i128>();
         assert!(
-            left >= 0 || released > 0,
-            "{account} at {}: has {has}, owes {owes:?}",
+            available >= 0 || released > 0,
+            "{account} at {}: committed tokens {committed:?} (settled, released, sent, returning, \
+             reserved, unrecorded) exceed the {held} held",
             self.me
         );
-        left.max(0) as u64
+        available.max(0) as u64
     }
 
-    /// Takes one event and appends what follows from it.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn step(
         &mut self,
         now: u64,
         event: Event,
-        pacer: &mut WriteLimiter,
+        limiter: &mut WriteLimiter,
         out: &mut Vec<Action>,
     ) {
         if let Some(account) = event.account() {
@@ -230,89 +249,93 @@
         }
         match event {
             Event::Reserve {
-                reply_to: ask,
-                request: req,
+                reply_to,
+                request,
                 deadline,
-            } => self.reserve(now, ask, req, deadline, out),
+            } => self.reserve(now, reply_to, request, deadline, out),
             Event::Extend {
-                reply_to: ask,
+                reply_to,
                 account,
                 hold,
-                attempt: at,
+                attempt,
                 tokens,
                 deadline,
-            } => self.extend(now, ask, &account, hold, at, tokens, deadline, out),
+            } => self.extend(
+                now, reply_to, &account, hold, attempt, tokens, deadline, out,
+            ),
             Event::Void {
                 account,
-                request_id: request,
+                request_id,
                 entry,
-            } => self.void(now, &account, &request, &entry),
+            } => self.void(now, &account, &request_id, &entry),
             Event::Settle {
-                reply_to: ask,
+                reply_to,
                 account,
-                settlement: post,
-                unconfirmed: doubts,
-            } => self.settle(now, ask, &account, post, &doubts, out),
+                settlement,
+                unconfirmed,
+            } => self.settle(now, reply_to, &account, settlement, &unconfirmed, out),
             Event::Detach {
-                reply_to: ask,
+                reply_to,
                 account,
                 hold,
                 entry,
-            } => self.detach(ask, &account, hold, &entry, out),
+            } => self.detach(reply_to, &account, hold, &entry, out),
             Event::StoreCopy {
                 account,
-                settlement: post,
-            } => self.copies.push((now + COPY_POST_DELAY_MS, account, post)),
+                settlement,
+            } => self
+                .copies
+                .push((now + COPY_POST_DELAY_MS, account, settlement)),
             Event::Recall {
-                reply_to: ask,
+                reply_to,
                 account,
                 to,
                 tokens,
-            } => self.on_recall(now, ask, &account, to, tokens, out),
+            } => self.on_recall(now, reply_to, &account, to, tokens, out),
             Event::OpenStep {
-                reply_to: ask,
+                reply_to,
                 key,
-                up_to: upto,
+                up_to,
             } => {
-                let opened = self.witness_state.approve_step(&key, upto);
+                let total_opened = self.witness_state.approve_step(&key, up_to);
                 out.push(Action::StepReply {
-                    reply_to: ask,
-                    total_opened: opened,
+                    reply_to,
+                    total_opened,
                 });
             }
             Event::StepReply {
                 account,
                 key,
-                total_opened: opened,
+                total_opened,
             } => {
-                self.on_step_reply(&account, &key, opened);
+                self.on_step_reply(&account, &key, total_opened);
                 self.answer_deferred_recalls(now, &account, true, out);
             }
             Event::RecallReply {
                 account,
                 from,
-                total_sent: sent,
-            } => self.on_recall_reply(&account, from, sent),
+                total_sent,
+            } => self.on_recall_reply(&account, from, total_sent),
             Event::Operator {
-                reply_to: ask,
+                reply_to,
                 account,
-                command: act,
+                command,
             } => {
                 let local = self.local_accounts.entry(account).or_default();
-                local.commands.push((ask, act));
+                local.commands.push((reply_to, command));
             }
-            Event::RecordRead(stored) => self.on_read(now, stored, out),
+            Event::RecordRead(snapshot) => self.on_read(now, snapshot, out),
             Event::ReadFailed | Event::WriteRefused => self.on_call_failed(now),
             Event::WriteCommitted { revision } => self.on_write_committed(revision, out),
-            Event::WriteConflict(stored) => self.on_write_conflict(stored, out),
+            Event::WriteConflict(snapshot) => self.on_write_conflict(snapshot, out),
             Event::WriteOutcomeUnknown => {
                 self.on_call_failed(now);
                 self.read_requested = true;
             }
-            Event::SegmentWritten(done) => self.on_segment_written(now, done),
+            Event::SegmentWritten(written) => self.on_segment_written(now, written),
             Event::CopyStored { account, hold } => self.on_copy_stored(&account, hold, out),
-            Event::InstanceUnresponsive { instance: entry } => {
-                self.on_instance_unresponsive(now, &entry)
+            Event::InstanceUnresponsive { instance } => {
+                self.on_instance_unresponsive(now, &instance)
             }
             Event::UsageReported {
                 account,
@@ -323,76 +346,84 @@
             Event::SegmentRead(segment) => self.on_segment_read(now, segment),
             Event::Tick => self.tick(now, out),
         }
-        self.advance(now, pacer, out);
+        self.advance(now, limiter, out);
         self.prune_active(now);
     }
 
-    /// Forgets the accounts that nothing has to be done for.
+    /// Removes the accounts for which there is nothing to do from the active ones.
     ///
-    /// Without this every event would cost time by the number of budgets in the shard.
+    /// Without this each event would take time in proportion to the number of accounts in the
+    /// shard.
     pub(crate) fn prune_active(&mut self, now: u64) {
-        let hot = std::mem::take(&mut self.active_accounts);
-        let busy = |n: &String| {
+        let active = std::mem::take(&mut self.active_accounts);
+        let stays_active = |n: &String| {
             let Some(l) = self.local_accounts.get(n) else {
                 return false;
             };
             let unwatched = l.joint.as_ref().is_some_and(|j| !j.is_watched);
-            let waits = !l.is_idle()
+            let has_work = !l.is_idle()
                 || !l.commands.is_empty()
                 || !l.deferred_recalls.is_empty()
                 || l.returning > 0;
             let recent = now < l.last_used_at + ACTIVE_MS;
-            let lone = self.unwitnessed_excess(now, n) > 0;
+            let has_excess = self.unwitnessed_excess(now, n) > 0;
             let unwritten = self.must_close_joint(n) || self.has_unrecorded_transfers(n);
-            unwatched || waits || recent || lone || unwritten
+            unwatched || has_work || recent || has_excess || unwritten
         };
-        self.active_accounts = hot.into_iter().filter(busy).collect();
+        self.active_accounts = active.into_iter().filter(stays_active).collect();
     }
 
+    /// Answers a reservation if its request is known already, or else lets it wait for tokens.
     pub(crate) fn reserve(
         &mut self,
         now: u64,
-        ask: u64,
-        req: ReserveRequest,
+        reply_to: u64,
+        request: ReserveRequest,
         deadline: u64,
         out: &mut Vec<Action>,
     ) {
         let me = self.me.clone();
-        let account = req.account;
+        let account = request.account;
         let local = self.local_accounts.entry(account.clone()).or_default();
-        if let Some(reply) = reply_if_known(&me, local, &req.request_id, req.body_hash, &req.entry)
-        {
-            out.push(Action::ReserveReply {
-                reply_to: ask,
-                reply,
-            });
+        if let Some(reply) = reply_if_known(
+            &me,
+            local,
+            &request.request_id,
+            request.body_hash,
+            &request.entry,
+        ) {
+            out.push(Action::ReserveReply { reply_to, reply });
             return;
         }
-        let local = self.local_accounts.get_mut(&account).expect("made above");
-        local.add_demand(now, req.tokens);
+        let local = self
+            .local_accounts
+            .get_mut(&account)
+            .expect("created above");
+        local.add_demand(now, request.tokens);
         local.waiting.push_back(WaitingReservation {
-            reply_to: ask,
+            reply_to,
             kind: ReservationKind::NewHold {
-                request_id: req.request_id,
-                body_hash: req.body_hash,
-                entry: req.entry,
+                request_id: request.request_id,
+                body_hash: request.body_hash,
+                entry: request.entry,
             },
-            attempt: req.attempt,
-            tokens: req.tokens,
-            weight: req.weight,
+            attempt: request.attempt,
+            tokens: request.tokens,
+            weight: request.weight,
             requested_at: now,
             deadline,
             recall_sent: false,
         });
     }
 
+    /// Lets the extension of a hold wait for tokens.
     pub(crate) fn extend(
         &mut self,
         now: u64,
-        ask: u64,
+        reply_to: u64,
         account: &str,
         hold: u64,
-        at: AttemptRef,
+        attempt: AttemptRef,
         tokens: u64,
         deadline: u64,
         out: &mut Vec<Action>,
@@ -400,16 +431,13 @@
         let local = self.local_accounts.entry(account.to_string()).or_default();
         if !local.holds.contains_key(&hold) {
             let reply = ReserveReply::Voided;
-            out.push(Action::ReserveReply {
-                reply_to: ask,
-                reply,
-            });
+            out.push(Action::ReserveReply { reply_to, reply });
             return;
         }
         local.waiting.push_back(WaitingReservation {
-            reply_to: ask,
+            reply_to,
             kind: ReservationKind::ExtendHold { hold },
-            attempt: at,
+            attempt,
             tokens,
             weight: 100,
             requested_at: now,
@@ -418,6 +446,7 @@
         });
     }
 
+    /// Handles a failed platform call: the next one waits for an exponential backoff with jitter.
     pub(crate) fn on_call_failed(&mut self, now: u64) {
         self.open_call = PlatformCall::Idle;
         self.consecutive_failures += 1;
@@ -425,17 +454,19 @@
         self.retry_at = now + wait / 2 + self.jitter(wait / 2);
     }
 
-    /// Spreads retries, so that the instances don't all come back at once after an outage.
-    pub(crate) fn jitter(&self, most: u64) -> u64 {
+    /// Returns a delay below `max`, which keeps the instances from all retrying at the same time
+    /// after an outage.
+    pub(crate) fn jitter(&self, max: u64) -> u64 {
         let seed = format!(
             "{}/{}/{}",
             self.me, self.next_write, self.consecutive_failures
         );
-        xxh3_64(seed.as_bytes()) % most.max(1)
+        xxh3_64(seed.as_bytes()) % max.max(1)
     }
 
-    pub(crate) fn on_segment_written(&mut self, now: u64, done: bool) {
-        if done {
+    /// Handles the end of a segment write.
+    pub(crate) fn on_segment_written(&mut self, now: u64, written: bool) {
+        if written {
             self.open_call = PlatformCall::Idle;
             self.consecutive_failures = 0;
         } else {
@@ -444,40 +475,43 @@
         }
     }
 
+    /// Does what is due at this time.
     pub(crate) fn tick(&mut self, now: u64, out: &mut Vec<Action>) {
         self.post_due_copies(now);
         self.open_steps_ahead(now, out);
-        let called =
+        let deferred =
             |(n, l): (&String, &LocalAccount)| (!l.deferred_recalls.is_empty()).then(|| n.clone());
-        let hot = self
+        let accounts = self
             .active_accounts
             .iter()
             .filter_map(|n| self.local_accounts.get_key_value(n));
-        let called: Vec<String> = hot.filter_map(called).collect();
-        for name in called {
+        let names: Vec<String> = accounts.filter_map(deferred).collect();
+        for name in names {
             self.answer_deferred_recalls(now, &name, false, out);
         }
         self.send_due_copies(now, out);
         self.cancel_due_attempts(now, out);
         self.return_unspent();
         self.return_unwitnessed(now);
-        let look = self.role == Role::Standby && self.params.standby_pct > 0;
-        if look && now >= self.next_standby_check {
+        let is_standby = self.role == Role::Standby && self.params.standby_pct > 0;
+        if is_standby && now >= self.next_standby_check {
             self.next_standby_check = now + self.params.standby_check_ms;
             self.read_requested = true;
         }
     }
 
-    /// Returns the answer for a request that the record, or an older bill, shows as billed.
+    /// Returns the answer to a request that has a bill, in the record or in a segment.
     pub(crate) fn billed_reply(
         &self,
         account: &str,
-        request: &str,
-        body: u64,
+        request_id: &str,
+        body_hash: u64,
     ) -> Option<ReserveReply> {
-        let bill = self.stored_account(account).and_then(|a| a.bill(request));
-        let bill = bill.or_else(|| self.archived_bills.bill(account, request))?;
-        if bill.body_hash != body {
+        let bill = self
+            .stored_account(account)
+            .and_then(|a| a.bill(request_id));
+        let bill = bill.or_else(|| self.archived_bills.bill(account, request_id))?;
+        if bill.body_hash != body_hash {
             return Some(ReserveReply::IdReused);
         }
         Some(ReserveReply::Exists {
@@ -488,103 +522,112 @@
         })
     }
 
-    /// Returns what the record grants to this holder.
+    /// Returns the tokens granted to this holder on record, without joint grants.
     pub(crate) fn granted(&self, account: &str) -> u64 {
         let stored = self.record().and_then(|r| r.accounts.get(account));
-        let line = stored.and_then(|a| a.ledger.get(&self.me));
-        line.map_or(0, |l| l.granted.max(0) as u64)
+        let entry = stored.and_then(|a| a.ledger.get(&self.me));
+        entry.map_or(0, |l| l.granted.max(0) as u64)
     }
 
-    /// Returns the account as the record shows it.
+    /// Returns an account as the record shows it.
     pub(crate) fn stored_account(&self, account: &str) -> Option<&Account> {
         self.record().and_then(|r| r.accounts.get(account))
     }
 }
 
-/// Returns the answer for a request that is known, or refused for good.
+/// Returns the answer to a request that is voided, running or finished here, and adds the entry to
+/// its hold if it is running.
 fn reply_if_known(
     me: &str,
     local: &mut LocalAccount,
-    request: &str,
-    body: u64,
+    request_id: &str,
+    body_hash: u64,
     entry: &str,
 ) -> Option<ReserveReply> {
-    if local.is_voided(entry, request) {
+    if local.is_voided(entry, request_id) {
         return Some(ReserveReply::Voided);
     }
-    if let Some(hold) = local.hold_by_request.get(request).copied() {
-        let held = local.holds.get_mut(&hold).expect("indexed by request");
-        if held.body_hash != body {
+    if let Some(number) = local.hold_by_request.get(request_id).copied() {
+        let hold = local.holds.get_mut(&number).expect("indexed by request");
+        if hold.body_hash != body_hash {
             return Some(ReserveReply::IdReused);
         }
-        held.cancel_at = None;
-        held.entries.push(entry.to_string());
+        hold.cancel_at = None;
+        hold.entries.push(entry.to_string());
         return Some(ReserveReply::Exists {
             holder: me.to_string(),
-            hold,
-            attempt: held.attempt.clone(),
+            hold: number,
+            attempt: hold.attempt.clone(),
             billed: None,
         });
     }
-    let done = local.finished.get(request)?;
-    Some(done.reply(me, body))
+    let finished = local.finished.get(request_id)?;
+    Some(finished.reply(me, body_hash))
 }
 
-/// Moves a hold to the finished requests; what is in doubt stays held under new numbers.
+/// Ends a hold that was settled: remembers its request if it is billed, and opens new holds for
+/// unconfirmed usage.
+///
+/// Returns the number of the next hold.
 pub(crate) fn close_hold(
     now: u64,
     local: &mut LocalAccount,
-    held: Hold,
-    post: &Settlement,
-    doubts: &[UnconfirmedUsage],
+    hold: Hold,
+    settlement: &Settlement,
+    unconfirmed: &[UnconfirmedUsage],
     mut next_hold: u64,
 ) -> u64 {
-    let mut rest = held.tokens - post.tokens;
-    if local.hold_by_request.get(&held.request_id) == Some(&post.hold) {
-        local.hold_by_request.remove(&held.request_id);
+    let mut rest = hold.tokens - settlement.tokens;
+    if local.hold_by_request.get(&hold.request_id) == Some(&settlement.hold) {
+        local.hold_by_request.remove(&hold.request_id);
     }
-    if post.billed {
-        let done = FinishedRequest {
-            hold: post.hold,
-            body_hash: held.body_hash,
-            attempt: held.attempt.clone(),
-            tokens: post.tokens,
+    if settlement.billed {
+        let finished = FinishedRequest {
+            hold: settlement.hold,
+            body_hash: hold.body_hash,
+            attempt: hold.attempt.clone(),
+            tokens: settlement.tokens,
             expires_at: 0,
         };
-        local.add_finished(now, held.request_id.clone(), done);
+        local.add_finished(now, hold.request_id.clone(), finished);
     }
-    for doubt in doubts {
-        let tokens = doubt.tokens.min(rest);
+    for usage in unconfirmed {
+        let tokens = usage.tokens.min(rest);
         rest -= tokens;
-        let kept = Hold {
-            request_id: held.request_id.clone(),
-            body_hash: held.body_hash,
-            attempt: doubt.attempt.clone(),
+        let new = Hold {
+            request_id: hold.request_id.clone(),
+            body_hash: hold.body_hash,
+            attempt: usage.attempt.clone(),
             tokens,
-            settled: doubt.settled,
+            settled: usage.settled,
             unconfirmed: true,
             cancel_at: Some(now),
             entries: Default::default(),
         };
-        local.holds.insert(next_hold, kept);
+        local.holds.insert(next_hold, new);
         next_hold += 1;
     }
     next_hold
 }
 
-pub(crate) fn push_settle_reply(ask: Option<u64>, how: Durability, out: &mut Vec<Action>) {
-    out.extend(ask.map(|ask| Action::SettleReply {
-        reply_to: ask,
-        durability: how,
+/// Answers a settlement if a reply is wanted.
+pub(crate) fn push_settle_reply(
+    reply_to: Option<u64>,
+    durability: Durability,
+    out: &mut Vec<Action>,
+) {
+    out.extend(reply_to.map(|reply_to| Action::SettleReply {
+        reply_to,
+        durability,
     }));
 }
 
-/// Returns the answer to an act as the record shows it.
+/// Returns the answer to an operator's command, once the record shows its id.
 pub(crate) fn stored_operator_reply(
     account: &Account,
-    act: &OperatorCommand,
+    command: &OperatorCommand,
 ) -> Option<OperatorReply> {
-    match act {
+    match command {
         OperatorCommand::TopUp { id, tokens } => match account.topups.get(id) {
             Some(old) if old == tokens => Some(OperatorReply::Done(*tokens)),
             Some(old) => Some(OperatorReply::IdReused(*old)),
--- a/crates/budget/src/shard_manager.rs
+++ b/crates/budget/src/shard_manager.rs
@@ -1,4 +1,4 @@
-//! All shards of one instance, with the pacer that they share.
+//! The shards of one instance and the write limiter that they share.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,35 +9,37 @@
 use crate::shard::{Params, Role, Shard};
 use crate::write_limiter::WriteLimiter;
 
-/// Absence after which a holder without unspent tokens is folded up, in milliseconds: longer than
-/// any request, and than any entry tries to post its bill.
+/// Absence after which a holder without unspent tokens is retired, in milliseconds. It is longer
+/// than any request runs and than any entry retries a settlement.
 const RETIRE_AFTER_MS: u64 = 3_600_000;
 
-/// An action with the shard that it belongs to.
+/// An action and the shard that it belongs to.
 #[derive(Clone, Debug)]
 pub struct ShardAction {
-    /// The shard.
+    /// Number of the shard.
     pub shard: u32,
-    /// The action.
+    /// Action to carry out.
     pub action: Action,
 }
 
-/// All shards of one instance.
+/// The shards of one instance.
 pub struct ShardManager {
+    /// Incarnation of this instance.
     me: String,
     params: Params,
     shard_count: u32,
+    /// Record writes per second that the whole fleet may make.
     writes_per_sec: u64,
     shards: BTreeMap<u32, Shard>,
     write_limiter: WriteLimiter,
     members: Vec<Candidate>,
     leaving: bool,
-    /// Holders that nobody shows as present, and since when.
+    /// Holders that are not present, with the time at which that was noticed.
     absent_since: BTreeMap<String, u64>,
 }
 
 impl ShardManager {
-    /// Opens a bank that knows of no other instance.
+    /// Creates a manager that knows of no other instance.
     pub fn new(
         now: u64,
         me: &str,
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Sets the living instances of the region, this one among them.
+    /// Sets the live instances of the region, including this one.
     pub fn set_members(&mut self, members: Vec<Candidate>) {
         if self.members == members {
             return;
@@ -69,7 +71,8 @@
             self.update_role(shard);
             homes += u32::from(self.role(shard) == Role::Home);
         }
-        // Homes write most, so the fleet's share is split by the shards at home.
+        // Homes make most of the writes, so the fleet's rate is split by the number of shards that
+        // each instance is home to.
         let part = match self.params.sizing {
             GrantSizing::Split { parts } => 1.0 / parts as f64,
             _ => f64::from(homes) / f64::from(self.shard_count),
@@ -77,7 +80,7 @@
         self.write_limiter.set_share(self.writes_per_sec, part);
     }
 
-    /// Hands everything back, for a planned stop.
+    /// Returns all unspent tokens to the records, for a planned stop.
     pub fn leave(&mut self) {
         self.leaving = true;
         for shard in 0..self.shard_count {
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Returns the instance of the own zone that gives its word for steps of joint grants.
+    /// Returns the instance of this zone that is the witness of new joint grants.
     fn witness(&self, shard: u32) -> Option<String> {
         let zone = self
             .members
@@ -121,41 +124,42 @@
 
     fn shard_mut(&mut self, shard: u32) -> &mut Shard {
         let (me, params) = (&self.me, self.params);
-        let open = || Shard::new(me, params);
-        self.shards.entry(shard).or_insert_with(open)
+        let new = || Shard::new(me, params);
+        self.shards.entry(shard).or_insert_with(new)
     }
 
-    /// Returns the shard of an account.
+    /// Returns the number of an account's shard.
     pub fn shard_of(&self, account: &str) -> u32 {
         placement::shard_of(account, self.shard_count)
     }
 
-    /// Takes one event of one shard.
+    /// Handles an event of one shard and returns the resulting actions.
     pub fn step(&mut self, now: u64, shard: u32, event: Event) -> Vec<ShardAction> {
         if !self.shards.contains_key(&shard) {
             self.shard_mut(shard);
             self.update_role(shard);
         }
         let mut actions = Vec::new();
-        let home = self.shards.get_mut(&shard).expect("opened above");
-        home.step(now, event, &mut self.write_limiter, &mut actions);
-        let output = |action| ShardAction { shard, action };
-        actions.into_iter().map(output).collect()
+        let state = self.shards.get_mut(&shard).expect("created above");
+        state.step(now, event, &mut self.write_limiter, &mut actions);
+        let with_shard = |action| ShardAction { shard, action };
+        actions.into_iter().map(with_shard).collect()
     }
 
-    /// Tells every shard the same.
+    /// Handles an event in every shard and returns the resulting actions.
     pub fn step_all(&mut self, now: u64, event: &Event) -> Vec<ShardAction> {
         let shards: Vec<u32> = self.shards.keys().copied().collect();
         let step = |s| self.step(now, s, event.clone());
         shards.into_iter().flat_map(step).collect()
     }
 
-    /// Folds up the lines of holders that are gone: at once those that have left as planned, the
-    /// others after a long absence.
+    /// Sets which holders are to be retired: those in `left`, which made a planned stop, at once,
+    /// and those that are missing in `present` after `RETIRE_AFTER_MS`.
     ///
-    /// A holder that was killed may have spent tokens of a transfer that no record shows, and a
-    /// bill for them may still be on its way from an entry. Folded too early, its line looks
-    /// settled, and the bill is taken for a repetition and lost.
+    /// A holder that was killed may have spent tokens that it received in a transfer that no record
+    /// shows. Its balance on record is then zero although an entry may still be sending the
+    /// settlement. If the holder were retired too early, that settlement would be taken for a
+    /// duplicate and dropped.
     pub fn set_presence(&mut self, now: u64, present: &[String], left: &[String]) {
         let records = self.shards.values().filter_map(Shard::record);
         let holders: BTreeSet<String> = records.flat_map(ShardRecord::holders).collect();
@@ -167,29 +171,29 @@
                 self.absent_since.entry(holder).or_insert(now);
             }
         }
-        let long = |(_, since): &(&String, &u64)| now >= *since + RETIRE_AFTER_MS;
-        let long_gone = self
+        let is_expired = |(_, since): &(&String, &u64)| now >= *since + RETIRE_AFTER_MS;
+        let expired = self
             .absent_since
             .iter()
-            .filter(long)
+            .filter(is_expired)
             .map(|(h, _)| h.clone());
-        let gone: Vec<String> = left.iter().cloned().chain(long_gone).collect();
-        for home in self.shards.values_mut() {
-            home.departed.clone_from(&gone);
+        let departed: Vec<String> = left.iter().cloned().chain(expired).collect();
+        for shard in self.shards.values_mut() {
+            shard.departed.clone_from(&departed);
         }
     }
 
-    /// Returns the shards that are open here.
+    /// Returns the shards that this instance has state for.
     pub fn shards(&self) -> &BTreeMap<u32, Shard> {
         &self.shards
     }
 
-    /// Returns whether something waits for time or for the platform.
+    /// Returns whether any shard is waiting for time to pass or for the platform.
     pub fn is_busy(&self) -> bool {
         self.shards.values().any(Shard::is_busy)
     }
 
-    /// Returns whether nothing is left to settle or hand back.
+    /// Returns whether nothing is left to settle or to return to the records.
     pub fn is_drained(&self) -> bool {
         self.shards.values().all(Shard::is_drained)
     }
--- a/crates/budget/src/transfer.rs
+++ b/crates/budget/src/transfer.rs
@@ -1,37 +1,37 @@
-//! Tokens that move between holders, or back to the record.
+//! Transfers of tokens between holders and their return to the record.
 
 use crate::joint_grant::DeferredRecall;
 use crate::msg::Action;
 use crate::shard::{Role, Shard, RECALL_STEP_WAIT_MS};
 
 impl Shard {
-    /// Takes another holder's call for tokens; opens a step first where that is needed.
+    /// Answers another holder's recall, if necessary after a step of the joint grant was opened.
     pub(crate) fn on_recall(
         &mut self,
         now: u64,
-        ask: u64,
+        reply_to: u64,
         account: &str,
         to: String,
         tokens: u64,
         out: &mut Vec<Action>,
     ) {
-        let lack = tokens.saturating_sub(self.available(account));
-        if lack == 0 || self.joint_remaining(now, account) == 0 {
-            self.answer_recall(ask, account, &to, tokens, out);
+        let shortfall = tokens.saturating_sub(self.available(account));
+        if shortfall == 0 || self.joint_remaining(now, account) == 0 {
+            self.answer_recall(reply_to, account, &to, tokens, out);
             return;
         }
-        let until = now + RECALL_STEP_WAIT_MS;
+        let deadline = now + RECALL_STEP_WAIT_MS;
         let local = self.local_accounts.entry(account.to_string()).or_default();
         local.deferred_recalls.push(DeferredRecall {
-            reply_to: ask,
+            reply_to,
             to,
             tokens,
-            deadline: until,
+            deadline,
         });
-        self.request_step(now, account, lack, out);
+        self.request_step(now, account, shortfall, out);
     }
 
-    /// Answers calls that waited for a step, all of them or those whose time is over.
+    /// Answers the recalls that waited for a step: all of them, or those past their deadline.
     pub(crate) fn answer_deferred_recalls(
         &mut self,
         now: u64,
@@ -44,56 +44,59 @@
         };
         let (due, later) = std::mem::take(&mut local.deferred_recalls)
             .into_iter()
-            .partition(|c| all || c.deadline <= now);
+            .partition(|r| all || r.deadline <= now);
         local.deferred_recalls = later;
-        for call in due {
-            self.answer_recall(call.reply_to, account, &call.to, call.tokens, out);
+        for recall in due {
+            self.answer_recall(recall.reply_to, account, &recall.to, recall.tokens, out);
         }
     }
 
-    /// Hands unspent tokens to a holder that lacks them: debited here before it is told.
+    /// Transfers unspent tokens to a holder that is short of them.
+    ///
+    /// The tokens are debited here before the answer is sent.
     pub(crate) fn answer_recall(
         &mut self,
-        ask: u64,
+        reply_to: u64,
         account: &str,
         to: &str,
         tokens: u64,
         out: &mut Vec<Action>,
     ) {
         let available = self.available(account);
-        let waiting = self
+        let has_waiting = self
             .local_accounts
             .get(account)
             .is_some_and(|l| !l.waiting.is_empty());
-        let give = match (waiting, self.role) {
+        let transferred = match (has_waiting, self.role) {
             (true, _) => 0,
             (false, Role::None) => available,
             (false, _) => available.min(tokens.saturating_mul(2)),
         };
         let local = self.local_accounts.entry(account.to_string()).or_default();
         let sent = local.sent.entry(to.to_string()).or_default();
-        *sent += give;
+        *sent += transferred;
         out.push(Action::RecallReply {
-            reply_to: ask,
+            reply_to,
             total_sent: *sent,
         });
     }
 
-    pub(crate) fn on_recall_reply(&mut self, account: &str, from: String, sent: Option<u64>) {
-        let folded = self.record().is_some_and(|r| r.tombstones.contains(&from));
+    /// Handles the answer to a recall; `total_sent` is `None` if the holder did not answer.
+    pub(crate) fn on_recall_reply(&mut self, account: &str, from: String, total_sent: Option<u64>) {
+        let is_retired = self.record().is_some_and(|r| r.tombstones.contains(&from));
         let local = self.local_accounts.entry(account.to_string()).or_default();
         local.open_recalls = local.open_recalls.saturating_sub(1);
-        if folded {
-            // What it handed over is a grant by now: counting it again would double it.
+        if is_retired {
+            // The record has added its transfers to the grants already: they must not count twice.
             return;
         }
-        if let Some(sent) = sent.filter(|s| *s > 0) {
-            let got = local.received.entry(from).or_default();
-            *got = sent.max(*got);
+        if let Some(total) = total_sent.filter(|s| *s > 0) {
+            let received = local.received.entry(from).or_default();
+            *received = total.max(*received);
         }
     }
 
-    /// Hands unspent tokens back to the record when this instance is nothing to the shard.
+    /// Returns all unspent tokens to the record if this instance has no role in the shard.
     pub(crate) fn return_unspent(&mut self) {
         if self.role != Role::None || self.consecutive_failures > 0 {
             return;
--- a/crates/budget/src/write_limiter.rs
+++ b/crates/budget/src/write_limiter.rs
@@ -1,57 +1,62 @@
-//! Keeps one instance's platform writes within its part of the fleet's share.
+//! Limits the record writes of one instance to its part of the fleet's write rate.
 
-/// Every instance may write this part of the fleet's share: settlements of shards that it handed
-/// on, operators' acts, copies.
+/// Smallest part of the fleet's rate that an instance gets. Instances that are home to no shard
+/// write, too: settlements of shards that they were home to, operator commands, and copies of other
+/// holders' settlements.
 const MIN_SHARE: f64 = 0.02;
 
-/// A token bucket: a write at once while the load is light, spaced writes under load.
+/// A token bucket: writes go at once under light load and are spaced out under heavy load.
 #[derive(Clone, Debug)]
 pub struct WriteLimiter {
+    /// Writes per second.
     per_sec: f64,
+    /// Capacity of the bucket, in writes.
     burst: f64,
+    /// Writes that may go at once.
     tokens: f64,
+    /// Time of the last refill, in milliseconds.
     refilled_at: u64,
 }
 
 impl WriteLimiter {
-    /// Opens a pacer with a part of a rate that a fleet shares.
+    /// Creates a limiter for a part of the fleet's rate, with a full bucket.
     pub fn new(now: u64, fleet_per_sec: u64, part: f64) -> WriteLimiter {
-        let mut pacer = WriteLimiter {
+        let mut limiter = WriteLimiter {
             per_sec: 1.0,
             burst: 1.0,
             tokens: f64::MAX,
             refilled_at: now,
         };
-        pacer.set_share(fleet_per_sec, part);
-        pacer
+        limiter.set_share(fleet_per_sec, part);
+        limiter
     }
 
-    /// Changes the part of the fleet's rate.
+    /// Sets the part of the fleet's rate, at least `MIN_SHARE`.
     pub fn set_share(&mut self, fleet_per_sec: u64, part: f64) {
         self.per_sec = fleet_per_sec as f64 * part.clamp(MIN_SHARE, 1.0);
         self.burst = (self.per_sec * 2.0).max(2.0);
         self.tokens = self.tokens.min(self.burst);
     }
 
-    /// Takes a write; returns whether it may go now.
+    /// Takes one write out of the bucket; returns false if the write has to wait.
     pub fn try_acquire(&mut self, now: u64) -> bool {
         self.refill(now);
-        let may = self.tokens >= 1.0;
-        if may {
+        let allowed = self.tokens >= 1.0;
+        if allowed {
             self.tokens -= 1.0;
         }
-        may
+        allowed
     }
 
-    /// Returns whether half of the saved-up writes are left.
+    /// Returns whether the bucket is at least half full.
     pub fn has_spare(&mut self, now: u64) -> bool {
         self.refill(now);
         self.tokens >= self.burst / 2.0
     }
 
     fn refill(&mut self, now: u64) {
-        let passed = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
-        self.tokens = (self.tokens + passed * self.per_sec).min(self.burst);
+        let elapsed_secs = now.saturating_sub(self.refilled_at) as f64 / 1000.0;
+        self.tokens = (self.tokens + elapsed_secs * self.per_sec).min(self.burst);
         self.refilled_at = now.max(self.refilled_at);
     }
 }
