--- a/crates/budget/src/joint_grant.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -4,8 +4,8 @@
 //! each step must be approved by a witness, another instance of the same zone. If the holder
 //! becomes unresponsive, the witness stops approving steps and returns the unopened part to the
 //! record; if the witness becomes unresponsive, the holder returns it. Both do so by
-//! compare-and-swap on the record, so only one of them takes effect. A crash strands the last step
-//! at most.
+//! compare-and-swap on the record, so only one of them takes effect. A crash strands only the last
+//! step.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -38,10 +38,10 @@
     /// tokens opened after the step.
     #[serde(rename = "asked")]
     pub pending_step: Option<(u64, u64)>,
-    /// Whether the witness knows of the grant, and so returns it if this holder becomes
+    /// Whether the witness knows of the grant, and so closes it if this holder becomes
     /// unresponsive.
     pub is_watched: bool,
-    /// Set once no more steps may be opened because the grant is being returned.
+    /// Set once no more steps may be opened because the grant is being closed.
     pub closing: bool,
 }
 
@@ -81,8 +81,9 @@
         *opened
     }
 
-    /// Stops approving steps of a grant and returns the tokens opened; to be called before the
-    /// unopened part is returned to the record.
+    /// Stops approving steps of a grant and returns the tokens opened.
+    ///
+    /// This must happen before the unopened part goes back to the record.
     fn close(&mut self, key: &str) -> u64 {
         if self.closed.insert(key.to_string()) {
             self.closed_order.push_back(key.to_string());
@@ -167,7 +168,7 @@
         let local = self.local_accounts.get_mut(name);
         let joint = local.and_then(|l| l.joint.as_mut());
         let Some(joint) = joint.filter(|j| j.key == key && !j.closing) else {
-            // The grant is being returned to the record, so this step must not be spent.
+            // The unopened part is going back to the record, so this step must not be spent.
             return;
         };
         let Some((_, up_to)) = joint.pending_step.take() else {
@@ -206,7 +207,7 @@
         }
     }
 
-    /// Returns whether this holder has to return the account's joint grant to the record.
+    /// Returns whether this holder has to close the account's joint grant.
     pub(crate) fn must_close_joint(&self, name: &str) -> bool {
         let joint = self.local_accounts.get(name).and_then(|l| l.joint.as_ref());
         joint.is_some_and(|j| {
@@ -216,7 +217,8 @@
         })
     }
 
-    /// Returns tokens that were granted to this holder alone, once it has a witness.
+    /// Once this holder has a witness, gives tokens that were granted to it alone back to the
+    /// records.
     ///
     /// A witness that is late on a busy machine counts as unresponsive for a while, and grants are
     /// taken without it in the meantime: up to a quarter of a budget. Without this, a crash much
@@ -274,8 +276,8 @@
         }
     }
 
-    /// Returns account and key of the joint grants that this witness has to return to the record
-    /// because their holders are unresponsive.
+    /// Returns account and key of the joint grants that this witness has to close because their
+    /// holders are unresponsive.
     fn joints_to_close(&self, record: &ShardRecord) -> Vec<(String, String)> {
         let mut keys = Vec::new();
         for (name, account) in &record.accounts {
@@ -291,7 +293,7 @@
         keys
     }
 
-    /// Returns whether this witness has to return joint grants of unresponsive holders.
+    /// Returns whether this witness has to close joint grants of unresponsive holders.
     pub(crate) fn has_joints_to_close(&self) -> bool {
         !self.witness_state.unresponsive.is_empty()
             && self
@@ -299,8 +301,9 @@
                 .is_some_and(|r| !self.joints_to_close(r).is_empty())
     }
 
-    /// Returns the joint grants of unresponsive holders to the record, after it has stopped
-    /// approving their steps.
+    /// Closes the joint grants of unresponsive holders in a record to be written.
+    ///
+    /// This witness stops approving their steps first.
     pub(crate) fn close_joints_of_unresponsive(&mut self, record: &mut ShardRecord) {
         for (name, key) in self.joints_to_close(record) {
             let opened = self.witness_state.close(&key);
@@ -309,8 +312,8 @@
         }
     }
 
-    /// Updates this holder's joint grant in an account to be written: raises the opened tokens,
-    /// adds `added` tokens, or closes the grant.
+    /// Updates this holder's joint grant in an account to be written: closes it, or raises the
+    /// opened tokens and adds `added` tokens.
     ///
     /// `number` is the number of the write.
     pub(crate) fn write_joint(&self, name: &str, number: u64, added: u64, account: &mut Account) {
@@ -337,7 +340,7 @@
         account.joint_grants.entry(key).or_default().granted += added;
     }
 
-    /// Forgets unresponsive holders whose joint grants have all been returned to the record.
+    /// Forgets unresponsive holders whose joint grants are all closed.
     pub(crate) fn forget_unresponsive(&mut self) {
         let Some(record) = self.snapshot.as_ref().map(|(s, _)| &s.record) else {
             return;
@@ -351,10 +354,10 @@
 
     /// Updates the joint grants of this holder to what the record shows.
     pub(crate) fn adopt_joints(&mut self) {
-        let Some((stored, _)) = &self.snapshot else {
+        let Some((snapshot, _)) = &self.snapshot else {
             return;
         };
-        let accounts = &stored.record.accounts;
+        let accounts = &snapshot.record.accounts;
         for (name, account) in accounts {
             let Some((key, joint)) = account.joint_grant_of(&self.me) else {
                 continue;
--- a/crates/budget/src/record_sync.rs
+++ b/crates/budget/src/record_sync.rs
@@ -83,8 +83,8 @@
 
     /// Returns whether any transfer of an account is not in the record yet.
     ///
-    /// If the sender left before its transfers are recorded, the record would show the tokens as
-    /// its own and so as stranded.
+    /// If the sender left before its transfers were recorded, the record would show the tokens as
+    /// its own, and so as stranded.
     pub(crate) fn has_unrecorded_transfers(&self, name: &str) -> bool {
         let local = &self.local_accounts[name];
         let stored = self.stored_account(name);
@@ -225,8 +225,8 @@
     ///
     /// # Panics
     ///
-    /// Panics if the record is the current one. Something was spent then that was never granted,
-    /// and stopping this instance strands its grants at worst.
+    /// Panics if the record is the current one. In that case something was spent that was never
+    /// granted, and stopping this instance strands its grants at worst.
     fn recheck_base(&mut self, now: u64, base_revision: i64) {
         let read_at = self.snapshot.as_ref().map_or(0, |(_, at)| *at);
         if let Some((revision, found_at)) = self.overspend_base {
@@ -413,7 +413,7 @@
         }
     }
 
-    /// Drops transfers with retired holders: the record has added them to this holder's grant.
+    /// Drops transfers with retired holders: this holder's grant on record includes them now.
     fn drop_retired(&mut self) {
         let Some((snapshot, _)) = &self.snapshot else {
             return;
@@ -425,7 +425,7 @@
         }
     }
 
-    /// Raises the transfers received to what the record shows.
+    /// Takes over transfers to this holder that the record shows.
     fn adopt_transfers(&mut self) {
         let Some((snapshot, _)) = &self.snapshot else {
             return;
--- a/crates/budget/src/reservation.rs
+++ b/crates/budget/src/reservation.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Grants the reservations that the tokens available here cover, in order of arrival.
+    /// Grants, in order of arrival, the reservations that the tokens available here cover.
     fn reserve_from_available(&mut self, name: &str, out: &mut Vec<Action>) {
         let last = self.record().and_then(|r| r.last_segment.as_ref());
         if self.consecutive_failures == 0 && !self.archived_bills.covers(last) {
@@ -226,8 +226,9 @@
         left.saturating_sub(unrecorded)
     }
 
-    /// Returns the tokens that have to be granted to serve the waiting reservations, without those
-    /// that the budget cannot cover.
+    /// Returns the tokens that must be granted to serve the waiting reservations.
+    ///
+    /// Reservations that the budget cannot cover are left out.
     pub(crate) fn grantable(&self, now: u64, name: &str) -> u64 {
         let Some(account) = self.stored_account(name) else {
             return 0;
--- a/crates/budget/src/settle.rs
+++ b/crates/budget/src/settle.rs
@@ -124,7 +124,7 @@
         });
     }
 
-    /// Answers the replies that wait for a settlement, now that a copy of it is stored.
+    /// Sends the replies that wait for a settlement, now that a copy of it is stored.
     pub(crate) fn on_copy_stored(&mut self, account: &str, hold: u64, out: &mut Vec<Action>) {
         let Some(local) = self.local_accounts.get_mut(account) else {
             return;
@@ -140,11 +140,11 @@
         }
     }
 
-    /// Handles an instance that no longer responds: its joint grants are to be returned by this
-    /// witness, and requests that only it served are orphaned.
+    /// Handles an instance that no longer responds: its joint grants are to be closed if this
+    /// instance is their witness, and requests that it alone served are orphaned.
     ///
-    /// Holds of orphaned requests are not freed: the instance may only be paused and send a request
-    /// to an upstream later.
+    /// The holds of orphaned requests are not freed, because the instance may merely be paused and
+    /// may still send a request to an upstream later.
     pub(crate) fn on_instance_unresponsive(&mut self, now: u64, instance: &str) {
         if self.witness_state.watches(instance) {
             self.witness_state.unresponsive.insert(instance.to_string());
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Sends copies of own settlements that have waited too long for the record.
+    /// Sends copies of this holder's settlements that have waited too long for the record.
     pub(crate) fn send_due_copies(&mut self, now: u64, out: &mut Vec<Action>) {
         for (account, local) in &mut self.local_accounts {
             for pending in &mut local.pending {
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -61,7 +61,7 @@
     pub(crate) number: u64,
     /// Revision that it replaces.
     pub(crate) base_revision: i64,
-    /// Tokens that it returns, by account.
+    /// Tokens that it gives back to the record, by account.
     pub(crate) returning: BTreeMap<String, u64>,
     /// Record that it writes.
     pub(crate) record: ShardRecord,
@@ -102,7 +102,7 @@
     /// Copies of other holders' settlements, each with the time at which it is to be posted and its
     /// account.
     pub(crate) copies: Vec<(u64, String, Settlement)>,
-    /// Segment that was written and that the record does not name yet.
+    /// Segment that was or is being written and that the record does not name yet.
     pub(crate) written_segment: Option<(String, BillSegment)>,
     /// Recent bills that were moved out of the record.
     pub(crate) archived_bills: ArchivedBills,
--- a/crates/budget/src/shard_manager.rs
+++ b/crates/budget/src/shard_manager.rs
@@ -80,7 +80,7 @@
         self.write_limiter.set_share(self.writes_per_sec, part);
     }
 
-    /// Returns all unspent tokens to the records, for a planned stop.
+    /// Starts a planned stop: gives up all roles, so that unspent tokens go back to the records.
     pub fn leave(&mut self) {
         self.leaving = true;
         for shard in 0..self.shard_count {
--- a/crates/budget/src/transfer.rs
+++ b/crates/budget/src/transfer.rs
@@ -87,7 +87,7 @@
         let local = self.local_accounts.entry(account.to_string()).or_default();
         local.open_recalls = local.open_recalls.saturating_sub(1);
         if is_retired {
-            // The record has added its transfers to the grants already: they must not count twice.
+            // This holder's grant on record includes its transfers: they must not count twice.
             return;
         }
         if let Some(total) = total_sent.filter(|s| *s > 0) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns all unspent tokens to the record if this instance has no role in the shard.
+    /// Gives all unspent tokens back to the record if this instance has no role in the shard.
     pub(crate) fn return_unspent(&mut self) {
         if self.role != Role::None || self.consecutive_failures > 0 {
             return;
--- a/crates/budget/tests/encoding.rs
+++ b/crates/budget/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! Instances of other versions and later incarnations read these: their encoding stays.
+//! Tests that the encoding of messages, stored records and the dump stays the same: instances of
+//! other versions and later incarnations read it.
 
 use budget::grant::GrantSizing;
 use budget::joint_grant::LocalJointGrant;
@@ -15,7 +16,7 @@
 use serde_json::value::RawValue;
 
 #[test]
-fn stored_budgets_keep_their_encoding() {
+fn stored_records_keep_their_encoding() {
     assert_kept::<ShardRecord>(include_str!("data/outer/records.json"));
     assert_kept::<Account>(include_str!("data/outer/accounts.json"));
     assert_kept::<BillSegment>(include_str!("data/outer/segments.json"));
@@ -27,9 +28,9 @@
     assert_kept::<AttemptRef>(include_str!("data/outer/run_at.json"));
 }
 
-/// Guards records that an earlier version wrote, which lack these fields.
+/// Guards the reading of records of an earlier version, which had fewer fields.
 #[test]
-fn short_stored_budgets_are_read() {
+fn stored_records_without_newer_fields_are_read() {
     assert_filled::<ShardRecord>(
         r#"{"accounts":{}}"#,
         r#"{"accounts":{},"writers":{},"tombstones":[]}"#,
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn messages_on_budgets_keep_their_encoding() {
+fn messages_keep_their_encoding() {
     assert_kept::<ReserveRequest>(include_str!("data/outer/reserves.json"));
     assert_kept::<ReserveReply>(include_str!("data/outer/reserve_replies.json"));
     assert_kept::<Durability>(include_str!("data/outer/settled.json"));
@@ -56,22 +57,23 @@
     assert_kept::<GrantSizing>(include_str!("data/outer/sizings.json"));
 }
 
-/// These are written only, in the dump.
+/// Holds and joint grants are only written, to the dump.
 #[test]
 fn dumped_holds_keep_their_encoding() {
-    let at = || serde_json::from_str(r#"{"upstream":"engine-1","run":"r-7"}"#).expect("a sample");
-    let held = Hold {
+    let attempt =
+        || serde_json::from_str(r#"{"upstream":"engine-1","run":"r-7"}"#).expect("a sample");
+    let hold = Hold {
         request_id: "q-1".to_string(),
         body_hash: u64::MAX,
         entries: ["r1.6a".to_string(), "r2.6b".to_string()].into(),
-        attempt: at(),
+        attempt: attempt(),
         tokens: 500,
         settled: 10,
         unconfirmed: true,
         cancel_at: Some(77),
     };
     let sample = r#"{"request":"q-1","body":18446744073709551615,"entries":["r1.6a","r2.6b"],"at":{"upstream":"engine-1","run":"r-7"},"tokens":500,"paid":10,"uncertain":true,"probe_at":77}"#;
-    assert_eq!(serde_json::to_string(&held).expect("JSON"), sample);
+    assert_eq!(serde_json::to_string(&hold).expect("JSON"), sample);
     let joint = LocalJointGrant {
         key: "r1.6a+r2.6b+1+alpha".to_string(),
         opened: 40,
@@ -83,30 +85,31 @@
     assert_eq!(serde_json::to_string(&joint).expect("JSON"), sample);
 }
 
-/// The dump and the steps of a request name these.
+/// Roles are printed in the dump, and the durability of settlements in the request journal.
 #[test]
-fn roles_and_settlements_keep_their_texts() {
+fn roles_and_durabilities_keep_their_texts() {
     let roles = [Role::Home, Role::Standby, Role::None];
     assert_eq!(format!("{roles:?}"), "[Home, Standby, None]");
-    let settled: [Result<Durability, ()>; 2] = [Ok(Durability::Recorded), Ok(Durability::Copied)];
-    assert_eq!(format!("{settled:?}"), "[Ok(Recorded), Ok(Copied)]");
+    let durabilities: [Result<Durability, ()>; 2] =
+        [Ok(Durability::Recorded), Ok(Durability::Copied)];
+    assert_eq!(format!("{durabilities:?}"), "[Ok(Recorded), Ok(Copied)]");
 }
 
-/// Reads each sample and writes it again.
+/// Checks that each sample can be read and is written in the same way.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
     for sample in samples {
         let value: serde_json::Result<T> = serde_json::from_str(sample.get());
         let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
-        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        let written = serde_json::to_string(&value).expect("a value that JSON can represent");
         assert_eq!(written, sample.get());
     }
 }
 
-/// Reads a sample without the fields that may be left out, and writes it with them.
-fn assert_filled<T: Serialize + DeserializeOwned>(short: &str, whole: &str) {
+/// Checks that a sample without optional fields can be read and is written with their defaults.
+fn assert_filled<T: Serialize + DeserializeOwned>(short: &str, full: &str) {
     let value: T = serde_json::from_str(short).expect("a sample");
-    let written = serde_json::to_string(&value).expect("a value that JSON can hold");
-    assert_eq!(written, whole);
+    let written = serde_json::to_string(&value).expect("a value that JSON can represent");
+    assert_eq!(written, full);
 }
