--- a/crates/oriolehitch/src/fleet.rs
+++ b/crates/oriolehitch/src/fleet.rs
@@ -30,8 +30,8 @@
     look.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut current = settings.clone();
     let instance = Instance::spawn(Dependencies {
-        store: Arc::new(platform::Client::open(&settings.platform)),
-        dialect: Arc::new(platform::Platform),
+        store: Arc::new(platform::StoreClient::new(&settings.platform)),
+        dialect: Arc::new(platform::PlatformDialect),
         settings,
     })
     .await?;
