--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -9,23 +9,23 @@
 use serde_json::{json, Value};
 use web::{Req, Res};
 
-use crate::accept::{self, Wish};
-use crate::bank_io::{record_key, segment_key};
+use crate::budget_io::{record_key, segment_key};
 use crate::callers::refusal;
+use crate::config_change::{self, ChangeRequest};
 use crate::event::Event;
 use crate::registry;
-use crate::shared::{Active, Shared};
+use crate::shared_state::{ActiveConfig, SharedState};
 
 /// When to come back after an act without an answer, in seconds.
 const RETRY_SECS: u32 = 2;
 
 /// Answers operators.
-pub struct Admin {
+pub struct AdminService {
     /// What the instance's tasks share.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
 }
 
-impl web::Service for Admin {
+impl web::Service for AdminService {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         let shared = &self.shared;
         let answered = match (req.method.as_str(), req.segments().as_slice()) {
@@ -41,7 +41,7 @@
     }
 }
 
-fn ready(shared: &Shared) -> Res {
+fn ready(shared: &SharedState) -> Res {
     if shared.is_ready() {
         return Res::new(200, "text/plain", "ready\n");
     }
@@ -53,7 +53,7 @@
     Res::new(503, "text/plain", why)
 }
 
-fn metrics(shared: &Shared) -> Res {
+fn metrics(shared: &SharedState) -> Res {
     let counts = shared.kv.counts();
     let load = |n: &std::sync::atomic::AtomicU64| n.load(std::sync::atomic::Ordering::Relaxed);
     shared.metrics.platform("read", load(&counts.reads));
@@ -64,7 +64,7 @@
     Res::new(200, media, shared.metrics.text())
 }
 
-fn authorize(shared: &Shared, req: &Req) -> Result<(), Error> {
+fn authorize(shared: &SharedState, req: &Req) -> Result<(), Error> {
     let refused = |m: &str| Err(Error::new(Kind::UnknownKey, m));
     match &shared.settings.admin_key {
         None if req.remote.ip().is_loopback() => Ok(()),
@@ -82,7 +82,7 @@
     }
 }
 
-async fn act(shared: &Arc<Shared>, req: &Req) -> Result<Res, Error> {
+async fn act(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
     let path = req.segments();
     match (req.method.as_str(), path.as_slice()) {
         ("GET", ["dump"]) => Ok(dump(shared).await),
@@ -117,12 +117,12 @@
     }
 }
 
-fn active(shared: &Shared) -> Result<Arc<Active>, Error> {
+fn active(shared: &SharedState) -> Result<Arc<ActiveConfig>, Error> {
     let none = || Error::new(Kind::NotConfigured, "no configuration yet");
     shared.active().ok_or_else(none)
 }
 
-async fn dump(shared: &Shared) -> Res {
+async fn dump(shared: &SharedState) -> Res {
     let bank = shared.bank.dump().await;
     let mut settings = serde_json::to_value(&shared.settings).unwrap_or_default();
     if let Some(key) = settings.get_mut("admin_key").filter(|k| !k.is_null()) {
@@ -145,18 +145,18 @@
     )
 }
 
-fn members(shared: &Shared) -> Vec<Value> {
+fn members(shared: &SharedState) -> Vec<Value> {
     let members = shared.members.lock().expect("no panic inside");
     let all = members.all(shared.clock.now());
     let row = |(m, silent_ms)| json!({"member": m, "silent_ms": silent_ms});
     all.into_iter().map(row).collect()
 }
 
-fn instances(shared: &Shared) -> Res {
+fn instances(shared: &SharedState) -> Res {
     Res::json(200, &members(shared))
 }
 
-fn upstream_rows(shared: &Shared) -> Vec<Value> {
+fn upstream_rows(shared: &SharedState) -> Vec<Value> {
     let now = shared.clock.now();
     let pool = shared.pool.lock().expect("no panic inside");
     let row = |(_, u): (_, &route::Upstream)| {
@@ -172,7 +172,7 @@
     pool.all().map(row).collect()
 }
 
-fn upstreams(shared: &Shared) -> Res {
+fn upstreams(shared: &SharedState) -> Res {
     Res::json(200, &upstream_rows(shared))
 }
 
@@ -187,7 +187,7 @@
     dry_run: bool,
 }
 
-async fn put_config(shared: &Arc<Shared>, req: &Req) -> Result<Res, Error> {
+async fn put_config(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
     let bad = |m: String| Error::new(Kind::BadRequest, m);
     let put: PutConfig = req.json().map_err(bad)?;
     let expected = req
@@ -206,19 +206,19 @@
             &json!({"dry_run": true, "revision": expected + 1}),
         ));
     }
-    let wish = Wish {
+    let wish = ChangeRequest {
         config,
         expected,
         change_id: put.change_id,
         who: put.who,
         what: put.what,
     };
-    let revision = accept::accept(shared, wish).await?;
+    let revision = config_change::accept(shared, wish).await?;
     Ok(Res::json(200, &json!({"revision": revision})))
 }
 
 /// Reads the record of a shard.
-async fn record(shared: &Shared, shard: u32) -> Result<ShardRecord, Error> {
+async fn record(shared: &SharedState, shard: u32) -> Result<ShardRecord, Error> {
     let down = || {
         let message = "the platform's service can't be reached";
         Error::new(Kind::PlatformDown, message).retry_after(RETRY_SECS)
@@ -235,7 +235,7 @@
     serde_json::from_slice(&found.value).map_err(broken)
 }
 
-fn budget_row(shared: &Shared, name: &str, account: &Account) -> Value {
+fn budget_row(shared: &SharedState, name: &str, account: &Account) -> Value {
     let live: Vec<String> = shared.live().into_iter().map(|m| m.id).collect();
     let is_live = |h: &String| live.contains(h);
     let unspent = |h: &String| account.unspent(h);
@@ -261,7 +261,7 @@
     })
 }
 
-async fn budgets(shared: &Shared) -> Result<Res, Error> {
+async fn budgets(shared: &SharedState) -> Result<Res, Error> {
     let mut rows = Vec::new();
     for shard in 0..shared.settings.shards() {
         let record = record(shared, shard).await?;
@@ -275,21 +275,21 @@
     Ok(Res::json(200, &rows))
 }
 
-async fn account(shared: &Shared, name: &str) -> Result<Account, Error> {
+async fn account(shared: &SharedState, name: &str) -> Result<Account, Error> {
     let shard = placement::shard_of(name, shared.settings.shards());
     let mut record = record(shared, shard).await?;
     let none = || Error::new(Kind::NotFound, format!("customer {name:?} has no budget"));
     record.accounts.remove(name).ok_or_else(none)
 }
 
-async fn budget(shared: &Shared, name: &str) -> Result<Res, Error> {
+async fn budget(shared: &SharedState, name: &str) -> Result<Res, Error> {
     let account = account(shared, name).await?;
     let mut row = budget_row(shared, name, &account);
     row["account"] = json!(account);
     Ok(Res::json(200, &row))
 }
 
-async fn bills(shared: &Shared, name: &str) -> Result<Res, Error> {
+async fn bills(shared: &SharedState, name: &str) -> Result<Res, Error> {
     let shard = placement::shard_of(name, shared.settings.shards());
     let record = record(shared, shard).await?;
     let mut bills = Vec::new();
@@ -321,7 +321,7 @@
 /// The most tokens of one top-up: sums of thousands of them stay far from overflow.
 const TOPUP_MOST: u64 = 1 << 50;
 
-async fn top_up(shared: &Shared, name: &str, req: &Req) -> Result<Res, Error> {
+async fn top_up(shared: &SharedState, name: &str, req: &Req) -> Result<Res, Error> {
     let bad = |m: String| Error::new(Kind::BadRequest, m);
     let TopUp { id, tokens } = req.json().map_err(bad)?;
     if tokens == 0 || tokens > TOPUP_MOST || id.is_empty() {
@@ -342,7 +342,7 @@
     Ok(reply)
 }
 
-async fn carry_out(shared: &Shared, name: &str, act: OperatorCommand) -> Result<Res, Error> {
+async fn carry_out(shared: &SharedState, name: &str, act: OperatorCommand) -> Result<Res, Error> {
     const WAIT: std::time::Duration = std::time::Duration::from_secs(10);
     let acted = tokio::time::timeout(WAIT, shared.bank.act(name, act)).await;
     match acted {
@@ -358,7 +358,7 @@
     }
 }
 
-async fn stranded(shared: &Shared) -> Result<Res, Error> {
+async fn stranded(shared: &SharedState) -> Result<Res, Error> {
     let live: Vec<String> = shared.live().into_iter().map(|m| m.id).collect();
     let mut rows = Vec::new();
     for shard in 0..shared.settings.shards() {
@@ -384,7 +384,7 @@
     who: String,
 }
 
-async fn release(shared: &Shared, name: &str, req: &Req) -> Result<Res, Error> {
+async fn release(shared: &SharedState, name: &str, req: &Req) -> Result<Res, Error> {
     let bad = |m: String| Error::new(Kind::BadRequest, m);
     let Release {
         id,
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -7,8 +7,8 @@
 use route::{upstream, Rooms};
 use tokio::sync::oneshot;
 
-use crate::lines::Pool;
-use crate::shared::Shared;
+use crate::shared_state::SharedState;
+use crate::wait_queues::Pool;
 
 /// Waits until an upstream can take a request.
 ///
@@ -17,7 +17,7 @@
 /// Returns `Overloaded` at once when the backlog is longer than the time left, and
 /// `DeadlinePassed` when the time has passed nevertheless.
 pub async fn admit(
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     kind: upstream::Kind,
     serves: &str,
     priority: u8,
@@ -60,7 +60,7 @@
 
 /// Takes a request out of its queue when its caller leaves.
 struct Left {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     pool: Pool,
     ticket: Ticket,
 }
@@ -75,14 +75,14 @@
     }
 }
 
-fn rooms(shared: &Shared, (kind, serves): &Pool) -> Rooms {
+fn rooms(shared: &SharedState, (kind, serves): &Pool) -> Rooms {
     let now = shared.clock.now();
     let pool = shared.pool.lock().expect("no panic inside");
     pool.rooms(now, *kind, serves)
 }
 
 /// Counts the end of a request and lets in who waits.
-pub fn finished(shared: &Shared, kind: upstream::Kind, serves: &str) {
+pub fn finished(shared: &SharedState, kind: upstream::Kind, serves: &str) {
     let now = shared.clock.now();
     let pool = (kind, serves.to_string());
     {
@@ -95,7 +95,7 @@
 }
 
 /// Lets in who waits, as far as there is room, and turns away whose time has passed.
-pub fn wake(shared: &Shared) {
+pub fn wake(shared: &SharedState) {
     let now = shared.clock.now();
     let mut admission = shared.admission.lock().expect("no panic inside");
     for (pool, line) in &mut admission.0 {
--- a/crates/entry/src/bank.rs
+++ b/crates/entry/src/budget_handle.rs
@@ -6,18 +6,20 @@
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::msg::{DropOutMsg, ExtendMsg, KeepMsg, OpenMsg, RecallMsg, SettleMsg, VoidMsg};
+use crate::messages::{
+    DetachMsg, ExtendMsg, OpenStepMsg, RecallMsg, SettleMsg, StoreCopyMsg, VoidMsg,
+};
 
 /// What the task that owns the decisions is asked for.
-pub(crate) enum Cmd {
+pub(crate) enum Command {
     Reserve(ReserveRequest, u64, oneshot::Sender<ReserveReply>),
     Extend(ExtendMsg, oneshot::Sender<ReserveReply>),
     Void(VoidMsg),
-    DropOut(DropOutMsg, oneshot::Sender<bool>),
+    DropOut(DetachMsg, oneshot::Sender<bool>),
     Settle(SettleMsg, oneshot::Sender<Durability>),
-    Keep(KeepMsg),
+    Keep(StoreCopyMsg),
     Recall(RecallMsg, oneshot::Sender<u64>),
-    Open(OpenMsg, oneshot::Sender<u64>),
+    Open(OpenStepMsg, oneshot::Sender<u64>),
     Act(String, OperatorCommand, oneshot::Sender<OperatorReply>),
     Event(u32, Event),
     Members(Vec<Candidate>),
@@ -30,19 +32,19 @@
 
 /// A handle on the running decisions; clones share them.
 #[derive(Clone)]
-pub struct Handle(mpsc::UnboundedSender<Cmd>);
+pub struct BudgetHandle(mpsc::UnboundedSender<Command>);
 
 /// The receiving end, until the task is spawned.
-pub struct Inbox(pub(crate) mpsc::UnboundedReceiver<Cmd>);
+pub struct CommandReceiver(pub(crate) mpsc::UnboundedReceiver<Command>);
 
 /// Opens a handle whose commands wait until the task is spawned.
-pub fn open() -> (Handle, Inbox) {
+pub fn open() -> (BudgetHandle, CommandReceiver) {
     let (tx, rx) = mpsc::unbounded_channel();
-    (Handle(tx), Inbox(rx))
+    (BudgetHandle(tx), CommandReceiver(rx))
 }
 
-impl Handle {
-    pub(crate) fn send(&self, cmd: Cmd) {
+impl BudgetHandle {
+    pub(crate) fn send(&self, cmd: Command) {
         // After the task's end there is nobody left to serve; replies are dropped with it.
         let _ = self.0.send(cmd);
     }
@@ -50,93 +52,93 @@
     /// Holds tokens back.
     pub async fn reserve(&self, req: ReserveRequest, wait_ms: u64) -> Option<ReserveReply> {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::Reserve(req, wait_ms, tx));
+        self.send(Command::Reserve(req, wait_ms, tx));
         rx.await.ok()
     }
 
     /// Widens a hold.
     pub async fn extend(&self, msg: ExtendMsg) -> Option<ReserveReply> {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::Extend(msg, tx));
+        self.send(Command::Extend(msg, tx));
         rx.await.ok()
     }
 
     /// Gives up a reservation whose answer came too late.
     pub fn void(&self, msg: VoidMsg) {
-        self.send(Cmd::Void(msg));
+        self.send(Command::Void(msg));
     }
 
     /// Takes an entry off a request; returns whether others still serve it.
-    pub async fn drop_out(&self, msg: DropOutMsg) -> Option<bool> {
+    pub async fn drop_out(&self, msg: DetachMsg) -> Option<bool> {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::DropOut(msg, tx));
+        self.send(Command::DropOut(msg, tx));
         rx.await.ok()
     }
 
     /// Settles a hold; returns when the bill is durable.
     pub async fn settle(&self, msg: SettleMsg) -> Option<Durability> {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::Settle(msg, tx));
+        self.send(Command::Settle(msg, tx));
         rx.await.ok()
     }
 
     /// Keeps a copy of another holder's settlement.
-    pub fn keep(&self, msg: KeepMsg) {
-        self.send(Cmd::Keep(msg));
+    pub fn keep(&self, msg: StoreCopyMsg) {
+        self.send(Command::Keep(msg));
     }
 
     /// Hands over unspent tokens; returns all that were ever handed to the asker.
     pub async fn recall(&self, msg: RecallMsg) -> Option<u64> {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::Recall(msg, tx));
+        self.send(Command::Recall(msg, tx));
         rx.await.ok()
     }
 
     /// Gives this witness' word for a step of a joint grant.
-    pub async fn open(&self, msg: OpenMsg) -> Option<u64> {
+    pub async fn open(&self, msg: OpenStepMsg) -> Option<u64> {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::Open(msg, tx));
+        self.send(Command::Open(msg, tx));
         rx.await.ok()
     }
 
     /// Carries out an operator's act.
     pub async fn act(&self, account: &str, act: OperatorCommand) -> Option<OperatorReply> {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::Act(account.to_string(), act, tx));
+        self.send(Command::Act(account.to_string(), act, tx));
         rx.await.ok()
     }
 
     /// Sets the living instances of the region.
     pub fn set_members(&self, members: Vec<Candidate>) {
-        self.send(Cmd::Members(members));
+        self.send(Command::Members(members));
     }
 
     /// Tells that entries are gone.
     pub fn set_silent(&self, entries: Vec<String>) {
-        self.send(Cmd::Silent(entries));
+        self.send(Command::Silent(entries));
     }
 
     /// Tells which holders are present, and which have left as planned.
     pub fn set_presence(&self, present: Vec<String>, left: Vec<String>) {
-        self.send(Cmd::Presence(present, left));
+        self.send(Command::Presence(present, left));
     }
 
     /// Hands everything back, for a planned stop.
     pub fn leave(&self) {
-        self.send(Cmd::Leave);
+        self.send(Command::Leave);
     }
 
     /// Returns whether nothing is left to settle or hand back.
     pub async fn is_clear(&self) -> bool {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::IsClear(tx));
+        self.send(Command::IsClear(tx));
         rx.await.unwrap_or(true)
     }
 
     /// Returns the state as JSON.
     pub async fn dump(&self) -> Value {
         let (tx, rx) = oneshot::channel();
-        self.send(Cmd::Dump(tx));
+        self.send(Command::Dump(tx));
         rx.await.unwrap_or(Value::Null)
     }
 }
--- a/crates/entry/src/bank_io.rs
+++ b/crates/entry/src/budget_io.rs
@@ -7,8 +7,8 @@
 use kv::{Failure, Found, Swap};
 use serde_json::Value;
 
-use crate::msg::{method, KeepMsg, OpenMsg, RecallMsg};
-use crate::shared::Shared;
+use crate::messages::{method, OpenStepMsg, RecallMsg, StoreCopyMsg};
+use crate::shared_state::SharedState;
 
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -31,7 +31,7 @@
     Ok(Some(RecordSnapshot { revision, record }))
 }
 
-pub(crate) async fn read(cx: &Shared, shard: u32) -> Event {
+pub(crate) async fn read(cx: &SharedState, shard: u32) -> Event {
     let got = cx.kv.get(&record_key(shard)).await;
     match got.map(stored) {
         Ok(Ok(stored)) => Event::RecordRead(stored),
@@ -39,7 +39,7 @@
     }
 }
 
-pub(crate) async fn write(cx: &Shared, shard: u32, base: i64, record: &ShardRecord) -> Event {
+pub(crate) async fn write(cx: &SharedState, shard: u32, base: i64, record: &ShardRecord) -> Event {
     let text = serde_json::to_vec(record).expect("a record is JSON");
     match cx.kv.swap(&record_key(shard), base, &text, 0).await {
         Ok(Swap::Done(revision)) => Event::WriteCommitted { revision },
@@ -52,7 +52,12 @@
     }
 }
 
-pub(crate) async fn recall(cx: &Shared, account: &str, from: &str, tokens: u64) -> Option<u64> {
+pub(crate) async fn recall(
+    cx: &SharedState,
+    account: &str,
+    from: &str,
+    tokens: u64,
+) -> Option<u64> {
     let addr = cx.peer_addr(from)?;
     let msg = RecallMsg {
         account: account.to_string(),
@@ -67,25 +72,28 @@
 }
 
 pub(crate) async fn ask_witness(
-    cx: &Shared,
+    cx: &SharedState,
     account: &str,
     witness: &str,
     key: &str,
     upto: u64,
 ) -> Option<u64> {
     let addr = cx.peer_addr(witness)?;
-    let msg = OpenMsg {
+    let msg = OpenStepMsg {
         account: account.to_string(),
         key: key.to_string(),
         upto,
     };
-    let reply = cx.peers.call(&cx.metrics, &addr, method::OPEN, &msg).await;
+    let reply = cx
+        .peers
+        .call(&cx.metrics, &addr, method::OPEN_STEP, &msg)
+        .await;
     reply.unwrap_or(None)
 }
 
 /// Gives a copy of a settlement to an instance in another availability zone.
-pub(crate) async fn copy(cx: &Shared, account: &str, post: Settlement) -> bool {
-    let msg = KeepMsg {
+pub(crate) async fn copy(cx: &SharedState, account: &str, post: Settlement) -> bool {
+    let msg = StoreCopyMsg {
         account: account.to_string(),
         post,
     };
@@ -93,7 +101,7 @@
     for member in cx.live().into_iter().filter(|m| m.zone != *zone) {
         let kept = cx
             .peers
-            .call::<_, bool>(&cx.metrics, &member.peer_addr, method::KEEP, &msg)
+            .call::<_, bool>(&cx.metrics, &member.peer_addr, method::STORE_COPY, &msg)
             .await;
         if kept == Ok(true) {
             return true;
@@ -103,7 +111,7 @@
 }
 
 /// Cancels a request at its upstream and returns what it spent.
-pub(crate) async fn probe(cx: &Shared, at: &AttemptRef) -> Option<u64> {
+pub(crate) async fn probe(cx: &SharedState, at: &AttemptRef) -> Option<u64> {
     let url = {
         let pool = cx.pool.lock().expect("no panic inside");
         let key = pool.find(&at.upstream)?;
--- a/crates/entry/src/bankd.rs
+++ b/crates/entry/src/budget_task.rs
@@ -11,12 +11,12 @@
 use serde_json::{json, Value};
 use tokio::sync::oneshot;
 
-use crate::bank::{Cmd, Handle, Inbox};
-use crate::bank_io::{ask_witness, copy, probe, read, recall, segment_key, write};
+use crate::budget_handle::{BudgetHandle, Command, CommandReceiver};
+use crate::budget_io::{ask_witness, copy, probe, read, recall, segment_key, write};
 use crate::clock::{wall_ms, Clock};
 use crate::event;
-use crate::msg::KeepMsg;
-use crate::shared::Shared;
+use crate::messages::StoreCopyMsg;
+use crate::shared_state::SharedState;
 
 /// Ticks while something waits for time or for the platform.
 const TICK_BUSY: Duration = Duration::from_millis(5);
@@ -26,7 +26,7 @@
 const EXIT_BROKEN: i32 = 101;
 
 /// Spawns the task.
-pub fn spawn(inbox: Inbox, shared: &Arc<Shared>) {
+pub fn spawn(inbox: CommandReceiver, shared: &Arc<SharedState>) {
     let settings = &shared.settings;
     let params = Params {
         orphan_grace_ms: settings.orphan_grace_ms(),
@@ -67,8 +67,8 @@
 struct Task {
     bank: ShardManager,
     clock: Clock,
-    shared: Weak<Shared>,
-    handle: Handle,
+    shared: Weak<SharedState>,
+    handle: BudgetHandle,
     next_ask: u64,
     reserves: BTreeMap<u64, oneshot::Sender<ReserveReply>>,
     drop_outs: BTreeMap<u64, oneshot::Sender<bool>>,
@@ -78,7 +78,7 @@
 }
 
 impl Task {
-    async fn run(mut self, mut inbox: Inbox) {
+    async fn run(mut self, mut inbox: CommandReceiver) {
         loop {
             let wait = if self.bank.is_busy() {
                 TICK_BUSY
@@ -106,10 +106,10 @@
         self.next_ask
     }
 
-    fn take(&mut self, now: u64, cmd: Cmd) -> Vec<ShardAction> {
+    fn take(&mut self, now: u64, cmd: Command) -> Vec<ShardAction> {
         let ask = self.ask();
         match cmd {
-            Cmd::Reserve(req, wait_ms, tx) => {
+            Command::Reserve(req, wait_ms, tx) => {
                 self.reserves.insert(ask, tx);
                 let account = req.account.clone();
                 let deadline = now + wait_ms;
@@ -123,7 +123,7 @@
                     },
                 )
             }
-            Cmd::Extend(m, tx) => {
+            Command::Extend(m, tx) => {
                 self.reserves.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Extend {
@@ -136,7 +136,7 @@
                 };
                 self.step(now, &account, event)
             }
-            Cmd::Void(m) => {
+            Command::Void(m) => {
                 let account = m.account.clone();
                 let event = Event::Void {
                     account: m.account,
@@ -145,7 +145,7 @@
                 };
                 self.step(now, &account, event)
             }
-            Cmd::DropOut(m, tx) => {
+            Command::DropOut(m, tx) => {
                 self.drop_outs.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Detach {
@@ -156,7 +156,7 @@
                 };
                 self.step(now, &account, event)
             }
-            Cmd::Settle(m, tx) => {
+            Command::Settle(m, tx) => {
                 self.settles.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Settle {
@@ -167,7 +167,7 @@
                 };
                 self.step(now, &account, event)
             }
-            Cmd::Keep(KeepMsg { account, post }) => {
+            Command::Keep(StoreCopyMsg { account, post }) => {
                 let name = account.clone();
                 self.step(
                     now,
@@ -178,7 +178,7 @@
                     },
                 )
             }
-            Cmd::Recall(m, tx) => {
+            Command::Recall(m, tx) => {
                 self.recalls.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Recall {
@@ -189,7 +189,7 @@
                 };
                 self.step(now, &account, event)
             }
-            Cmd::Open(m, tx) => {
+            Command::Open(m, tx) => {
                 // Answered like a recall: by a number of tokens.
                 self.recalls.insert(ask, tx);
                 let (key, upto) = (m.key, m.upto);
@@ -203,7 +203,7 @@
                     },
                 )
             }
-            Cmd::Act(account, act, tx) => {
+            Command::Act(account, act, tx) => {
                 self.acts.insert(ask, tx);
                 let name = account.clone();
                 self.step(
@@ -216,30 +216,30 @@
                     },
                 )
             }
-            Cmd::Event(shard, event) => self.bank.step(now, shard, event),
-            Cmd::Members(members) => {
+            Command::Event(shard, event) => self.bank.step(now, shard, event),
+            Command::Members(members) => {
                 self.bank.set_members(members);
                 Vec::new()
             }
-            Cmd::Silent(entries) => {
+            Command::Silent(entries) => {
                 let gone = |entry| Event::InstanceUnresponsive { instance: entry };
                 let events: Vec<Event> = entries.into_iter().map(gone).collect();
                 let all = events.iter().flat_map(|e| self.bank.step_all(now, e));
                 all.collect()
             }
-            Cmd::Presence(present, left) => {
+            Command::Presence(present, left) => {
                 self.bank.set_presence(now, &present, &left);
                 Vec::new()
             }
-            Cmd::Leave => {
+            Command::Leave => {
                 self.bank.leave();
                 self.bank.step_all(now, &Event::Tick)
             }
-            Cmd::IsClear(tx) => {
+            Command::IsClear(tx) => {
                 let _ = tx.send(self.bank.is_drained());
                 Vec::new()
             }
-            Cmd::Dump(tx) => {
+            Command::Dump(tx) => {
                 let _ = tx.send(self.dump());
                 Vec::new()
             }
@@ -252,7 +252,7 @@
     }
 
     /// Carries out one action; what takes time goes on beside and comes back as an event.
-    fn act(&mut self, shared: &Arc<Shared>, output: ShardAction) {
+    fn act(&mut self, shared: &Arc<SharedState>, output: ShardAction) {
         let shard = output.shard;
         let cx = Arc::clone(shared);
         let handle = self.handle.clone();
@@ -260,7 +260,7 @@
             Action::ReadRecord => {
                 tokio::spawn(async move {
                     let event = read(&cx, shard).await;
-                    handle.send(Cmd::Event(shard, event));
+                    handle.send(Command::Event(shard, event));
                 });
             }
             Action::WriteRecord {
@@ -269,7 +269,7 @@
             } => {
                 tokio::spawn(async move {
                     let event = write(&cx, shard, base, &record).await;
-                    handle.send(Cmd::Event(shard, event));
+                    handle.send(Command::Event(shard, event));
                 });
             }
             Action::WriteSegment { name, segment } => {
@@ -278,7 +278,7 @@
                     let key = segment_key(shard, &name);
                     let swapped = cx.kv.swap(&key, 0, &text, 0).await;
                     let done = matches!(swapped, Ok(Swap::Done(_)));
-                    handle.send(Cmd::Event(shard, Event::SegmentWritten(done)));
+                    handle.send(Command::Event(shard, Event::SegmentWritten(done)));
                 });
             }
             Action::ReadSegment { name } => {
@@ -286,7 +286,7 @@
                     let found = cx.kv.get(&segment_key(shard, &name)).await;
                     let found = found.ok().flatten();
                     let segment = found.and_then(|f| serde_json::from_slice(&f.value).ok());
-                    handle.send(Cmd::Event(shard, Event::SegmentRead(segment)));
+                    handle.send(Command::Event(shard, Event::SegmentRead(segment)));
                 });
             }
             Action::ReserveReply {
@@ -317,7 +317,7 @@
                         from,
                         total_sent: sent,
                     };
-                    handle.send(Cmd::Event(shard, event));
+                    handle.send(Command::Event(shard, event));
                 });
             }
             Action::StepReply {
@@ -337,7 +337,7 @@
                         key,
                         total_opened: opened,
                     };
-                    handle.send(Cmd::Event(shard, event));
+                    handle.send(Command::Event(shard, event));
                 });
             }
             Action::SendCopy {
@@ -347,7 +347,7 @@
                 tokio::spawn(async move {
                     let hold = post.hold;
                     if copy(&cx, &account, post).await {
-                        handle.send(Cmd::Event(shard, Event::CopyStored { account, hold }));
+                        handle.send(Command::Event(shard, Event::CopyStored { account, hold }));
                     }
                 });
             }
@@ -372,7 +372,7 @@
                                 tokens,
                                 at_ms,
                             };
-                            handle.send(Cmd::Event(shard, event));
+                            handle.send(Command::Event(shard, event));
                         }
                         None => {
                             let detail = format!("{} at {}", at.id, at.upstream);
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -6,22 +6,22 @@
 use serde_json::json;
 use web::{Req, Res};
 
-use crate::pipe::{auth, chat, forward};
-use crate::shared::Shared;
+use crate::pipeline::{auth, chat, service_call};
+use crate::shared_state::SharedState;
 
 /// Answers callers.
-pub struct Callers {
+pub struct CallerService {
     /// What the instance's tasks share.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
 }
 
-impl web::Service for Callers {
+impl web::Service for CallerService {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         let shared = Arc::clone(&self.shared);
         let answered = match (req.method.as_str(), req.segments().as_slice()) {
             ("POST", ["v1", "chat", "completions"]) => chat::answer(&shared, &req).await,
             ("GET", ["v1", "models"]) => models(&shared, &req),
-            (_, ["v1", "services", ..]) => forward::answer(&shared, req).await,
+            (_, ["v1", "services", ..]) => service_call::answer(&shared, req).await,
             (method, _) => {
                 let message = format!("there is nothing at {method} {}", req.path);
                 Err(Error::new(Kind::NotFound, message))
@@ -41,7 +41,7 @@
     }
 }
 
-fn models(shared: &Arc<Shared>, req: &Req) -> Result<Res, Error> {
+fn models(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
     let cx = auth::auth(shared, req)?;
     let row = |m: &String| json!({"id": m, "object": "model", "owned_by": "oriolehitch"});
     let data: Vec<_> = cx.policy.models.iter().map(row).collect();
@@ -49,7 +49,7 @@
 }
 
 /// Returns the answer to an error.
-pub fn refusal(shared: &Shared, error: &Error) -> Res {
+pub fn refusal(shared: &SharedState, error: &Error) -> Res {
     let res = Res::json(error.status(), &error.body());
     let res = res.with("x-oriolehitch-instance", shared.me.clone());
     match error.retry_after_secs {
--- a/crates/entry/src/accept.rs
+++ b/crates/entry/src/config_change.rs
@@ -10,10 +10,10 @@
 use tokio::time::timeout;
 
 use crate::clock::wall_ms;
-use crate::configd::{put_in_force, read_head, CHUNK, HEAD};
+use crate::config_sync::{put_in_force, read_head, CHUNK, HEAD};
 use crate::event::Event;
 use crate::gossip;
-use crate::shared::Shared;
+use crate::shared_state::SharedState;
 
 /// How often a write without an answer is tried again, or looked for.
 const LOOKS: u32 = 5;
@@ -24,7 +24,7 @@
 
 /// A change that an operator wants.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct ChangeRequest {
     /// The whole new configuration.
     pub config: Config,
     /// The revision that the operator has seen.
@@ -43,7 +43,7 @@
 ///
 /// Returns a conflict when the expected revision is not the current one, and an error with an
 /// unknown outcome when the platform's answer was lost and can't be found.
-pub async fn accept(shared: &Arc<Shared>, wish: Wish) -> Result<u64, Error> {
+pub async fn accept(shared: &Arc<SharedState>, wish: ChangeRequest) -> Result<u64, Error> {
     let down = |_| {
         Error::new(
             Kind::PlatformDown,
@@ -85,7 +85,7 @@
 }
 
 /// Writes a chunk, again where an answer is lost: its key is its hash, so that harms nothing.
-async fn put_chunk(shared: &Shared, key: &str, text: &str) -> Result<(), Failure> {
+async fn put_chunk(shared: &SharedState, key: &str, text: &str) -> Result<(), Failure> {
     let mut tries = 0;
     loop {
         tries += 1;
@@ -99,7 +99,7 @@
 
 /// Looks for a change whose write had no answer, or lost a race.
 async fn find_again(
-    shared: &Arc<Shared>,
+    shared: &Arc<SharedState>,
     change_id: &str,
     bundle: Bundle,
     lost: bool,
@@ -125,7 +125,7 @@
     Error::new(Kind::Conflict, format!("the current revision is {current}"))
 }
 
-fn accepted(shared: &Arc<Shared>, bundle: Bundle) -> u64 {
+fn accepted(shared: &Arc<SharedState>, bundle: Bundle) -> u64 {
     let revision = bundle.head.revision;
     put_in_force(shared, bundle);
     shared.log(Event::ConfigAccepted, format!("revision {revision}"));
@@ -139,7 +139,7 @@
 }
 
 /// Measures when the last living instance has a revision in force.
-async fn follow_spread(shared: &Shared, revision: u64, began: u64) {
+async fn follow_spread(shared: &SharedState, revision: u64, began: u64) {
     let look = async {
         while shared.live().iter().any(|m| m.revision < revision) {
             tokio::time::sleep(SPREAD_LOOK).await;
--- a/crates/entry/src/configd.rs
+++ b/crates/entry/src/config_sync.rs
@@ -9,8 +9,8 @@
 
 use crate::clock::wall_ms;
 use crate::event::Event;
-use crate::msg::{method, PullMsg, PullReply};
-use crate::shared::{Active, Shared};
+use crate::messages::{method, PullConfigMsg, PullConfigReply};
+use crate::shared_state::{ActiveConfig, SharedState};
 
 /// Key of the head.
 pub(crate) const HEAD: &str = "/oriolehitch/config/head";
@@ -21,14 +21,14 @@
 const WATCH_RETRY: Duration = Duration::from_secs(1);
 
 /// Spawns the tasks.
-pub fn spawn(shared: &Arc<Shared>) {
+pub fn spawn(shared: &Arc<SharedState>) {
     tokio::spawn(follow(Arc::clone(shared)));
     for addr in shared.settings.peers.clone().unwrap_or_default() {
         pull_from(Arc::clone(shared), addr.to_string());
     }
 }
 
-async fn follow(shared: Arc<Shared>) {
+async fn follow(shared: Arc<SharedState>) {
     loop {
         let mut watch = shared.kv.watch(HEAD).await.ok();
         loop {
@@ -45,7 +45,7 @@
 }
 
 /// Reads the head, and what it names that is not here.
-async fn read(shared: &Arc<Shared>) {
+async fn read(shared: &Arc<SharedState>) {
     let Ok(Some((head, _))) = read_head(shared).await else {
         return;
     };
@@ -66,7 +66,7 @@
 }
 
 /// Starts a bundle with the chunks that are here already.
-fn start(shared: &Shared, head: Head) -> Bundle {
+fn start(shared: &SharedState, head: Head) -> Bundle {
     let mut bundle = Bundle {
         head,
         chunks: Default::default(),
@@ -81,7 +81,7 @@
     bundle
 }
 
-pub(crate) async fn read_head(shared: &Shared) -> Result<Option<(Head, i64)>, Failure> {
+pub(crate) async fn read_head(shared: &SharedState) -> Result<Option<(Head, i64)>, Failure> {
     let Some(found) = shared.kv.get(HEAD).await? else {
         return Ok(None);
     };
@@ -95,8 +95,8 @@
 }
 
 /// Puts a whole bundle in force, unless a newer one is.
-pub(crate) fn put_in_force(shared: &Arc<Shared>, bundle: Bundle) {
-    let active = match Active::join(bundle) {
+pub(crate) fn put_in_force(shared: &Arc<SharedState>, bundle: Bundle) {
+    let active = match ActiveConfig::join(bundle) {
         Ok(active) => Arc::new(active),
         Err(e) => {
             shared.log(Event::ConfigBroken, e);
@@ -127,9 +127,9 @@
 }
 
 /// Answers a peer that asks for the configuration.
-pub fn answer(shared: &Shared, msg: &PullMsg) -> PullReply {
+pub fn answer(shared: &SharedState, msg: &PullConfigMsg) -> PullConfigReply {
     let Some(active) = shared.active() else {
-        return PullReply {
+        return PullConfigReply {
             head: None,
             chunks: Vec::new(),
         };
@@ -143,25 +143,25 @@
         hash: hash.clone(),
         text: text.clone(),
     };
-    PullReply {
+    PullConfigReply {
         head: Some(active.bundle.head.clone()),
         chunks: lacks.map(chunk).collect(),
     }
 }
 
 /// Fetches a peer's configuration in a task of its own.
-pub fn pull_from(shared: Arc<Shared>, addr: String) {
+pub fn pull_from(shared: Arc<SharedState>, addr: String) {
     tokio::spawn(async move {
         let active = shared.active();
         let have = active.map(|a| a.bundle.chunks.keys().cloned().collect());
-        let msg = PullMsg {
+        let msg = PullConfigMsg {
             have: have.unwrap_or_default(),
         };
         let reply = shared
             .peers
-            .call::<_, PullReply>(&shared.metrics, &addr, method::PULL, &msg)
+            .call::<_, PullConfigReply>(&shared.metrics, &addr, method::PULL_CONFIG, &msg)
             .await;
-        let Ok(PullReply {
+        let Ok(PullConfigReply {
             head: Some(head),
             chunks,
         }) = reply
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -8,19 +8,19 @@
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
-use crate::configd;
+use crate::config_sync;
 use crate::event::Event;
-use crate::msg::{method, GossipMsg};
-use crate::shared::Shared;
+use crate::messages::{method, GossipMsg};
+use crate::shared_state::SharedState;
 
 const EVERY: Duration = Duration::from_millis(1_000);
 
 /// Spawns the task.
-pub fn spawn(shared: Arc<Shared>) {
+pub fn spawn(shared: Arc<SharedState>) {
     tokio::spawn(run(shared));
 }
 
-async fn run(shared: Arc<Shared>) {
+async fn run(shared: Arc<SharedState>) {
     let mut rng = StdRng::from_os_rng();
     let mut every = tokio::time::interval(EVERY);
     let mut silent = BTreeSet::new();
@@ -40,7 +40,7 @@
 }
 
 /// Takes over who lives, who fell silent and who came back.
-fn settle_members(shared: &Arc<Shared>, silent: &mut BTreeSet<String>) {
+fn settle_members(shared: &Arc<SharedState>, silent: &mut BTreeSet<String>) {
     shared.bank.set_members(shared.candidates());
     let live = shared.live().len();
     shared
@@ -61,7 +61,7 @@
     *silent = quiet;
 }
 
-async fn talk(shared: Arc<Shared>, partner: Member, told: Told) {
+async fn talk(shared: Arc<SharedState>, partner: Member, told: Told) {
     let msg = message(&shared, told);
     let addr = &partner.peer_addr;
     let reply = shared
@@ -73,7 +73,7 @@
     }
 }
 
-fn message(shared: &Shared, told: Told) -> GossipMsg {
+fn message(shared: &SharedState, told: Told) -> GossipMsg {
     GossipMsg {
         told,
         revision: shared.revision(),
@@ -82,7 +82,7 @@
 }
 
 /// Answers a partner.
-pub fn answer(shared: &Arc<Shared>, msg: GossipMsg) -> GossipMsg {
+pub fn answer(shared: &Arc<SharedState>, msg: GossipMsg) -> GossipMsg {
     let addr = msg.told.members.first().map(|m| m.peer_addr.clone());
     take(shared, msg, &addr.unwrap_or_default());
     let now = shared.clock.now();
@@ -94,7 +94,7 @@
     message(shared, told)
 }
 
-fn take(shared: &Arc<Shared>, msg: GossipMsg, addr: &str) {
+fn take(shared: &Arc<SharedState>, msg: GossipMsg, addr: &str) {
     let now = shared.clock.now();
     let news = {
         let mut members = shared.members.lock().expect("no panic inside");
@@ -114,12 +114,12 @@
         }
     }
     if msg.revision > shared.revision() {
-        configd::pull_from(Arc::clone(shared), addr.to_string());
+        config_sync::pull_from(Arc::clone(shared), addr.to_string());
     }
 }
 
 /// Tells every living instance at once, for news that must not wait.
-pub async fn tell_all(shared: &Arc<Shared>, standing: Option<Standing>) {
+pub async fn tell_all(shared: &Arc<SharedState>, standing: Option<Standing>) {
     let (me, live) = {
         let mut members = shared.members.lock().expect("no panic inside");
         if let Some(standing) = standing {
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -12,12 +12,15 @@
 
 use crate::clock::{wall_ms, Clock};
 use crate::event::Event;
-use crate::journal::Journal;
-use crate::lines::Admission;
-use crate::metric::Metrics;
-use crate::peers::Peers;
-use crate::shared::Shared;
-use crate::{admin, bank, bankd, callers, configd, gossip, loads, orders, registry, rpc};
+use crate::journal::RequestJournal;
+use crate::metrics::Metrics;
+use crate::peer_clients::PeerClients;
+use crate::shared_state::SharedState;
+use crate::wait_queues::WaitQueues;
+use crate::{
+    admin, budget_handle, budget_task, callers, config_sync, gossip, load_reports, model_versions,
+    peer_server, registry,
+};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const ADMIN_BODY_LIMIT: usize = 64 << 20;
@@ -29,7 +32,7 @@
 
 /// A running instance.
 pub struct Instance {
-    shared: Arc<Shared>,
+    shared: Arc<SharedState>,
     callers: web::Handle,
     admin: web::Handle,
     peer: jsonrpsee_server::ServerHandle,
@@ -43,28 +46,28 @@
     ///
     /// Returns which address can't be bound, and why.
     pub async fn spawn(settings: Settings) -> Result<Instance> {
-        let bound = rpc::bind(settings.peer_listen()).await;
+        let bound = peer_server::bind(settings.peer_listen()).await;
         let (server, peer_addr) = bound.map_err(|e| anyhow!("peer listener: {e}"))?;
-        let (bank, inbox) = bank::open();
+        let (bank, inbox) = budget_handle::open();
         let shared = Arc::new(share(settings, peer_addr, bank)?);
-        bankd::spawn(inbox, &shared);
-        let peer = rpc::serve(server, Arc::clone(&shared));
-        let service = Arc::new(callers::Callers {
+        budget_task::spawn(inbox, &shared);
+        let peer = peer_server::serve(server, Arc::clone(&shared));
+        let service = Arc::new(callers::CallerService {
             shared: Arc::clone(&shared),
         });
         let limit = shared.settings.body_limit() as usize;
         let bound = web::bind(shared.settings.listen(), limit, service).await;
         let callers = bound.map_err(|e| anyhow!("callers' listener: {e}"))?;
-        let service = Arc::new(admin::Admin {
+        let service = Arc::new(admin::AdminService {
             shared: Arc::clone(&shared),
         });
         let bound = web::bind(shared.settings.admin_listen(), ADMIN_BODY_LIMIT, service).await;
         let admin = bound.map_err(|e| anyhow!("operators' listener: {e}"))?;
         registry::spawn(&shared);
-        configd::spawn(&shared);
+        config_sync::spawn(&shared);
         gossip::spawn(Arc::clone(&shared));
-        loads::spawn(Arc::clone(&shared));
-        orders::spawn(Arc::clone(&shared));
+        load_reports::spawn(Arc::clone(&shared));
+        model_versions::spawn(Arc::clone(&shared));
         let detail = format!("callers {}, operators {}", callers.addr(), admin.addr());
         shared.log(Event::Started, detail);
         Ok(Instance {
@@ -147,7 +150,11 @@
     }
 }
 
-fn share(settings: Settings, peer_addr: SocketAddr, bank: bank::Handle) -> Result<Shared> {
+fn share(
+    settings: Settings,
+    peer_addr: SocketAddr,
+    bank: budget_handle::BudgetHandle,
+) -> Result<SharedState> {
     // Half of it names the time of the start, the other half is random.
     let start = format!("{:08x}{:08x}", wall_ms() / 1000, rand::random::<u32>());
     let me = format!("{}.{start}", settings.name);
@@ -160,7 +167,7 @@
         beat: 1,
         revision: 0,
     };
-    Ok(Shared {
+    Ok(SharedState {
         me,
         clock: Clock::start(),
         kv: kv::Client::open(&settings.platform),
@@ -169,12 +176,12 @@
         bank,
         config: RwLock::new(None),
         pool: Mutex::new(Pool::default()),
-        admission: Mutex::new(Admission::default()),
+        admission: Mutex::new(WaitQueues::default()),
         retry: Mutex::new(RetryBudget::default()),
         members: Mutex::new(Members::open(member)),
-        peers: Peers::default(),
+        peers: PeerClients::default(),
         metrics: Metrics::open(),
-        journal: Journal::default(),
+        journal: RequestJournal::default(),
         attempts: Mutex::default(),
         busy: watch::channel(0).0,
         claim_lease: tokio::sync::Mutex::new(None),
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -27,9 +27,9 @@
 
 /// The latest requests with their steps.
 #[derive(Debug, Default)]
-pub struct Journal(Mutex<Inner>);
+pub struct RequestJournal(Mutex<Inner>);
 
-impl Journal {
+impl RequestJournal {
     /// Adds a step to a request.
     pub fn add(&self, at: u64, request: &str, what: impl Into<String>) {
         let mut inner = self.0.lock().expect("no panic inside");
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,27 +1,27 @@
 //! One running instance: listeners, filters of a request, and the tasks around the decisions.
 
-pub mod accept;
 pub mod admin;
 pub mod admission;
-pub mod bank;
-pub mod bank_io;
-pub mod bankd;
+pub mod budget_handle;
+pub mod budget_io;
+pub mod budget_task;
 pub mod callers;
-pub mod configd;
+pub mod config_change;
+pub mod config_sync;
 pub mod event;
 pub mod gossip;
 pub mod instance;
 pub mod journal;
-pub mod lines;
-pub mod loads;
-pub mod metric;
-pub mod msg;
-pub mod orders;
-pub mod peers;
-pub mod pipe;
+pub mod load_reports;
+pub mod messages;
+pub mod metrics;
+pub mod model_versions;
+pub mod peer_clients;
+pub mod peer_server;
+pub mod pipeline;
 pub mod registry;
-pub mod rpc;
-pub mod shared;
+pub mod shared_state;
+pub mod wait_queues;
 
 pub use ::clock;
 pub use instance::Instance;
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/load_reports.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 
 use crate::event::Event;
-use crate::shared::Shared;
+use crate::shared_state::SharedState;
 
 const EVERY: Duration = Duration::from_millis(250);
 /// Rounds after which one unused upstream is asked.
@@ -16,11 +16,11 @@
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Spawns the task.
-pub fn spawn(shared: Arc<Shared>) {
+pub fn spawn(shared: Arc<SharedState>) {
     tokio::spawn(run(shared));
 }
 
-async fn run(shared: Arc<Shared>) {
+async fn run(shared: Arc<SharedState>) {
     let mut every = tokio::time::interval(EVERY);
     let mut round = 0;
     loop {
@@ -33,7 +33,7 @@
     }
 }
 
-fn due(shared: &Shared, round: u64) -> Vec<(Key, String)> {
+fn due(shared: &SharedState, round: u64) -> Vec<(Key, String)> {
     let active = shared.active();
     let wanted = active
         .map(|a| a.config.versions.clone())
@@ -60,7 +60,7 @@
 }
 
 /// Asks one upstream.
-pub async fn ask(shared: Arc<Shared>, key: Key, url: String) {
+pub async fn ask(shared: Arc<SharedState>, key: Key, url: String) {
     let sent = shared
         .http
         .get(format!("{url}/load"))
--- a/crates/entry/src/msg.rs
+++ b/crates/entry/src/messages.rs
@@ -43,7 +43,7 @@
 
 /// The word of an entry whose caller left.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct DropOutMsg {
+pub struct DetachMsg {
     /// The customer.
     pub account: String,
     /// The hold.
@@ -65,7 +65,7 @@
 
 /// A copy of a settlement, to be kept until it is recorded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct KeepMsg {
+pub struct StoreCopyMsg {
     /// The customer.
     pub account: String,
     /// The settlement.
@@ -85,7 +85,7 @@
 
 /// A step of a joint grant.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct OpenMsg {
+pub struct OpenStepMsg {
     /// The customer.
     pub account: String,
     /// The joint grant's key.
@@ -107,14 +107,14 @@
 
 /// A call for a configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PullMsg {
+pub struct PullConfigMsg {
     /// Hashes of chunks that the asker has.
     pub have: Vec<String>,
 }
 
 /// A configuration, less the chunks that the asker has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct PullReply {
+pub struct PullConfigReply {
     /// The head; none while the instance has no configuration.
     pub head: Option<Head>,
     /// Chunks.
@@ -130,19 +130,19 @@
     /// Gives up a reservation.
     pub const VOID: &str = "void";
     /// Serves a request no more.
-    pub const DROP_OUT: &str = "drop_out";
+    pub const DETACH: &str = "drop_out";
     /// Settles a hold.
     pub const SETTLE: &str = "settle";
     /// Keeps a copy of a settlement.
-    pub const KEEP: &str = "keep";
+    pub const STORE_COPY: &str = "keep";
     /// Hands over unspent tokens.
     pub const RECALL: &str = "recall";
     /// Opens a step of a joint grant.
-    pub const OPEN: &str = "open";
+    pub const OPEN_STEP: &str = "open";
     /// Exchanges what is known of instances.
     pub const GOSSIP: &str = "gossip";
     /// Fetches a configuration.
-    pub const PULL: &str = "pull";
+    pub const PULL_CONFIG: &str = "pull";
     /// Tells how far an attempt is.
-    pub const ATTEMPT: &str = "attempt";
+    pub const ATTEMPT_STATUS: &str = "attempt";
 }
--- a/crates/entry/src/metric.rs
+++ b/crates/entry/src/metrics.rs
@@ -18,14 +18,14 @@
 
 /// The end of a request: `ok` or the code of its error.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct End {
+pub struct RequestLabels {
     /// The code.
     pub code: String,
 }
 
 /// A sort of platform call or peer message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Sort {
+pub struct CallLabels {
     /// The sort.
     pub sort: String,
 }
@@ -34,7 +34,7 @@
 pub struct Metrics {
     registry: Mutex<Registry>,
     /// Requests by their end.
-    pub requests: Family<End, Counter>,
+    pub requests: Family<RequestLabels, Counter>,
     /// Requests that are under way.
     pub inflight: Gauge,
     /// Attempts at upstreams.
@@ -54,11 +54,11 @@
     /// Seconds from a change's acceptance here to its being in force on every live instance.
     pub config_spread: Histogram,
     /// Messages to peers, by sort.
-    pub peer_messages: Family<Sort, Counter>,
+    pub peer_messages: Family<CallLabels, Counter>,
     /// Bytes of messages to and from peers.
     pub peer_bytes: Counter,
     /// Platform calls, by sort.
-    pub platform_calls: Family<Sort, Gauge<f64, AtomicU64>>,
+    pub platform_calls: Family<CallLabels, Gauge<f64, AtomicU64>>,
 }
 
 impl Metrics {
@@ -141,20 +141,20 @@
     /// Counts a request's end.
     pub fn ended(&self, code: &str) {
         let code = code.to_string();
-        self.requests.get_or_create(&End { code }).inc();
+        self.requests.get_or_create(&RequestLabels { code }).inc();
     }
 
     /// Counts a message to a peer.
     pub fn message(&self, sort: &str, bytes: u64) {
         let sort = sort.to_string();
-        self.peer_messages.get_or_create(&Sort { sort }).inc();
+        self.peer_messages.get_or_create(&CallLabels { sort }).inc();
         self.peer_bytes.inc_by(bytes);
     }
 
     /// Takes over the platform client's counts.
     pub fn platform(&self, sort: &str, calls: u64) {
         let sort = sort.to_string();
-        let gauge = self.platform_calls.get_or_create(&Sort { sort });
+        let gauge = self.platform_calls.get_or_create(&CallLabels { sort });
         gauge.set(calls as f64);
     }
 
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/model_versions.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::event::Event;
-use crate::shared::{Active, Shared};
+use crate::shared_state::{ActiveConfig, SharedState};
 
 /// One order at a time: the weight store is rate-limited.
 const EVERY: Duration = Duration::from_millis(500);
@@ -29,7 +29,7 @@
 }
 
 /// Spawns the task.
-pub fn spawn(shared: Arc<Shared>) {
+pub fn spawn(shared: Arc<SharedState>) {
     tokio::spawn(async move {
         let mut every = tokio::time::interval(EVERY);
         loop {
@@ -45,7 +45,7 @@
 }
 
 /// Returns the first order that this instance has to give.
-fn next(shared: &Shared, active: &Active) -> Option<Order> {
+fn next(shared: &SharedState, active: &ActiveConfig) -> Option<Order> {
     let candidates = shared.candidates();
     let pool = shared.pool.lock().expect("no panic inside");
     for (key, up) in pool.all() {
@@ -75,7 +75,7 @@
     candidates.iter().max_by_key(rank).map(|c| c.id.as_str())
 }
 
-async fn send(shared: &Arc<Shared>, order: Order) {
+async fn send(shared: &Arc<SharedState>, order: Order) {
     let body = json!({
         "model": order.model, "version": order.version, "fence": order.fence,
     });
@@ -96,5 +96,5 @@
         shared.log(Event::Ordered, detail);
     }
     // What it reports counts, not what it answered.
-    crate::loads::ask(Arc::clone(shared), order.key, order.url).await;
+    crate::load_reports::ask(Arc::clone(shared), order.key, order.url).await;
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peer_clients.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use serde_json::value::{to_raw_value, RawValue};
 
-use crate::metric::Metrics;
+use crate::metrics::Metrics;
 
 /// Longer than a home lets an entry wait for tokens.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -20,12 +20,12 @@
 
 /// Clients of other instances, by address.
 #[derive(Default)]
-pub struct Peers {
+pub struct PeerClients {
     clients: Mutex<BTreeMap<String, HttpClient>>,
     cut: Mutex<Vec<String>>,
 }
 
-impl Peers {
+impl PeerClients {
     fn client(&self, addr: &str) -> Result<HttpClient, String> {
         let mut clients = self.clients.lock().expect("no panic inside");
         if let Some(client) = clients.get(addr) {
--- a/crates/entry/src/rpc.rs
+++ b/crates/entry/src/peer_server.rs
@@ -10,12 +10,12 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use crate::msg::{
-    method, DropOutMsg, ExtendMsg, GossipMsg, KeepMsg, OpenMsg, PullMsg, RecallMsg, ReserveMsg,
-    SettleMsg, VoidMsg,
+use crate::messages::{
+    method, DetachMsg, ExtendMsg, GossipMsg, OpenStepMsg, PullConfigMsg, RecallMsg, ReserveMsg,
+    SettleMsg, StoreCopyMsg, VoidMsg,
 };
-use crate::peers::MESSAGE_LIMIT;
-use crate::shared::Shared;
+use crate::peer_clients::MESSAGE_LIMIT;
+use crate::shared_state::SharedState;
 
 const CONNECTIONS: u32 = 4096;
 
@@ -42,7 +42,7 @@
 /// # Panics
 ///
 /// Panics when two methods have one name.
-pub fn serve(server: jsonrpsee_server::Server, shared: Arc<Shared>) -> ServerHandle {
+pub fn serve(server: jsonrpsee_server::Server, shared: Arc<SharedState>) -> ServerHandle {
     let mut module = RpcModule::from_arc(shared);
     add(
         &mut module,
@@ -60,49 +60,59 @@
         cx.bank.void(m);
         true
     });
-    add(
-        &mut module,
-        method::DROP_OUT,
-        |cx, m: DropOutMsg| async move {
-            // Without an answer nobody may cancel: the home will, when no entry is left.
-            cx.bank.drop_out(m).await.unwrap_or(true)
-        },
-    );
+    add(&mut module, method::DETACH, |cx, m: DetachMsg| async move {
+        // Without an answer nobody may cancel: the home will, when no entry is left.
+        cx.bank.drop_out(m).await.unwrap_or(true)
+    });
     add(&mut module, method::SETTLE, |cx, m: SettleMsg| async move {
         let how: Option<Durability> = cx.bank.settle(m).await;
         how
     });
-    add(&mut module, method::KEEP, |cx, m: KeepMsg| async move {
-        cx.bank.keep(m);
-        true
-    });
+    add(
+        &mut module,
+        method::STORE_COPY,
+        |cx, m: StoreCopyMsg| async move {
+            cx.bank.keep(m);
+            true
+        },
+    );
     add(&mut module, method::RECALL, |cx, m: RecallMsg| async move {
         let sent: Option<u64> = cx.bank.recall(m).await;
         sent
     });
-    add(&mut module, method::OPEN, |cx, m: OpenMsg| async move {
-        let opened: Option<u64> = cx.bank.open(m).await;
-        opened
-    });
+    add(
+        &mut module,
+        method::OPEN_STEP,
+        |cx, m: OpenStepMsg| async move {
+            let opened: Option<u64> = cx.bank.open(m).await;
+            opened
+        },
+    );
     add(&mut module, method::GOSSIP, |cx, m: GossipMsg| async move {
         crate::gossip::answer(&cx, m)
     });
-    add(&mut module, method::PULL, |cx, m: PullMsg| async move {
-        crate::configd::answer(&cx, &m)
-    });
-    add(&mut module, method::ATTEMPT, |cx, m: String| async move {
-        let attempts = cx.attempts.lock().expect("no panic inside");
-        attempts.get(&m).copied().unwrap_or(AttemptStatus::Unknown)
-    });
+    add(
+        &mut module,
+        method::PULL_CONFIG,
+        |cx, m: PullConfigMsg| async move { crate::config_sync::answer(&cx, &m) },
+    );
+    add(
+        &mut module,
+        method::ATTEMPT_STATUS,
+        |cx, m: String| async move {
+            let attempts = cx.attempts.lock().expect("no panic inside");
+            attempts.get(&m).copied().unwrap_or(AttemptStatus::Unknown)
+        },
+    );
     server.start(module)
 }
 
 /// Adds a method that takes one typed message and returns one.
-fn add<M, R, F, Fut>(module: &mut RpcModule<Shared>, name: &'static str, answer: F)
+fn add<M, R, F, Fut>(module: &mut RpcModule<SharedState>, name: &'static str, answer: F)
 where
     M: DeserializeOwned + Send + 'static,
     R: Serialize + Clone + Send + 'static,
-    F: Fn(Arc<Shared>, M) -> Fut + Clone + Send + Sync + 'static,
+    F: Fn(Arc<SharedState>, M) -> Fut + Clone + Send + Sync + 'static,
     Fut: std::future::Future<Output = R> + Send,
 {
     let added = module.register_async_method(name, move |params, cx, _| {
--- a/crates/entry/src/pipe/auth.rs
+++ b/crates/entry/src/pipeline/auth.rs
@@ -7,8 +7,8 @@
 use uuid::Uuid;
 use web::Req;
 
-use super::cx::Cx;
-use crate::shared::Shared;
+use super::context::RequestContext;
+use crate::shared_state::SharedState;
 
 /// Longest request id.
 const ID_MOST: usize = 128;
@@ -18,7 +18,7 @@
 /// # Errors
 ///
 /// Returns why the request can't go on: no configuration, a stop, an unknown key, a bad id.
-pub fn auth(shared: &Arc<Shared>, req: &Req) -> Result<Cx, Error> {
+pub fn auth(shared: &Arc<SharedState>, req: &Req) -> Result<RequestContext, Error> {
     let Some(active) = shared.active() else {
         return Err(Error::new(Kind::NotConfigured, "no configuration yet"));
     };
@@ -38,7 +38,7 @@
             .map_err(|_| Error::new(Kind::BadRequest, "x-timeout-ms: a whole number is wanted"))?,
     };
     let now = shared.clock.now();
-    Ok(Cx {
+    Ok(RequestContext {
         shared: Arc::clone(shared),
         id: request_id(req)?,
         customer: customer.clone(),
--- a/crates/entry/src/pipe/chat.rs
+++ b/crates/entry/src/pipeline/chat.rs
@@ -8,33 +8,33 @@
 use tokio::sync::oneshot;
 use web::{Req, Res};
 
-use super::cx::{Cx, Hold};
-use super::parse::{self, Chat};
-use super::relay::{relay, End, Out};
-use super::settle::{settle, Spent};
-use super::{auth, choose, reserve};
-use crate::bank_io;
+use super::chat_request::{self, ChatRequest};
+use super::context::{Hold, RequestContext};
+use super::settlement::{settle, Usage};
+use super::stream::{relay, AttemptEnd, CallerResponse};
+use super::{auth, choose, reservation};
+use crate::budget_io;
 use crate::event::Event;
-use crate::msg::{method, DropOutMsg};
-use crate::shared::Shared;
+use crate::messages::{method, DetachMsg};
+use crate::shared_state::SharedState;
 
 const ENGINE: upstream::Kind = upstream::Kind::Engine;
 /// Attempts at different upstreams.
 const ATTEMPTS: u32 = 3;
 
 /// Answers a chat completion.
-pub async fn answer(shared: &Arc<Shared>, req: &Req) -> Result<Res, Error> {
+pub async fn answer(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
     let cx = auth::auth(shared, req)?;
-    let chat = parse::chat(&req.body, &cx.policy)?;
+    let chat = chat_request::chat(&req.body, &cx.policy)?;
     let (tx, rx) = oneshot::channel();
-    let out = Out::open(tx, chat.stream);
+    let out = CallerResponse::open(tx, chat.stream);
     // A task of its own: the bill must be settled even when the caller leaves.
     tokio::spawn(run(cx, chat, out));
     let lost = |_| Error::new(Kind::Internal, "the request's task ended without an answer");
     rx.await.map_err(lost)?
 }
 
-async fn run(mut cx: Cx, chat: Chat, mut out: Out) {
+async fn run(mut cx: RequestContext, chat: ChatRequest, mut out: CallerResponse) {
     let busy = cx.shared.begin();
     cx.shared.retry.lock().expect("no panic inside").request();
     let code = match attempts(&mut cx, &chat, &mut out).await {
@@ -54,10 +54,14 @@
 }
 
 /// Tries upstreams until the answer is whole, or there is nothing left to try.
-async fn attempts(cx: &mut Cx, chat: &Chat, out: &mut Out) -> Result<(), Error> {
-    let mut spent = Spent {
+async fn attempts(
+    cx: &mut RequestContext,
+    chat: &ChatRequest,
+    out: &mut CallerResponse,
+) -> Result<(), Error> {
+    let mut spent = Usage {
         body: chat.hash,
-        ..Spent::default()
+        ..Usage::default()
     };
     loop {
         // Boxed, as all that is not relaying: a stream would keep their large states as it lasts.
@@ -71,7 +75,10 @@
         let joined = cx.hold.as_ref().is_some_and(|h| h.joined.is_some());
         let end = relay(cx, chat, out, joined).await;
         cx.step(format!("attempt {} ended: {end:?}", cx.attempts));
-        let ok = matches!(end, End::Whole(_) | End::CallerLeft | End::Late | End::Gone);
+        let ok = matches!(
+            end,
+            AttemptEnd::Whole(_) | AttemptEnd::CallerLeft | AttemptEnd::Late | AttemptEnd::Gone
+        );
         match Box::pin(after(cx, chat, out, end, &mut spent)).await {
             Next::Whole => {
                 choose::done(cx, ENGINE, &chat.model, ok);
@@ -87,7 +94,7 @@
 }
 
 /// An error after an attempt must not say that nothing ran.
-fn blame(error: Error, spent: &Spent) -> Error {
+fn blame(error: Error, spent: &Usage) -> Error {
     if spent.tokens > 0 || !spent.doubts.is_empty() {
         return error.ran(Ran::Unknown);
     }
@@ -95,16 +102,16 @@
 }
 
 /// Chooses an upstream and has its cost held back.
-async fn prepare(cx: &mut Cx, chat: &Chat, spent: &Spent) -> Result<(), Error> {
+async fn prepare(cx: &mut RequestContext, chat: &ChatRequest, spent: &Usage) -> Result<(), Error> {
     choose::choose(cx, ENGINE, &chat.model, chat.prefix).await?;
     if let Some(hold) = &cx.hold {
         // The hold still stands, less what the earlier attempts spent or may have spent.
         let doubted: u64 = spent.doubts.iter().map(|d| d.tokens).sum();
         let wanted = spent.tokens + doubted + cost(chat);
         let tokens = wanted.saturating_sub(hold.tokens);
-        return reserve::extend(cx, tokens).await;
+        return reservation::extend(cx, tokens).await;
     }
-    reserve::reserve(cx, chat).await?;
+    reservation::reserve(cx, chat).await?;
     let joined = cx.hold.as_ref().and_then(|h| h.joined.clone());
     if let Some(at) = joined {
         choose::done(cx, ENGINE, &chat.model, true);
@@ -113,7 +120,7 @@
     Ok(())
 }
 
-fn cost(chat: &Chat) -> u64 {
+fn cost(chat: &ChatRequest) -> u64 {
     chat.prompt_bound + chat.max_tokens
 }
 
@@ -124,18 +131,25 @@
 }
 
 /// Decides what follows from an attempt's end, and settles when it was the last one.
-async fn after(cx: &mut Cx, chat: &Chat, out: &Out, end: End, spent: &mut Spent) -> Next {
+async fn after(
+    cx: &mut RequestContext,
+    chat: &ChatRequest,
+    out: &CallerResponse,
+    end: AttemptEnd,
+    spent: &mut Usage,
+) -> Next {
     let hold = cx.hold.clone();
     let finished = hold.as_ref().is_some_and(|h| h.billed.is_some());
-    let shared_run = cx.keyed && !matches!(end, End::Whole(_)) && !finished && others(cx).await;
+    let shared_run =
+        cx.keyed && !matches!(end, AttemptEnd::Whole(_)) && !finished && others(cx).await;
     match end {
-        End::Whole(tokens) => {
+        AttemptEnd::Whole(tokens) => {
             spent.tokens += tokens;
             spent.billed = true;
             settle(cx, spent.clone()).await;
             Next::Whole
         }
-        End::NotRun(why) => {
+        AttemptEnd::NotRun(why) => {
             if may_retry(cx) {
                 return Next::Again;
             }
@@ -143,7 +157,7 @@
             let message = format!("no upstream took the request: {why}");
             Next::Stop(blame(Error::new(Kind::NoUpstream, message), spent))
         }
-        End::CallerLeft => {
+        AttemptEnd::CallerLeft => {
             if !shared_run && !finished {
                 stop_run(cx, chat, out, spent).await;
                 spent.billed = true;
@@ -151,14 +165,14 @@
             }
             Next::Stop(Error::new(Kind::Incomplete, "the caller left"))
         }
-        End::Overrun => {
+        AttemptEnd::Overrun => {
             cx.shared.log(Event::Excess, &cx.id);
             stop_run(cx, chat, out, spent).await;
             spent.billed = true;
             settle(cx, spent.clone()).await;
             Next::Whole
         }
-        End::Late => {
+        AttemptEnd::Late => {
             if !shared_run && !finished {
                 stop_run(cx, chat, out, spent).await;
                 settle(cx, spent.clone()).await;
@@ -168,19 +182,19 @@
                 "the caller's time is over",
             ))
         }
-        End::Gone if finished => Next::Stop(Error::new(
+        AttemptEnd::Gone if finished => Next::Stop(Error::new(
             Kind::AnswerGone,
             "the request was billed before, and its answer is no longer kept",
         )),
-        End::Broken(why) if shared_run || finished => {
+        AttemptEnd::Broken(why) if shared_run || finished => {
             let message = format!("the answer can't be taken up now: {why}");
             Next::Stop(Error::new(Kind::InProgress, message))
         }
-        End::Gone if shared_run => Next::Stop(Error::new(
+        AttemptEnd::Gone if shared_run => Next::Stop(Error::new(
             Kind::InProgress,
             "the request runs at another instance",
         )),
-        End::Gone | End::Broken(_) => {
+        AttemptEnd::Gone | AttemptEnd::Broken(_) => {
             stop_run(cx, chat, out, spent).await;
             if out.at == 0 && may_retry(cx) {
                 if let Some(hold) = &mut cx.hold {
@@ -197,15 +211,20 @@
     }
 }
 
-fn may_retry(cx: &Cx) -> bool {
+fn may_retry(cx: &RequestContext) -> bool {
     let left = cx.attempts < ATTEMPTS && cx.left_ms() > 0;
     left && cx.shared.retry.lock().expect("no panic inside").take()
 }
 
 /// Cancels the current attempt and adds what it spent, or may have spent.
-async fn stop_run(cx: &Cx, chat: &Chat, out: &Out, spent: &mut Spent) {
+async fn stop_run(
+    cx: &RequestContext,
+    chat: &ChatRequest,
+    out: &CallerResponse,
+    spent: &mut Usage,
+) {
     let at = cx.run_at();
-    match bank_io::probe(&cx.shared, &at).await {
+    match budget_io::probe(&cx.shared, &at).await {
         Some(tokens) => spent.tokens += tokens,
         None => {
             let paid = out.at;
@@ -220,12 +239,12 @@
 }
 
 /// Returns whether other entries still serve the request, so that it must not be cancelled.
-async fn others(cx: &Cx) -> bool {
+async fn others(cx: &RequestContext) -> bool {
     let Some(Hold { holder, number, .. }) = cx.hold.clone() else {
         return false;
     };
     let shared = &cx.shared;
-    let msg = DropOutMsg {
+    let msg = DetachMsg {
         account: cx.customer.clone(),
         hold: number,
         entry: shared.me.clone(),
@@ -238,7 +257,7 @@
     };
     let reply = shared
         .peers
-        .call(&shared.metrics, &addr, method::DROP_OUT, &msg)
+        .call(&shared.metrics, &addr, method::DETACH, &msg)
         .await;
     reply.unwrap_or(true)
 }
--- a/crates/entry/src/pipe/parse.rs
+++ b/crates/entry/src/pipeline/chat_request.rs
@@ -14,7 +14,7 @@
 
 /// A chat completion.
 #[derive(Clone, Debug)]
-pub struct Chat {
+pub struct ChatRequest {
     /// The model.
     pub model: String,
     /// The most tokens of the answer.
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// Returns `BadRequest` with the field at fault, or `NotAllowed`.
-pub fn chat(bytes: &[u8], policy: &Policy) -> Result<Chat, Error> {
+pub fn chat(bytes: &[u8], policy: &Policy) -> Result<ChatRequest, Error> {
     let bad = |m: String| Error::new(Kind::BadRequest, m);
     let mut body: Value =
         serde_json::from_slice(bytes).map_err(|e| bad(format!("the body is not JSON: {e}")))?;
@@ -63,7 +63,7 @@
     if let Some(fields) = body.as_object_mut() {
         fields.remove("max_completion_tokens");
     }
-    Ok(Chat {
+    Ok(ChatRequest {
         model,
         max_tokens,
         prompt_bound,
--- a/crates/entry/src/pipe/choose.rs
+++ b/crates/entry/src/pipeline/choose.rs
@@ -6,7 +6,7 @@
 use route::pool::{Ask, Choice, Why};
 use route::upstream;
 
-use super::cx::Cx;
+use super::context::RequestContext;
 use crate::admission;
 
 /// When to come back while no upstream serves something, in seconds.
@@ -18,7 +18,7 @@
 ///
 /// Returns `Overloaded`, `DeadlinePassed` or `NoUpstream`; nothing has run then.
 pub async fn choose(
-    cx: &mut Cx,
+    cx: &mut RequestContext,
     kind: upstream::Kind,
     serves: &str,
     prefix: Option<u64>,
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// Returns `OutcomeUnknown` when this instance does not know the upstream.
-pub fn join(cx: &mut Cx, at: &AttemptRef) -> Result<(), Error> {
+pub fn join(cx: &mut RequestContext, at: &AttemptRef) -> Result<(), Error> {
     let mut pool = cx.shared.pool.lock().expect("no panic inside");
     let key = pool.find(&at.upstream).ok_or_else(|| {
         let message = format!("it runs at {}, which is not listed", at.upstream);
@@ -89,7 +89,7 @@
 }
 
 /// Counts the end of an attempt at the chosen upstream.
-pub fn done(cx: &mut Cx, kind: upstream::Kind, serves: &str, ok: bool) {
+pub fn done(cx: &mut RequestContext, kind: upstream::Kind, serves: &str, ok: bool) {
     let Some(choice) = cx.upstream.take() else {
         return;
     };
--- a/crates/entry/src/pipe/claim.rs
+++ b/crates/entry/src/pipeline/claims.rs
@@ -9,11 +9,11 @@
 use uuid::Uuid;
 use web::Req;
 
-use super::cx::Cx;
+use super::context::RequestContext;
 use crate::clock::wall_ms;
 use crate::event::Event;
-use crate::msg::method;
-use crate::shared::Shared;
+use crate::messages::method;
+use crate::shared_state::SharedState;
 
 /// How long a claim may take; longer means that the platform is out.
 const CLAIM_MS: u64 = 4_000;
@@ -28,18 +28,18 @@
 
 /// A claim that is this attempt's own.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct OwnedClaim {
     key: String,
     claim: Claim,
     revision: i64,
 }
 
 /// What became of a claim.
-pub enum Outcome {
+pub enum ClaimOutcome {
     /// The request may run here, once.
-    Run(Held),
+    Run(OwnedClaim),
     /// It ran before; this was its answer.
-    Answer(StoredResponse),
+    Replay(StoredResponse),
 }
 
 /// Claims a request.
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// Returns why it must not run: a bad or used id, another holder, or the platform being out.
-pub async fn claim(cx: &Cx, req: &Req) -> Result<Outcome, Error> {
+pub async fn claim(cx: &RequestContext, req: &Req) -> Result<ClaimOutcome, Error> {
     check_id(cx)?;
     let shared = &cx.shared;
     let mine = Claim {
@@ -58,14 +58,14 @@
     };
     set_word(shared, &mine.attempt, AttemptStatus::Running);
     let outcome = contend(cx, &mine).await;
-    if !matches!(outcome, Ok(Outcome::Run(_))) {
+    if !matches!(outcome, Ok(ClaimOutcome::Run(_))) {
         // The write may still land. Whoever asks about it is told that it never runs.
         set_word(shared, &mine.attempt, AttemptStatus::NotRun);
     }
     outcome
 }
 
-fn check_id(cx: &Cx) -> Result<(), Error> {
+fn check_id(cx: &RequestContext) -> Result<(), Error> {
     let retention = cx.shared.settings.claim_retention_ms();
     let wanted = "this request may not be repeated: an Idempotency-Key that is a UUID of version 7 is wanted";
     match claim::check_id(&cx.id, wall_ms(), retention) {
@@ -87,7 +87,7 @@
     format!("/oriolehitch/claim/{customer}/{id}")
 }
 
-async fn contend(cx: &Cx, mine: &Claim) -> Result<Outcome, Error> {
+async fn contend(cx: &RequestContext, mine: &Claim) -> Result<ClaimOutcome, Error> {
     let shared = &cx.shared;
     let key = key(&cx.customer, &cx.id);
     let text = serde_json::to_vec(mine).expect("a claim is JSON");
@@ -113,7 +113,7 @@
         };
         match judge(cx, mine, &found).await? {
             Resolution::Run => return Ok(run(&key, mine, found.revision)),
-            Resolution::Replay(answer) => return Ok(Outcome::Answer(answer)),
+            Resolution::Replay(answer) => return Ok(ClaimOutcome::Replay(answer)),
             Resolution::Replace => base = found.revision,
             next => return Err(refusal(&next)),
         }
@@ -122,15 +122,15 @@
     Err(Error::new(Kind::PlatformDown, message).retry_after(OUTAGE_RETRY_SECS))
 }
 
-fn run(key: &str, mine: &Claim, revision: i64) -> Outcome {
-    Outcome::Run(Held {
+fn run(key: &str, mine: &Claim, revision: i64) -> ClaimOutcome {
+    ClaimOutcome::Run(OwnedClaim {
         key: key.to_string(),
         claim: mine.clone(),
         revision,
     })
 }
 
-async fn judge(cx: &Cx, mine: &Claim, found: &Found) -> Result<Resolution, Error> {
+async fn judge(cx: &RequestContext, mine: &Claim, found: &Found) -> Result<Resolution, Error> {
     let broken = |e: serde_json::Error| Error::new(Kind::Internal, format!("a broken claim: {e}"));
     let theirs: Claim = serde_json::from_slice(&found.value).map_err(broken)?;
     match claim::resolve(&theirs, mine, None) {
@@ -159,7 +159,7 @@
     }
 }
 
-async fn ask_holder(shared: &Shared, theirs: &Claim) -> AttemptStatus {
+async fn ask_holder(shared: &SharedState, theirs: &Claim) -> AttemptStatus {
     if theirs.holder == shared.me {
         let attempts = shared.attempts.lock().expect("no panic inside");
         return attempts
@@ -170,14 +170,17 @@
     let Some(addr) = shared.peer_addr(&theirs.holder) else {
         return AttemptStatus::Silent;
     };
-    let asked = shared
-        .peers
-        .call(&shared.metrics, &addr, method::ATTEMPT, &theirs.attempt);
+    let asked = shared.peers.call(
+        &shared.metrics,
+        &addr,
+        method::ATTEMPT_STATUS,
+        &theirs.attempt,
+    );
     asked.await.unwrap_or(AttemptStatus::Silent)
 }
 
 /// Remembers how far an attempt is.
-pub fn set_word(shared: &Shared, attempt: &str, word: AttemptStatus) {
+pub fn set_word(shared: &SharedState, attempt: &str, word: AttemptStatus) {
     let mut attempts = shared.attempts.lock().expect("no panic inside");
     attempts.insert(attempt.to_string(), word);
 }
@@ -185,7 +188,7 @@
 /// Returns the lease that claims are bound to now.
 ///
 /// One lease serves an hour's claims, and lives longer than any id of that hour is accepted.
-async fn lease(shared: &Shared) -> Option<i64> {
+async fn lease(shared: &SharedState) -> Option<i64> {
     let now = shared.clock.now();
     let mut current = shared.claim_lease.lock().await;
     if let Some((id, until)) = *current {
@@ -200,7 +203,7 @@
 }
 
 /// Stores the end of a claimed request; goes on in the background when the platform is out.
-pub async fn end(shared: &Arc<Shared>, held: Held, state: State) {
+pub async fn end(shared: &Arc<SharedState>, held: OwnedClaim, state: State) {
     let word = match state {
         State::NotRun => AttemptStatus::NotRun,
         _ => AttemptStatus::Unknown,
@@ -215,7 +218,7 @@
     let _ = tokio::time::timeout(STORE_WAIT, stored).await;
 }
 
-async fn store(shared: &Shared, mut held: Held, state: State, word: AttemptStatus) {
+async fn store(shared: &SharedState, mut held: OwnedClaim, state: State, word: AttemptStatus) {
     let attempt = held.claim.attempt.clone();
     if word == AttemptStatus::NotRun {
         set_word(shared, &attempt, word);
--- a/crates/entry/src/pipe/cx.rs
+++ b/crates/entry/src/pipeline/context.rs
@@ -8,7 +8,7 @@
 use route::{Choice, Key};
 use smallvec::SmallVec;
 
-use crate::shared::{Active, Shared};
+use crate::shared_state::{ActiveConfig, SharedState};
 
 /// A hold of tokens at its holder.
 #[derive(Clone, Debug)]
@@ -26,9 +26,9 @@
 }
 
 /// The context of one request.
-pub struct Cx {
+pub struct RequestContext {
     /// What the instance's tasks share.
-    pub shared: Arc<Shared>,
+    pub shared: Arc<SharedState>,
     /// The request's id.
     pub id: String,
     /// The customer.
@@ -36,7 +36,7 @@
     /// What holds for the customer, from the configuration that the request began with.
     pub policy: Policy,
     /// The configuration that the request began with.
-    pub active: Arc<Active>,
+    pub active: Arc<ActiveConfig>,
     /// When the request came, in microseconds.
     pub began_us: u64,
     /// Whether the caller chose the id, and so may come back for the answer.
@@ -57,7 +57,7 @@
     pub hold: Option<Hold>,
 }
 
-impl Cx {
+impl RequestContext {
     /// Adds a step to the request's journal.
     pub fn step(&self, what: impl Into<String>) {
         self.shared.step(&self.id, what);
--- a/crates/entry/src/pipe/mod.rs
+++ b/crates/entry/src/pipeline/mod.rs
@@ -5,14 +5,14 @@
 
 pub mod auth;
 pub mod chat;
+pub mod chat_request;
 pub mod choose;
-pub mod claim;
-pub mod cx;
-pub mod forward;
-pub mod parse;
-pub mod relay;
-pub mod reserve;
-pub mod settle;
+pub mod claims;
+pub mod context;
+pub mod reservation;
+pub mod service_call;
+pub mod settlement;
 pub mod sse;
+pub mod stream;
 
-pub use cx::Cx;
+pub use context::RequestContext;
--- a/crates/entry/src/pipe/reserve.rs
+++ b/crates/entry/src/pipeline/reservation.rs
@@ -8,10 +8,10 @@
 use err::{Error, Kind};
 use serde_json::Value;
 
-use super::cx::{Cx, Hold};
-use super::parse::Chat;
-use crate::msg::{method, ExtendMsg, ReserveMsg, VoidMsg};
-use crate::shared::Shared;
+use super::chat_request::ChatRequest;
+use super::context::{Hold, RequestContext};
+use crate::messages::{method, ExtendMsg, ReserveMsg, VoidMsg};
+use crate::shared_state::SharedState;
 
 /// How long a home may look for tokens, in milliseconds.
 const WAIT_MS: u64 = 1_500;
@@ -28,7 +28,7 @@
 ///
 /// Returns `BudgetExhausted` when it can't be covered for good, `BudgetOutOfReach` when it may be
 /// later, `IdReused` for an id with another body.
-pub async fn reserve(cx: &mut Cx, chat: &Chat) -> Result<(), Error> {
+pub async fn reserve(cx: &mut RequestContext, chat: &ChatRequest) -> Result<(), Error> {
     let began = cx.shared.clock.now_us();
     let bound = chat.prompt_bound + chat.max_tokens;
     let mut reply = ask_homes(cx, chat, bound).await?;
@@ -50,7 +50,7 @@
     judge(cx, reply)
 }
 
-fn judge(cx: &mut Cx, reply: ReserveReply) -> Result<(), Error> {
+fn judge(cx: &mut RequestContext, reply: ReserveReply) -> Result<(), Error> {
     match reply {
         ReserveReply::Held { .. } | ReserveReply::Exists { .. } => Ok(()),
         ReserveReply::IdReused => Err(Error::new(
@@ -75,7 +75,11 @@
 }
 
 /// Asks the home, then the standbys, until one answers.
-async fn ask_homes(cx: &mut Cx, chat: &Chat, tokens: u64) -> Result<ReserveReply, Error> {
+async fn ask_homes(
+    cx: &mut RequestContext,
+    chat: &ChatRequest,
+    tokens: u64,
+) -> Result<ReserveReply, Error> {
     let mut msg = ReserveMsg {
         req: ReserveRequest {
             account: cx.customer.clone(),
@@ -103,7 +107,7 @@
     Err(Error::new(Kind::BudgetOutOfReach, message).retry_after(RETRY_SECS))
 }
 
-fn note(cx: &mut Cx, reply: &ReserveReply, tokens: u64) {
+fn note(cx: &mut RequestContext, reply: &ReserveReply, tokens: u64) {
     match reply {
         ReserveReply::Held { holder, hold } => {
             cx.step(format!("holds {tokens} tokens at {holder}, number {hold}"));
@@ -138,7 +142,7 @@
 }
 
 /// Returns the instances to ask for a budget: the home, the own zone's standby, the others.
-pub fn homes(shared: &Shared, account: &str) -> Vec<String> {
+pub fn homes(shared: &SharedState, account: &str) -> Vec<String> {
     let candidates = shared.candidates();
     let shard = placement::shard_of(account, shared.settings.shards());
     let mut order = placement::home_and_standbys(shard, &candidates);
@@ -148,7 +152,7 @@
     order.into_iter().map(|c| c.id.clone()).collect()
 }
 
-async fn ask_home(shared: &Shared, home: &str, msg: &ReserveMsg) -> Option<ReserveReply> {
+async fn ask_home(shared: &SharedState, home: &str, msg: &ReserveMsg) -> Option<ReserveReply> {
     if home == shared.me {
         return shared.bank.reserve(msg.req.clone(), msg.wait_ms).await;
     }
@@ -161,7 +165,7 @@
 }
 
 /// Tells a home that did not answer in time that its reservation will not be used.
-fn give_up(cx: &Cx, home: &str) {
+fn give_up(cx: &RequestContext, home: &str) {
     let shared = cx.shared.clone();
     let home = home.to_string();
     let msg = VoidMsg {
@@ -190,7 +194,7 @@
 /// # Errors
 ///
 /// Returns an error when the home does not cover it; the attempt must not be made then.
-pub async fn extend(cx: &mut Cx, tokens: u64) -> Result<(), Error> {
+pub async fn extend(cx: &mut RequestContext, tokens: u64) -> Result<(), Error> {
     let gone = || Error::new(Kind::BudgetOutOfReach, "another attempt can't be covered");
     let hold = cx.hold.clone().ok_or_else(gone)?;
     let msg = ExtendMsg {
@@ -222,7 +226,7 @@
 }
 
 /// Asks an engine how long the prompt is.
-async fn tokenize(cx: &Cx, chat: &Chat) -> Option<u64> {
+async fn tokenize(cx: &RequestContext, chat: &ChatRequest) -> Option<u64> {
     let url = format!("{}/tokenize", cx.upstream.as_ref()?.url);
     let sent = cx.shared.http.post(url).json(&chat.body);
     let res = sent.timeout(TOKENIZE_TIMEOUT).send().await.ok()?;
--- a/crates/entry/src/pipe/forward.rs
+++ b/crates/entry/src/pipeline/service_call.rs
@@ -11,11 +11,11 @@
 use tokio::sync::oneshot;
 use web::{Req, Res};
 
-use super::claim::{self as claims, Held, Outcome};
-use super::cx::Cx;
-use super::relay::headers;
+use super::claims::{self, ClaimOutcome, OwnedClaim};
+use super::context::RequestContext;
+use super::stream::headers;
 use super::{auth, choose};
-use crate::shared::Shared;
+use crate::shared_state::SharedState;
 
 const SERVICE: upstream::Kind = upstream::Kind::Service;
 /// Attempts at different upstreams.
@@ -41,7 +41,7 @@
 }
 
 /// Answers a call of a plain service.
-pub async fn answer(shared: &Arc<Shared>, req: Req) -> Result<Res, Error> {
+pub async fn answer(shared: &Arc<SharedState>, req: Req) -> Result<Res, Error> {
     let cx = auth::auth(shared, &req)?;
     let segments = req.segments();
     let [_, _, service, ..] = segments.as_slice() else {
@@ -61,7 +61,7 @@
     rx.await.map_err(lost)?
 }
 
-async fn run(mut cx: Cx, req: Req, service: String) -> Result<Res, Error> {
+async fn run(mut cx: RequestContext, req: Req, service: String) -> Result<Res, Error> {
     let busy = cx.shared.begin();
     let once = cx.policy.not_repeatable.contains(&service);
     let end = if once {
@@ -83,10 +83,10 @@
     ))
 }
 
-async fn run_once(cx: &mut Cx, req: &Req, service: &str) -> Result<Reply, Error> {
+async fn run_once(cx: &mut RequestContext, req: &Req, service: &str) -> Result<Reply, Error> {
     let held = match claims::claim(cx, req).await? {
-        Outcome::Run(held) => held,
-        Outcome::Answer(answer) => return stored(answer),
+        ClaimOutcome::Run(held) => held,
+        ClaimOutcome::Replay(answer) => return stored(answer),
     };
     loop {
         let end = match choose::choose(cx, SERVICE, service, None).await {
@@ -116,7 +116,7 @@
     }
 }
 
-async fn run_repeatable(cx: &mut Cx, req: &Req, service: &str) -> Result<Reply, Error> {
+async fn run_repeatable(cx: &mut RequestContext, req: &Req, service: &str) -> Result<Reply, Error> {
     cx.shared.retry.lock().expect("no panic inside").request();
     let mut ran = Ran::No;
     loop {
@@ -143,7 +143,7 @@
     }
 }
 
-async fn attempt(cx: &mut Cx, req: &Req, service: &str, once: bool) -> End {
+async fn attempt(cx: &mut RequestContext, req: &Req, service: &str, once: bool) -> End {
     cx.attempts += 1;
     cx.shared.metrics.attempts.inc();
     let end = send(cx, req, service, once).await;
@@ -158,7 +158,7 @@
     end
 }
 
-async fn send(cx: &Cx, req: &Req, service: &str, once: bool) -> End {
+async fn send(cx: &RequestContext, req: &Req, service: &str, once: bool) -> End {
     let Some(upstream) = &cx.upstream else {
         return End::NotRun("no upstream".to_string());
     };
@@ -212,7 +212,7 @@
     }
 }
 
-async fn finish(cx: &Cx, held: Held, reply: &Reply) {
+async fn finish(cx: &RequestContext, held: OwnedClaim, reply: &Reply) {
     let fits = reply.body.len() <= STORED_MOST;
     let answer = StoredResponse {
         status: reply.status,
--- a/crates/entry/src/pipe/settle.rs
+++ b/crates/entry/src/pipeline/settlement.rs
@@ -6,12 +6,12 @@
 use budget::{Durability, Settlement};
 use tokio::time::{timeout_at, Instant};
 
-use super::cx::{Cx, Hold};
-use super::reserve::homes;
+use super::context::{Hold, RequestContext};
+use super::reservation::homes;
 use crate::clock::wall_ms;
 use crate::event::Event;
-use crate::msg::{method, SettleMsg};
-use crate::shared::Shared;
+use crate::messages::{method, SettleMsg};
+use crate::shared_state::SharedState;
 
 /// How long an end marker waits for its bill.
 const WAIT: Duration = Duration::from_secs(2);
@@ -22,7 +22,7 @@
 
 /// What a request has spent.
 #[derive(Clone, Debug, Default)]
-pub struct Spent {
+pub struct Usage {
     /// Tokens that upstreams served.
     pub tokens: u64,
     /// Whether the caller is billed.
@@ -37,7 +37,7 @@
 ///
 /// The bill is carried on in a task of its own, so that neither a caller that leaves nor a stop
 /// loses it. Waiting is bounded: the answer is whole already, and the bill will follow.
-pub async fn settle(cx: &Cx, spent: Spent) {
+pub async fn settle(cx: &RequestContext, spent: Usage) {
     let Some(hold) = cx.hold.clone() else {
         return;
     };
@@ -64,7 +64,7 @@
     shared.metrics.bill_wait.observe(took as f64 / 1e6);
 }
 
-fn message(cx: &Cx, hold: &Hold, spent: Spent) -> SettleMsg {
+fn message(cx: &RequestContext, hold: &Hold, spent: Usage) -> SettleMsg {
     if spent.tokens > hold.tokens {
         let extra = spent.tokens - hold.tokens;
         cx.shared
@@ -87,7 +87,7 @@
 }
 
 /// Carries a bill until an instance says that it is durable.
-async fn carry(shared: &Shared, hold: &Hold, msg: SettleMsg) -> Durability {
+async fn carry(shared: &SharedState, hold: &Hold, msg: SettleMsg) -> Durability {
     let mut round = 0;
     loop {
         if let Some(how) = send(shared, &hold.holder, &msg).await {
@@ -109,7 +109,7 @@
     }
 }
 
-async fn send(shared: &Shared, to: &str, msg: &SettleMsg) -> Option<Durability> {
+async fn send(shared: &SharedState, to: &str, msg: &SettleMsg) -> Option<Durability> {
     if to == shared.me {
         return shared.bank.settle(msg.clone()).await;
     }
--- a/crates/entry/src/pipe/sse.rs
+++ b/crates/entry/src/pipeline/sse.rs
@@ -10,7 +10,7 @@
 
 /// One event of a stream.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Item {
+pub enum SseItem {
     /// A JSON event.
     Data(Value),
     /// The mark of the end.
@@ -20,22 +20,22 @@
 }
 
 /// A stream that is being read.
-pub struct Events {
+pub struct SseReader {
     bytes: BoxStream<'static, reqwest::Result<Bytes>>,
     buf: Vec<u8>,
 }
 
-impl Events {
+impl SseReader {
     /// Starts to read an answer.
-    pub fn open(res: reqwest::Response) -> Events {
-        Events {
+    pub fn open(res: reqwest::Response) -> SseReader {
+        SseReader {
             bytes: res.bytes_stream().boxed(),
             buf: Vec::new(),
         }
     }
 
     /// Returns the next event.
-    pub async fn next(&mut self) -> Item {
+    pub async fn next(&mut self) -> SseItem {
         loop {
             if let Some(line) = self.take_line() {
                 match parse(&line) {
@@ -44,12 +44,12 @@
                 }
             }
             if self.buf.len() > EVENT_MOST {
-                return Item::Broken("an event is too long".to_string());
+                return SseItem::Broken("an event is too long".to_string());
             }
             match self.bytes.next().await {
                 Some(Ok(bytes)) => self.buf.extend_from_slice(&bytes),
-                Some(Err(e)) => return Item::Broken(e.to_string()),
-                None => return Item::Broken("the stream ended early".to_string()),
+                Some(Err(e)) => return SseItem::Broken(e.to_string()),
+                None => return SseItem::Broken("the stream ended early".to_string()),
             }
         }
     }
@@ -63,14 +63,14 @@
     }
 }
 
-fn parse(line: &[u8]) -> Option<Item> {
+fn parse(line: &[u8]) -> Option<SseItem> {
     let data = line.strip_prefix(b"data:")?;
     let data = data.trim_ascii();
     if data == b"[DONE]" {
-        return Some(Item::Done);
+        return Some(SseItem::Done);
     }
     match serde_json::from_slice(data) {
-        Ok(value) => Some(Item::Data(value)),
-        Err(e) => Some(Item::Broken(format!("an event is not JSON: {e}"))),
+        Ok(value) => Some(SseItem::Data(value)),
+        Err(e) => Some(SseItem::Broken(format!("an event is not JSON: {e}"))),
     }
 }
--- a/crates/entry/src/pipe/relay.rs
+++ b/crates/entry/src/pipeline/stream.rs
@@ -9,9 +9,9 @@
 use tokio::time::{sleep, sleep_until};
 use web::Res;
 
-use super::cx::Cx;
-use super::parse::Chat;
-use super::sse::{Events, Item};
+use super::chat_request::ChatRequest;
+use super::context::RequestContext;
+use super::sse::{SseItem, SseReader};
 use crate::clock::wall_ms;
 use crate::event::Event;
 
@@ -23,7 +23,7 @@
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The caller's side of an answer.
-pub struct Out {
+pub struct CallerResponse {
     head: Option<oneshot::Sender<Result<Res, Error>>>,
     parts: Option<mpsc::Sender<Bytes>>,
     text: String,
@@ -34,10 +34,10 @@
     finish: Option<String>,
 }
 
-impl Out {
+impl CallerResponse {
     /// Opens the caller's side; the answer's head, or an error, goes to `head`.
-    pub fn open(head: oneshot::Sender<Result<Res, Error>>, streamed: bool) -> Out {
-        Out {
+    pub fn open(head: oneshot::Sender<Result<Res, Error>>, streamed: bool) -> CallerResponse {
+        CallerResponse {
             head: Some(head),
             parts: None,
             text: String::new(),
@@ -58,7 +58,7 @@
     }
 
     /// Sends a part of a streamed answer; a caller that left is noticed by `left`.
-    async fn send(&mut self, cx: &Cx, part: Bytes) {
+    async fn send(&mut self, cx: &RequestContext, part: Bytes) {
         if let Some(head) = self.head.take() {
             let (tx, res) = Res::events();
             self.parts = Some(tx);
@@ -70,7 +70,7 @@
     }
 
     /// Ends the answer.
-    pub async fn finish(mut self, cx: &Cx, chat: &Chat) {
+    pub async fn finish(mut self, cx: &RequestContext, chat: &ChatRequest) {
         if self.streamed {
             if chat.usage {
                 let usage = json!({
@@ -113,7 +113,7 @@
 }
 
 /// Adds the headers that every answer has.
-pub fn headers(cx: &Cx, res: Res) -> Res {
+pub fn headers(cx: &RequestContext, res: Res) -> Res {
     res.with("x-request-id", cx.id.clone())
         .with("x-oriolehitch-instance", cx.shared.me.clone())
         .with("x-oriolehitch-attempts", cx.attempts.to_string())
@@ -121,7 +121,7 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub enum End {
+pub enum AttemptEnd {
     /// The answer is whole; the upstream counted these tokens.
     Whole(u64),
     /// Nothing ran.
@@ -139,14 +139,19 @@
 }
 
 enum Link {
-    Up(Events),
+    Up(SseReader),
     NotRun(String),
     Down(String),
     Gone,
 }
 
 /// Relays one attempt, and takes it up again where a link was cut.
-pub async fn relay(cx: &Cx, chat: &Chat, out: &mut Out, joined: bool) -> End {
+pub async fn relay(
+    cx: &RequestContext,
+    chat: &ChatRequest,
+    out: &mut CallerResponse,
+    joined: bool,
+) -> AttemptEnd {
     let mut resumes = 0;
     let mut grace = None;
     loop {
@@ -154,16 +159,16 @@
         // Boxed: its state is large, and would be kept for as long as the stream lasts.
         let end = match Box::pin(connect(cx, chat, out.at, fresh)).await {
             Link::Up(events) => read(cx, chat, out, events, &mut grace).await,
-            Link::NotRun(why) => return End::NotRun(why),
-            Link::Gone => return End::Gone,
-            Link::Down(why) => End::Broken(why),
+            Link::NotRun(why) => return AttemptEnd::NotRun(why),
+            Link::Gone => return AttemptEnd::Gone,
+            Link::Down(why) => AttemptEnd::Broken(why),
         };
-        let End::Broken(why) = end else {
+        let AttemptEnd::Broken(why) = end else {
             return end;
         };
         cx.step(format!("cut at token {}: {why}", out.at));
         if resumes >= RESUMES || cx.left_ms() == 0 {
-            return End::Broken(why);
+            return AttemptEnd::Broken(why);
         }
         sleep(RESUME_PAUSE * (1 << resumes)).await;
         resumes += 1;
@@ -171,7 +176,7 @@
     }
 }
 
-async fn connect(cx: &Cx, chat: &Chat, at: u64, fresh: bool) -> Link {
+async fn connect(cx: &RequestContext, chat: &ChatRequest, at: u64, fresh: bool) -> Link {
     let Some(upstream) = &cx.upstream else {
         return Link::NotRun("no upstream".to_string());
     };
@@ -195,7 +200,7 @@
     };
     let status = res.status();
     if status.is_success() {
-        return Link::Up(Events::open(res));
+        return Link::Up(SseReader::open(res));
     }
     let not_run = res.headers().contains_key("x-not-run");
     match (status.as_u16(), fresh) {
@@ -209,7 +214,7 @@
 }
 
 /// A draining upstream says so itself: it gets nothing more from here.
-fn note_leaving(cx: &Cx, status: u16) {
+fn note_leaving(cx: &RequestContext, status: u16) {
     let Some(upstream) = cx.upstream.as_ref().filter(|_| status == 503) else {
         return;
     };
@@ -224,12 +229,12 @@
 
 /// Reads one link to its end. `grace` is when a caller that left is given up.
 async fn read(
-    cx: &Cx,
-    chat: &Chat,
-    out: &mut Out,
-    mut events: Events,
+    cx: &RequestContext,
+    chat: &ChatRequest,
+    out: &mut CallerResponse,
+    mut events: SseReader,
     grace: &mut Option<u64>,
-) -> End {
+) -> AttemptEnd {
     let clock = cx.shared.clock;
     loop {
         let until = grace.unwrap_or(cx.deadline).min(cx.deadline);
@@ -238,7 +243,7 @@
             biased;
             () = out.left(), if !gone => {
                 if !cx.keyed {
-                    return End::CallerLeft;
+                    return AttemptEnd::CallerLeft;
                 }
                 // It chose the id, so it may come back for the answer.
                 cx.step("caller left; waits for it to come back");
@@ -250,24 +255,31 @@
                 }
             }
             () = sleep_until(clock.at(until)) => {
-                return if gone { End::CallerLeft } else { End::Late };
+                return if gone { AttemptEnd::CallerLeft } else { AttemptEnd::Late };
             }
         }
     }
 }
 
 /// Takes one event; returns the end if it is one.
-async fn take(cx: &Cx, chat: &Chat, out: &mut Out, item: Item) -> Option<End> {
+async fn take(
+    cx: &RequestContext,
+    chat: &ChatRequest,
+    out: &mut CallerResponse,
+    item: SseItem,
+) -> Option<AttemptEnd> {
     let mut event = match item {
-        Item::Data(event) => event,
-        Item::Broken(why) => return Some(End::Broken(why)),
-        Item::Done => return Some(whole(out)),
+        SseItem::Data(event) => event,
+        SseItem::Broken(why) => return Some(AttemptEnd::Broken(why)),
+        SseItem::Done => return Some(whole(out)),
     };
     if event["id"].as_str() != Some(cx.run.as_str()) {
         // Passed on, this would be another caller's answer.
         cx.shared
             .log(Event::Mixed, format!("{}: {}", cx.run, event["id"]));
-        return Some(End::Broken("an answer to another request".to_string()));
+        return Some(AttemptEnd::Broken(
+            "an answer to another request".to_string(),
+        ));
     }
     if !event["usage"].is_null() {
         out.usage = Some(event["usage"].take());
@@ -279,8 +291,10 @@
     }
     match event["position"].as_u64() {
         Some(at) if at < out.at => return None,
-        Some(at) if at > out.at => return Some(End::Broken(format!("token {at} came early"))),
-        Some(_) if out.at >= chat.max_tokens => return Some(End::Overrun),
+        Some(at) if at > out.at => {
+            return Some(AttemptEnd::Broken(format!("token {at} came early")))
+        }
+        Some(_) if out.at >= chat.max_tokens => return Some(AttemptEnd::Overrun),
         Some(_) => first_token(cx, out),
         None => {}
     }
@@ -288,7 +302,7 @@
     None
 }
 
-fn first_token(cx: &Cx, out: &mut Out) {
+fn first_token(cx: &RequestContext, out: &mut CallerResponse) {
     if out.at == 0 {
         let took = cx.shared.clock.now_us() - cx.began_us;
         cx.shared.metrics.first_token.observe(took as f64 / 1e6);
@@ -297,7 +311,12 @@
     cx.shared.metrics.tokens.inc();
 }
 
-async fn pass_on(cx: &Cx, chat: &Chat, out: &mut Out, mut event: Value) {
+async fn pass_on(
+    cx: &RequestContext,
+    chat: &ChatRequest,
+    out: &mut CallerResponse,
+    mut event: Value,
+) {
     if !out.streamed {
         let content = event["choices"][0]["delta"]["content"].as_str();
         out.text.push_str(content.unwrap_or_default());
@@ -312,13 +331,13 @@
 }
 
 /// An end mark counts only when every token that the upstream billed has come.
-fn whole(out: &Out) -> End {
+fn whole(out: &CallerResponse) -> AttemptEnd {
     let Some(usage) = &out.usage else {
-        return End::Broken("an end without a usage".to_string());
+        return AttemptEnd::Broken("an end without a usage".to_string());
     };
     let produced = usage["completion_tokens"].as_u64();
     match usage["total_tokens"].as_u64() {
-        Some(total) if produced == Some(out.at) => End::Whole(total),
-        _ => End::Broken(format!("an end after {} of {produced:?} tokens", out.at)),
+        Some(total) if produced == Some(out.at) => AttemptEnd::Whole(total),
+        _ => AttemptEnd::Broken(format!("an end after {} of {produced:?} tokens", out.at)),
     }
 }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -9,7 +9,7 @@
 use tokio::time::timeout;
 
 use crate::event::Event;
-use crate::shared::Shared;
+use crate::shared_state::SharedState;
 
 const PREFIX: &str = "/instances/";
 const TTL_SECS: u64 = 12;
@@ -21,7 +21,7 @@
 const SETTLE: Duration = Duration::from_millis(50);
 
 /// Spawns the tasks.
-pub fn spawn(shared: &Arc<Shared>) {
+pub fn spawn(shared: &Arc<SharedState>) {
     tokio::spawn(enlist(Arc::clone(shared)));
     tokio::spawn(follow(Arc::clone(shared)));
 }
@@ -31,7 +31,7 @@
 }
 
 /// Keeps this instance's own entry.
-async fn enlist(shared: Arc<Shared>) {
+async fn enlist(shared: Arc<SharedState>) {
     let mut lease = None;
     let mut written = None;
     loop {
@@ -68,7 +68,7 @@
 }
 
 /// Follows the list by a watch, and reads it now and then besides.
-async fn follow(shared: Arc<Shared>) {
+async fn follow(shared: Arc<SharedState>) {
     let mut lost = false;
     loop {
         let mut watch = shared.kv.watch(PREFIX).await.ok();
@@ -91,7 +91,7 @@
     }
 }
 
-fn note_platform(shared: &Shared, lost: &mut bool, answered: bool) {
+fn note_platform(shared: &SharedState, lost: &mut bool, answered: bool) {
     if answered == *lost {
         let event = if answered {
             Event::PlatformBack
@@ -103,7 +103,7 @@
     *lost = !answered;
 }
 
-fn take(shared: &Arc<Shared>, found: &[Found]) {
+fn take(shared: &Arc<SharedState>, found: &[Found]) {
     let router = format!("{PREFIX}router/");
     let (routers, others): (Vec<_>, Vec<_>) =
         found.iter().partition(|f| f.key.starts_with(&router));
@@ -134,13 +134,13 @@
 }
 
 /// Returns whether the list shows a holder, or can't be read.
-pub async fn may_live(shared: &Shared, holder: &str) -> bool {
+pub async fn may_live(shared: &SharedState, holder: &str) -> bool {
     let listed = shared.kv.get(&key(holder)).await;
     !matches!(listed, Ok(None))
 }
 
 /// Takes this instance's entry out of the list, by ending its word.
-pub async fn delist(shared: &Shared) {
+pub async fn delist(shared: &SharedState) {
     let me = shared.members.lock().expect("no panic inside").me().clone();
     if let Ok(lease) = shared.kv.lease(1).await {
         // The entry then ends with the short lease; if this fails, with the old one.
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared_state.rs
@@ -10,17 +10,17 @@
 use route::{Pool, RetryBudget};
 use tokio::sync::watch;
 
-use crate::bank;
+use crate::budget_handle;
 use crate::clock::Clock;
 use crate::event::Event;
-use crate::journal::Journal;
-use crate::lines::Admission;
-use crate::metric::Metrics;
-use crate::peers::Peers;
+use crate::journal::RequestJournal;
+use crate::metrics::Metrics;
+use crate::peer_clients::PeerClients;
+use crate::wait_queues::WaitQueues;
 
 /// A configuration in force.
 #[derive(Debug)]
-pub struct Active {
+pub struct ActiveConfig {
     /// As the platform keeps it.
     pub bundle: Bundle,
     /// Joined.
@@ -29,13 +29,13 @@
     pub keys: BTreeMap<String, String>,
 }
 
-impl Active {
+impl ActiveConfig {
     /// Joins a whole bundle.
     ///
     /// # Errors
     ///
     /// Returns what is missing or broken.
-    pub fn join(bundle: Bundle) -> Result<Active, String> {
+    pub fn join(bundle: Bundle) -> Result<ActiveConfig, String> {
         let config = bundle.config()?;
         let mut keys = BTreeMap::new();
         for (name, customer) in &config.customers {
@@ -43,7 +43,7 @@
                 keys.insert(hash.clone(), name.clone());
             }
         }
-        Ok(Active {
+        Ok(ActiveConfig {
             bundle,
             config,
             keys,
@@ -52,7 +52,7 @@
 }
 
 /// What all tasks of one instance share.
-pub struct Shared {
+pub struct SharedState {
     /// The settings.
     pub settings: Settings,
     /// This incarnation.
@@ -66,23 +66,23 @@
     /// The client for requests that may not be repeated: a new connection for each.
     pub http_once: reqwest::Client,
     /// Budgets.
-    pub bank: bank::Handle,
+    pub bank: budget_handle::BudgetHandle,
     /// The configuration in force.
-    pub config: RwLock<Option<Arc<Active>>>,
+    pub config: RwLock<Option<Arc<ActiveConfig>>>,
     /// Upstreams.
     pub pool: Mutex<Pool>,
     /// Requests that wait for upstreams.
-    pub admission: Mutex<Admission>,
+    pub admission: Mutex<WaitQueues>,
     /// Retries in store.
     pub retry: Mutex<RetryBudget>,
     /// Instances.
     pub members: Mutex<Members>,
     /// Clients of other instances.
-    pub peers: Peers,
+    pub peers: PeerClients,
     /// Metrics.
     pub metrics: Metrics,
     /// The latest requests.
-    pub journal: Journal,
+    pub journal: RequestJournal,
     /// Attempts at requests that may not be repeated, as this holder knows them.
     pub attempts: Mutex<BTreeMap<String, AttemptStatus>>,
     /// Requests, bills and claims under way.
@@ -92,25 +92,25 @@
 }
 
 /// Counts one thing under way, until it is dropped.
-pub struct Busy(Arc<Shared>);
+pub struct InFlightGuard(Arc<SharedState>);
 
-impl Drop for Busy {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.busy.send_modify(|n| *n -= 1);
         self.0.metrics.inflight.dec();
     }
 }
 
-impl Shared {
+impl SharedState {
     /// Counts one thing under way.
-    pub fn begin(self: &Arc<Self>) -> Busy {
+    pub fn begin(self: &Arc<Self>) -> InFlightGuard {
         self.busy.send_modify(|n| *n += 1);
         self.metrics.inflight.inc();
-        Busy(Arc::clone(self))
+        InFlightGuard(Arc::clone(self))
     }
 
     /// Returns the configuration in force.
-    pub fn active(&self) -> Option<Arc<Active>> {
+    pub fn active(&self) -> Option<Arc<ActiveConfig>> {
         self.config.read().expect("no panic inside").clone()
     }
 
--- a/crates/entry/src/lines.rs
+++ b/crates/entry/src/wait_queues.rs
@@ -27,9 +27,9 @@
 
 /// The queues of one instance, by what upstreams serve.
 #[derive(Default)]
-pub struct Admission(pub(crate) BTreeMap<Pool, Line>);
+pub struct WaitQueues(pub(crate) BTreeMap<Pool, Line>);
 
-impl Admission {
+impl WaitQueues {
     /// Returns how many wait, by what they wait for.
     pub fn waiting(&self) -> BTreeMap<String, usize> {
         let row = |(k, l): (&Pool, &Line)| (k.1.clone(), l.queue.len());
--- a/crates/entry/tests/encoding.rs
+++ b/crates/entry/tests/encoding.rs
@@ -1,12 +1,12 @@
 //! Instances of other versions and operators read these: their encoding stays.
 
-use entry::journal::Journal;
-use entry::metric::Metrics;
-use entry::msg::{
-    DropOutMsg, ExtendMsg, GossipMsg, KeepMsg, OpenMsg, PullMsg, PullReply, RecallMsg, ReserveMsg,
-    SettleMsg, VoidMsg,
+use entry::journal::RequestJournal;
+use entry::messages::{
+    DetachMsg, ExtendMsg, GossipMsg, OpenStepMsg, PullConfigMsg, PullConfigReply, RecallMsg,
+    ReserveMsg, SettleMsg, StoreCopyMsg, VoidMsg,
 };
-use entry::pipe::relay::End;
+use entry::metrics::Metrics;
+use entry::pipeline::stream::AttemptEnd;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -16,20 +16,20 @@
     assert_kept::<ReserveMsg>(include_str!("data/outer/reserve_msgs.json"));
     assert_kept::<ExtendMsg>(include_str!("data/outer/extend_msgs.json"));
     assert_kept::<VoidMsg>(include_str!("data/outer/void_msgs.json"));
-    assert_kept::<DropOutMsg>(include_str!("data/outer/drop_out_msgs.json"));
+    assert_kept::<DetachMsg>(include_str!("data/outer/drop_out_msgs.json"));
     assert_kept::<SettleMsg>(include_str!("data/outer/settle_msgs.json"));
-    assert_kept::<KeepMsg>(include_str!("data/outer/keep_msgs.json"));
+    assert_kept::<StoreCopyMsg>(include_str!("data/outer/keep_msgs.json"));
     assert_kept::<RecallMsg>(include_str!("data/outer/recall_msgs.json"));
-    assert_kept::<OpenMsg>(include_str!("data/outer/open_msgs.json"));
+    assert_kept::<OpenStepMsg>(include_str!("data/outer/open_msgs.json"));
     assert_kept::<GossipMsg>(include_str!("data/outer/gossip_msgs.json"));
-    assert_kept::<PullMsg>(include_str!("data/outer/pull_msgs.json"));
-    assert_kept::<PullReply>(include_str!("data/outer/pull_replies.json"));
+    assert_kept::<PullConfigMsg>(include_str!("data/outer/pull_msgs.json"));
+    assert_kept::<PullConfigReply>(include_str!("data/outer/pull_replies.json"));
 }
 
 /// These are written only, to operators.
 #[test]
 fn steps_of_requests_keep_their_encoding() {
-    let journal = Journal::default();
+    let journal = RequestJournal::default();
     journal.add(12, "q-1", "asked");
     let sample = r#"[{"at":12,"what":"asked"}]"#;
     assert_eq!(
@@ -40,15 +40,15 @@
 
 #[test]
 fn ends_of_attempts_keep_their_texts() {
-    let text = |end: End| format!("{end:?}");
+    let text = |end: AttemptEnd| format!("{end:?}");
     let why = || "reset".to_string();
-    assert_eq!(text(End::Whole(30)), "Whole(30)");
-    assert_eq!(text(End::NotRun(why())), r#"NotRun("reset")"#);
-    assert_eq!(text(End::Broken(why())), r#"Broken("reset")"#);
-    assert_eq!(text(End::Gone), "Gone");
-    assert_eq!(text(End::CallerLeft), "CallerLeft");
-    assert_eq!(text(End::Overrun), "Overrun");
-    assert_eq!(text(End::Late), "Late");
+    assert_eq!(text(AttemptEnd::Whole(30)), "Whole(30)");
+    assert_eq!(text(AttemptEnd::NotRun(why())), r#"NotRun("reset")"#);
+    assert_eq!(text(AttemptEnd::Broken(why())), r#"Broken("reset")"#);
+    assert_eq!(text(AttemptEnd::Gone), "Gone");
+    assert_eq!(text(AttemptEnd::CallerLeft), "CallerLeft");
+    assert_eq!(text(AttemptEnd::Overrun), "Overrun");
+    assert_eq!(text(AttemptEnd::Late), "Late");
 }
 
 /// Guards names that monitoring reads.
