--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -10,7 +10,7 @@
 use web::{Req, Res};
 
 use crate::budget_io::{record_key, segment_key};
-use crate::callers::refusal;
+use crate::callers::error_response;
 use crate::config_change::{self, ChangeRequest};
 use crate::event::Event;
 use crate::registry;
@@ -37,7 +37,7 @@
                 Err(e) => Err(e),
             },
         };
-        answered.unwrap_or_else(|e| refusal(shared, &e))
+        answered.unwrap_or_else(|e| error_response(shared, &e))
     }
 }
 
@@ -45,7 +45,7 @@
     if shared.is_ready() {
         return Res::new(200, "text/plain", "ready\n");
     }
-    let why = if shared.active().is_none() {
+    let why = if shared.active_config().is_none() {
         "no configuration\n"
     } else {
         "stopping\n"
@@ -56,12 +56,20 @@
 fn metrics(shared: &SharedState) -> Res {
     let counts = shared.kv.counts();
     let load = |n: &std::sync::atomic::AtomicU64| n.load(std::sync::atomic::Ordering::Relaxed);
-    shared.metrics.platform("read", load(&counts.reads));
-    shared.metrics.platform("write", load(&counts.writes));
-    shared.metrics.platform("watch", load(&counts.watches));
-    shared.metrics.platform("failure", load(&counts.failures));
+    shared
+        .metrics
+        .set_platform_calls("read", load(&counts.reads));
+    shared
+        .metrics
+        .set_platform_calls("write", load(&counts.writes));
+    shared
+        .metrics
+        .set_platform_calls("watch", load(&counts.watches));
+    shared
+        .metrics
+        .set_platform_calls("failure", load(&counts.failures));
     let media = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-    Res::new(200, media, shared.metrics.text())
+    Res::new(200, media, shared.metrics.encode_text())
 }
 
 fn authorize(shared: &SharedState, req: &Req) -> Result<(), Error> {
@@ -86,7 +94,7 @@
     let path = req.segments();
     match (req.method.as_str(), path.as_slice()) {
         ("GET", ["dump"]) => Ok(dump(shared).await),
-        ("GET", ["dump", "requests", id]) => Ok(Res::json(200, &shared.journal.get(id))),
+        ("GET", ["dump", "requests", id]) => Ok(Res::json(200, &shared.journal.steps_of(id))),
         ("GET", ["admin", "v1", "config"]) => {
             let active = active(shared)?;
             let revision = active.bundle.head.revision;
@@ -105,7 +113,7 @@
         ("POST", ["admin", "v1", "budgets", name, "topups"]) => top_up(shared, name, req).await,
         ("POST", ["fault"]) if shared.settings.faults == Some(true) => {
             let cut: Vec<String> = req.json().map_err(|e| Error::new(Kind::BadRequest, e))?;
-            shared.peers.set_cut(cut);
+            shared.peers.set_blocked(cut);
             Ok(Res::json(200, &json!({"ok": true})))
         }
         ("GET", ["admin", "v1", "stranded"]) => stranded(shared).await,
@@ -119,27 +127,27 @@
 
 fn active(shared: &SharedState) -> Result<Arc<ActiveConfig>, Error> {
     let none = || Error::new(Kind::NotConfigured, "no configuration yet");
-    shared.active().ok_or_else(none)
+    shared.active_config().ok_or_else(none)
 }
 
 async fn dump(shared: &SharedState) -> Res {
-    let bank = shared.bank.dump().await;
+    let bank = shared.budgets.dump().await;
     let mut settings = serde_json::to_value(&shared.settings).unwrap_or_default();
     if let Some(key) = settings.get_mut("admin_key").filter(|k| !k.is_null()) {
         *key = json!("(hidden)");
     }
-    let head = shared.active().map(|a| a.bundle.head.clone());
+    let head = shared.active_config().map(|a| a.bundle.head.clone());
     Res::json(
         200,
         &json!({
-            "instance": shared.me,
+            "instance": shared.own_id,
             "settings": settings,
             "ready": shared.is_ready(),
-            "busy": *shared.busy.borrow(),
+            "busy": *shared.in_flight.borrow(),
             "config": head,
             "members": members(shared),
             "upstreams": upstream_rows(shared),
-            "waiting": shared.admission.lock().expect("no panic inside").waiting(),
+            "waiting": shared.wait_queues.lock().expect("no panic inside").lengths(),
             "budgets": bank,
         }),
     )
@@ -206,14 +214,14 @@
             &json!({"dry_run": true, "revision": expected + 1}),
         ));
     }
-    let wish = ChangeRequest {
+    let request = ChangeRequest {
         config,
-        expected,
+        expected_revision: expected,
         change_id: put.change_id,
-        who: put.who,
-        what: put.what,
+        operator: put.who,
+        summary: put.what,
     };
-    let revision = config_change::accept(shared, wish).await?;
+    let revision = config_change::commit(shared, request).await?;
     Ok(Res::json(200, &json!({"revision": revision})))
 }
 
@@ -236,7 +244,7 @@
 }
 
 fn budget_row(shared: &SharedState, name: &str, account: &Account) -> Value {
-    let live: Vec<String> = shared.live().into_iter().map(|m| m.id).collect();
+    let live: Vec<String> = shared.live_instances().into_iter().map(|m| m.id).collect();
     let is_live = |h: &String| live.contains(h);
     let unspent = |h: &String| account.unspent(h);
     let lines = account.ledger.keys();
@@ -338,13 +346,16 @@
         tokens,
     };
     let reply = carry_out(shared, name, act).await?;
-    shared.log(Event::ToppedUp, format!("{name}: {tokens} tokens, id {id}"));
+    shared.log(
+        Event::BudgetToppedUp,
+        format!("{name}: {tokens} tokens, id {id}"),
+    );
     Ok(reply)
 }
 
 async fn carry_out(shared: &SharedState, name: &str, act: OperatorCommand) -> Result<Res, Error> {
     const WAIT: std::time::Duration = std::time::Duration::from_secs(10);
-    let acted = tokio::time::timeout(WAIT, shared.bank.act(name, act)).await;
+    let acted = tokio::time::timeout(WAIT, shared.budgets.run_operator_command(name, act)).await;
     match acted {
         Ok(Some(OperatorReply::Done(tokens))) => Ok(Res::json(200, &json!({"tokens": tokens}))),
         Ok(Some(OperatorReply::IdReused(old))) => Err(Error::new(
@@ -359,7 +370,7 @@
 }
 
 async fn stranded(shared: &SharedState) -> Result<Res, Error> {
-    let live: Vec<String> = shared.live().into_iter().map(|m| m.id).collect();
+    let live: Vec<String> = shared.live_instances().into_iter().map(|m| m.id).collect();
     let mut rows = Vec::new();
     for shard in 0..shared.settings.shards() {
         let record = record(shared, shard).await?;
@@ -395,7 +406,9 @@
     if reason.trim().is_empty() {
         return Err(bad("/reason: why the holder can't act any more".to_string()));
     }
-    if shared.live().iter().any(|m| m.id == holder) || registry::may_live(shared, &holder).await {
+    if shared.live_instances().iter().any(|m| m.id == holder)
+        || registry::may_be_alive(shared, &holder).await
+    {
         let message =
             format!("{holder} may still live: releasing what it holds could exceed the budget");
         return Err(Error::new(Kind::Conflict, message));
@@ -408,7 +421,7 @@
         operator: who,
     };
     let reply = carry_out(shared, name, act).await?;
-    shared.log(Event::Released, what);
+    shared.log(Event::TokensReleased, what);
     Ok(reply)
 }
 
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -27,7 +27,7 @@
     let now = shared.clock.now();
     let rooms = rooms(shared, &pool);
     let (ticket, rx) = {
-        let mut admission = shared.admission.lock().expect("no panic inside");
+        let mut admission = shared.wait_queues.lock().expect("no panic inside");
         let line = admission.0.entry(pool.clone()).or_default();
         match line.queue.arrive(now, &rooms, priority, deadline) {
             Verdict::Go => return Ok(()),
@@ -67,7 +67,7 @@
 
 impl Drop for Left {
     fn drop(&mut self) {
-        let mut admission = self.shared.admission.lock().expect("no panic inside");
+        let mut admission = self.shared.wait_queues.lock().expect("no panic inside");
         if let Some(line) = admission.0.get_mut(&self.pool) {
             line.queue.leave(self.ticket);
             line.waiters.remove(&self.ticket);
@@ -82,22 +82,22 @@
 }
 
 /// Counts the end of a request and lets in who waits.
-pub fn finished(shared: &SharedState, kind: upstream::Kind, serves: &str) {
+pub fn record_finished(shared: &SharedState, kind: upstream::Kind, serves: &str) {
     let now = shared.clock.now();
     let pool = (kind, serves.to_string());
     {
-        let mut admission = shared.admission.lock().expect("no panic inside");
+        let mut admission = shared.wait_queues.lock().expect("no panic inside");
         if let Some(line) = admission.0.get_mut(&pool) {
             line.queue.finished(now);
         }
     }
-    wake(shared);
+    admit_waiting(shared);
 }
 
 /// Lets in who waits, as far as there is room, and turns away whose time has passed.
-pub fn wake(shared: &SharedState) {
+pub fn admit_waiting(shared: &SharedState) {
     let now = shared.clock.now();
-    let mut admission = shared.admission.lock().expect("no panic inside");
+    let mut admission = shared.wait_queues.lock().expect("no panic inside");
     for (pool, line) in &mut admission.0 {
         if line.queue.is_empty() {
             continue;
--- a/crates/entry/src/budget_handle.rs
+++ b/crates/entry/src/budget_handle.rs
@@ -15,18 +15,18 @@
     Reserve(ReserveRequest, u64, oneshot::Sender<ReserveReply>),
     Extend(ExtendMsg, oneshot::Sender<ReserveReply>),
     Void(VoidMsg),
-    DropOut(DetachMsg, oneshot::Sender<bool>),
+    Detach(DetachMsg, oneshot::Sender<bool>),
     Settle(SettleMsg, oneshot::Sender<Durability>),
-    Keep(StoreCopyMsg),
+    StoreCopy(StoreCopyMsg),
     Recall(RecallMsg, oneshot::Sender<u64>),
-    Open(OpenStepMsg, oneshot::Sender<u64>),
-    Act(String, OperatorCommand, oneshot::Sender<OperatorReply>),
+    OpenStep(OpenStepMsg, oneshot::Sender<u64>),
+    Operator(String, OperatorCommand, oneshot::Sender<OperatorReply>),
     Event(u32, Event),
-    Members(Vec<Candidate>),
-    Silent(Vec<String>),
-    Presence(Vec<String>, Vec<String>),
-    Leave,
-    IsClear(oneshot::Sender<bool>),
+    SetMembers(Vec<Candidate>),
+    ReportUnresponsive(Vec<String>),
+    SetPresence(Vec<String>, Vec<String>),
+    ReleaseAll,
+    IsDrained(oneshot::Sender<bool>),
     Dump(oneshot::Sender<Value>),
 }
 
@@ -38,7 +38,7 @@
 pub struct CommandReceiver(pub(crate) mpsc::UnboundedReceiver<Command>);
 
 /// Opens a handle whose commands wait until the task is spawned.
-pub fn open() -> (BudgetHandle, CommandReceiver) {
+pub fn channel() -> (BudgetHandle, CommandReceiver) {
     let (tx, rx) = mpsc::unbounded_channel();
     (BudgetHandle(tx), CommandReceiver(rx))
 }
@@ -69,9 +69,9 @@
     }
 
     /// Takes an entry off a request; returns whether others still serve it.
-    pub async fn drop_out(&self, msg: DetachMsg) -> Option<bool> {
+    pub async fn detach(&self, msg: DetachMsg) -> Option<bool> {
         let (tx, rx) = oneshot::channel();
-        self.send(Command::DropOut(msg, tx));
+        self.send(Command::Detach(msg, tx));
         rx.await.ok()
     }
 
@@ -83,8 +83,8 @@
     }
 
     /// Keeps a copy of another holder's settlement.
-    pub fn keep(&self, msg: StoreCopyMsg) {
-        self.send(Command::Keep(msg));
+    pub fn store_copy(&self, msg: StoreCopyMsg) {
+        self.send(Command::StoreCopy(msg));
     }
 
     /// Hands over unspent tokens; returns all that were ever handed to the asker.
@@ -95,43 +95,47 @@
     }
 
     /// Gives this witness' word for a step of a joint grant.
-    pub async fn open(&self, msg: OpenStepMsg) -> Option<u64> {
+    pub async fn open_step(&self, msg: OpenStepMsg) -> Option<u64> {
         let (tx, rx) = oneshot::channel();
-        self.send(Command::Open(msg, tx));
+        self.send(Command::OpenStep(msg, tx));
         rx.await.ok()
     }
 
     /// Carries out an operator's act.
-    pub async fn act(&self, account: &str, act: OperatorCommand) -> Option<OperatorReply> {
+    pub async fn run_operator_command(
+        &self,
+        account: &str,
+        act: OperatorCommand,
+    ) -> Option<OperatorReply> {
         let (tx, rx) = oneshot::channel();
-        self.send(Command::Act(account.to_string(), act, tx));
+        self.send(Command::Operator(account.to_string(), act, tx));
         rx.await.ok()
     }
 
     /// Sets the living instances of the region.
     pub fn set_members(&self, members: Vec<Candidate>) {
-        self.send(Command::Members(members));
+        self.send(Command::SetMembers(members));
     }
 
     /// Tells that entries are gone.
-    pub fn set_silent(&self, entries: Vec<String>) {
-        self.send(Command::Silent(entries));
+    pub fn report_unresponsive(&self, entries: Vec<String>) {
+        self.send(Command::ReportUnresponsive(entries));
     }
 
     /// Tells which holders are present, and which have left as planned.
     pub fn set_presence(&self, present: Vec<String>, left: Vec<String>) {
-        self.send(Command::Presence(present, left));
+        self.send(Command::SetPresence(present, left));
     }
 
     /// Hands everything back, for a planned stop.
-    pub fn leave(&self) {
-        self.send(Command::Leave);
+    pub fn release_all(&self) {
+        self.send(Command::ReleaseAll);
     }
 
     /// Returns whether nothing is left to settle or hand back.
-    pub async fn is_clear(&self) -> bool {
+    pub async fn is_drained(&self) -> bool {
         let (tx, rx) = oneshot::channel();
-        self.send(Command::IsClear(tx));
+        self.send(Command::IsDrained(tx));
         rx.await.unwrap_or(true)
     }
 
--- a/crates/entry/src/budget_io.rs
+++ b/crates/entry/src/budget_io.rs
@@ -22,7 +22,7 @@
     format!("/oriolehitch/bill/{shard:04}/{name}")
 }
 
-pub(crate) fn stored(found: Option<Found>) -> Result<Option<RecordSnapshot>, String> {
+pub(crate) fn parse_snapshot(found: Option<Found>) -> Result<Option<RecordSnapshot>, String> {
     let Some(found) = found else {
         return Ok(None);
     };
@@ -31,19 +31,24 @@
     Ok(Some(RecordSnapshot { revision, record }))
 }
 
-pub(crate) async fn read(cx: &SharedState, shard: u32) -> Event {
+pub(crate) async fn read_record(cx: &SharedState, shard: u32) -> Event {
     let got = cx.kv.get(&record_key(shard)).await;
-    match got.map(stored) {
+    match got.map(parse_snapshot) {
         Ok(Ok(stored)) => Event::RecordRead(stored),
         Ok(Err(_)) | Err(_) => Event::ReadFailed,
     }
 }
 
-pub(crate) async fn write(cx: &SharedState, shard: u32, base: i64, record: &ShardRecord) -> Event {
+pub(crate) async fn write_record(
+    cx: &SharedState,
+    shard: u32,
+    base: i64,
+    record: &ShardRecord,
+) -> Event {
     let text = serde_json::to_vec(record).expect("a record is JSON");
     match cx.kv.swap(&record_key(shard), base, &text, 0).await {
         Ok(Swap::Done(revision)) => Event::WriteCommitted { revision },
-        Ok(Swap::Lost(found)) => match stored(found) {
+        Ok(Swap::Lost(found)) => match parse_snapshot(found) {
             Ok(stored) => Event::WriteConflict(stored),
             Err(_) => Event::WriteRefused,
         },
@@ -52,7 +57,7 @@
     }
 }
 
-pub(crate) async fn recall(
+pub(crate) async fn recall_tokens(
     cx: &SharedState,
     account: &str,
     from: &str,
@@ -61,7 +66,7 @@
     let addr = cx.peer_addr(from)?;
     let msg = RecallMsg {
         account: account.to_string(),
-        to: cx.me.clone(),
+        to: cx.own_id.clone(),
         tokens,
     };
     let reply = cx
@@ -71,18 +76,18 @@
     reply.unwrap_or(None)
 }
 
-pub(crate) async fn ask_witness(
+pub(crate) async fn request_step(
     cx: &SharedState,
     account: &str,
     witness: &str,
     key: &str,
-    upto: u64,
+    up_to: u64,
 ) -> Option<u64> {
     let addr = cx.peer_addr(witness)?;
     let msg = OpenStepMsg {
         account: account.to_string(),
         key: key.to_string(),
-        upto,
+        up_to,
     };
     let reply = cx
         .peers
@@ -92,13 +97,13 @@
 }
 
 /// Gives a copy of a settlement to an instance in another availability zone.
-pub(crate) async fn copy(cx: &SharedState, account: &str, post: Settlement) -> bool {
+pub(crate) async fn send_copy(cx: &SharedState, account: &str, settlement: Settlement) -> bool {
     let msg = StoreCopyMsg {
         account: account.to_string(),
-        post,
+        settlement,
     };
     let zone = &cx.settings.zone;
-    for member in cx.live().into_iter().filter(|m| m.zone != *zone) {
+    for member in cx.live_instances().into_iter().filter(|m| m.zone != *zone) {
         let kept = cx
             .peers
             .call::<_, bool>(&cx.metrics, &member.peer_addr, method::STORE_COPY, &msg)
@@ -111,7 +116,7 @@
 }
 
 /// Cancels a request at its upstream and returns what it spent.
-pub(crate) async fn probe(cx: &SharedState, at: &AttemptRef) -> Option<u64> {
+pub(crate) async fn cancel_attempt(cx: &SharedState, at: &AttemptRef) -> Option<u64> {
     let url = {
         let pool = cx.pool.lock().expect("no panic inside");
         let key = pool.find(&at.upstream)?;
--- a/crates/entry/src/budget_task.rs
+++ b/crates/entry/src/budget_task.rs
@@ -12,7 +12,9 @@
 use tokio::sync::oneshot;
 
 use crate::budget_handle::{BudgetHandle, Command, CommandReceiver};
-use crate::budget_io::{ask_witness, copy, probe, read, recall, segment_key, write};
+use crate::budget_io::{
+    cancel_attempt, read_record, recall_tokens, request_step, segment_key, send_copy, write_record,
+};
 use crate::clock::{wall_ms, Clock};
 use crate::event;
 use crate::messages::StoreCopyMsg;
@@ -35,7 +37,7 @@
     let clock = shared.clock;
     let bank = ShardManager::new(
         clock.now(),
-        &shared.me,
+        &shared.own_id,
         settings.shards(),
         settings.writes_per_sec(),
         params,
@@ -44,7 +46,7 @@
         bank,
         clock,
         shared: Arc::downgrade(shared),
-        handle: shared.bank.clone(),
+        handle: shared.budgets.clone(),
         next_ask: 1,
         reserves: BTreeMap::new(),
         drop_outs: BTreeMap::new(),
@@ -52,13 +54,13 @@
         recalls: BTreeMap::new(),
         acts: BTreeMap::new(),
     };
-    let me = shared.me.clone();
+    let me = shared.own_id.clone();
     tokio::spawn(async move {
         let ended = tokio::spawn(task.run(inbox)).await;
         if ended.is_err_and(|e| e.is_panic()) {
             // Whatever it believes about money is wrong. Its grants stay charged in the record;
             // going on without it would leave an instance that looks ready and serves nobody.
-            event::Event::Broken.log(&me, "the log above says which one");
+            event::Event::InvariantFailed.log(&me, "the log above says which one");
             std::process::exit(EXIT_BROKEN);
         }
     });
@@ -130,7 +132,7 @@
                     reply_to: ask,
                     account: m.account,
                     hold: m.hold,
-                    attempt: m.at,
+                    attempt: m.attempt,
                     tokens: m.tokens,
                     deadline: now + m.wait_ms,
                 };
@@ -140,12 +142,12 @@
                 let account = m.account.clone();
                 let event = Event::Void {
                     account: m.account,
-                    request_id: m.request,
+                    request_id: m.request_id,
                     entry: m.entry,
                 };
                 self.step(now, &account, event)
             }
-            Command::DropOut(m, tx) => {
+            Command::Detach(m, tx) => {
                 self.drop_outs.insert(ask, tx);
                 let account = m.account.clone();
                 let event = Event::Detach {
@@ -162,19 +164,22 @@
                 let event = Event::Settle {
                     reply_to: Some(ask),
                     account: m.account,
-                    settlement: m.post,
-                    unconfirmed: m.doubts,
+                    settlement: m.settlement,
+                    unconfirmed: m.unconfirmed,
                 };
                 self.step(now, &account, event)
             }
-            Command::Keep(StoreCopyMsg { account, post }) => {
+            Command::StoreCopy(StoreCopyMsg {
+                account,
+                settlement,
+            }) => {
                 let name = account.clone();
                 self.step(
                     now,
                     &name,
                     Event::StoreCopy {
                         account,
-                        settlement: post,
+                        settlement,
                     },
                 )
             }
@@ -189,10 +194,10 @@
                 };
                 self.step(now, &account, event)
             }
-            Command::Open(m, tx) => {
+            Command::OpenStep(m, tx) => {
                 // Answered like a recall: by a number of tokens.
                 self.recalls.insert(ask, tx);
-                let (key, upto) = (m.key, m.upto);
+                let (key, upto) = (m.key, m.up_to);
                 self.step(
                     now,
                     &m.account,
@@ -203,7 +208,7 @@
                     },
                 )
             }
-            Command::Act(account, act, tx) => {
+            Command::Operator(account, act, tx) => {
                 self.acts.insert(ask, tx);
                 let name = account.clone();
                 self.step(
@@ -217,25 +222,25 @@
                 )
             }
             Command::Event(shard, event) => self.bank.step(now, shard, event),
-            Command::Members(members) => {
+            Command::SetMembers(members) => {
                 self.bank.set_members(members);
                 Vec::new()
             }
-            Command::Silent(entries) => {
+            Command::ReportUnresponsive(entries) => {
                 let gone = |entry| Event::InstanceUnresponsive { instance: entry };
                 let events: Vec<Event> = entries.into_iter().map(gone).collect();
                 let all = events.iter().flat_map(|e| self.bank.step_all(now, e));
                 all.collect()
             }
-            Command::Presence(present, left) => {
+            Command::SetPresence(present, left) => {
                 self.bank.set_presence(now, &present, &left);
                 Vec::new()
             }
-            Command::Leave => {
+            Command::ReleaseAll => {
                 self.bank.leave();
                 self.bank.step_all(now, &Event::Tick)
             }
-            Command::IsClear(tx) => {
+            Command::IsDrained(tx) => {
                 let _ = tx.send(self.bank.is_drained());
                 Vec::new()
             }
@@ -259,7 +264,7 @@
         match output.action {
             Action::ReadRecord => {
                 tokio::spawn(async move {
-                    let event = read(&cx, shard).await;
+                    let event = read_record(&cx, shard).await;
                     handle.send(Command::Event(shard, event));
                 });
             }
@@ -268,7 +273,7 @@
                 record,
             } => {
                 tokio::spawn(async move {
-                    let event = write(&cx, shard, base, &record).await;
+                    let event = write_record(&cx, shard, base, &record).await;
                     handle.send(Command::Event(shard, event));
                 });
             }
@@ -311,7 +316,7 @@
                 tokens,
             } => {
                 tokio::spawn(async move {
-                    let sent = recall(&cx, &account, &from, tokens).await;
+                    let sent = recall_tokens(&cx, &account, &from, tokens).await;
                     let event = Event::RecallReply {
                         account,
                         from,
@@ -331,7 +336,7 @@
                 up_to: upto,
             } => {
                 tokio::spawn(async move {
-                    let opened = ask_witness(&cx, &account, &witness, &key, upto).await;
+                    let opened = request_step(&cx, &account, &witness, &key, upto).await;
                     let event = Event::StepReply {
                         account,
                         key,
@@ -346,7 +351,7 @@
             } => {
                 tokio::spawn(async move {
                     let hold = post.hold;
-                    if copy(&cx, &account, post).await {
+                    if send_copy(&cx, &account, post).await {
                         handle.send(Command::Event(shard, Event::CopyStored { account, hold }));
                     }
                 });
@@ -361,7 +366,7 @@
                 attempt: at,
             } => {
                 tokio::spawn(async move {
-                    match probe(&cx, &at).await {
+                    match cancel_attempt(&cx, &at).await {
                         Some(tokens) => {
                             let detail = format!("{} at {}: {tokens}", at.id, at.upstream);
                             cx.log(event::Event::OrphanBilled, detail);
@@ -376,19 +381,22 @@
                         }
                         None => {
                             let detail = format!("{} at {}", at.id, at.upstream);
-                            cx.log(event::Event::OrphanHeld, detail);
+                            cx.log(event::Event::OrphanUnresolved, detail);
                         }
                     }
                 });
             }
             Action::Warn(Warning::ExcessUsage { account, tokens }) => {
-                shared.log(event::Event::Excess, format!("{account}: {tokens} tokens"));
+                shared.log(
+                    event::Event::TokensExceeded,
+                    format!("{account}: {tokens} tokens"),
+                );
             }
             Action::Warn(Warning::DuplicateBill {
                 account,
                 request_id: request,
             }) => {
-                shared.log(event::Event::BillDuplicate, format!("{account}: {request}"));
+                shared.log(event::Event::DuplicateBill, format!("{account}: {request}"));
             }
         }
     }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -19,15 +19,15 @@
     async fn call(self: Arc<Self>, req: Req) -> Res {
         let shared = Arc::clone(&self.shared);
         let answered = match (req.method.as_str(), req.segments().as_slice()) {
-            ("POST", ["v1", "chat", "completions"]) => chat::answer(&shared, &req).await,
+            ("POST", ["v1", "chat", "completions"]) => chat::handle(&shared, &req).await,
             ("GET", ["v1", "models"]) => models(&shared, &req),
-            (_, ["v1", "services", ..]) => service_call::answer(&shared, req).await,
+            (_, ["v1", "services", ..]) => service_call::handle(&shared, req).await,
             (method, _) => {
                 let message = format!("there is nothing at {method} {}", req.path);
                 Err(Error::new(Kind::NotFound, message))
             }
         };
-        answered.unwrap_or_else(|e| refusal(&shared, &e))
+        answered.unwrap_or_else(|e| error_response(&shared, &e))
     }
 
     fn unreadable(&self, too_large: bool) -> Res {
@@ -37,21 +37,21 @@
         } else {
             Error::new(Kind::BadRequest, "the body did not come whole in time")
         };
-        refusal(&self.shared, &error)
+        error_response(&self.shared, &error)
     }
 }
 
 fn models(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
-    let cx = auth::auth(shared, req)?;
+    let cx = auth::authenticate(shared, req)?;
     let row = |m: &String| json!({"id": m, "object": "model", "owned_by": "oriolehitch"});
     let data: Vec<_> = cx.policy.models.iter().map(row).collect();
     Ok(Res::json(200, &json!({"object": "list", "data": data})))
 }
 
 /// Returns the answer to an error.
-pub fn refusal(shared: &SharedState, error: &Error) -> Res {
+pub fn error_response(shared: &SharedState, error: &Error) -> Res {
     let res = Res::json(error.status(), &error.body());
-    let res = res.with("x-oriolehitch-instance", shared.me.clone());
+    let res = res.with("x-oriolehitch-instance", shared.own_id.clone());
     match error.retry_after_secs {
         Some(secs) => res.with("retry-after", secs.to_string()),
         None => res,
--- a/crates/entry/src/config_change.rs
+++ b/crates/entry/src/config_change.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use crate::clock::wall_ms;
-use crate::config_sync::{put_in_force, read_head, CHUNK, HEAD};
+use crate::config_sync::{apply, read_head, CHUNK_KEY_PREFIX, HEAD_KEY};
 use crate::event::Event;
 use crate::gossip;
 use crate::shared_state::SharedState;
@@ -28,13 +28,13 @@
     /// The whole new configuration.
     pub config: Config,
     /// The revision that the operator has seen.
-    pub expected: u64,
+    pub expected_revision: u64,
     /// Names the change.
     pub change_id: String,
     /// Who wants it.
-    pub who: String,
+    pub operator: String,
     /// What changes, in a line.
-    pub what: String,
+    pub summary: String,
 }
 
 /// Accepts a change, or tells why not; returns the new revision.
@@ -43,7 +43,7 @@
 ///
 /// Returns a conflict when the expected revision is not the current one, and an error with an
 /// unknown outcome when the platform's answer was lost and can't be found.
-pub async fn accept(shared: &Arc<SharedState>, wish: ChangeRequest) -> Result<u64, Error> {
+pub async fn commit(shared: &Arc<SharedState>, request: ChangeRequest) -> Result<u64, Error> {
     let down = |_| {
         Error::new(
             Kind::PlatformDown,
@@ -51,36 +51,40 @@
         )
     };
     let (head, kv_revision) = read_head(shared).await.map_err(down)?.unwrap_or_default();
-    if let Some(done) = head.history.iter().find(|c| c.change_id == wish.change_id) {
+    if let Some(done) = head
+        .history
+        .iter()
+        .find(|c| c.change_id == request.change_id)
+    {
         return Ok(done.revision);
     }
-    if head.revision != wish.expected {
+    if head.revision != request.expected_revision {
         return Err(conflict(head.revision));
     }
     let change = Change {
         revision: head.revision + 1,
-        change_id: wish.change_id.clone(),
-        who: wish.who,
+        change_id: request.change_id.clone(),
+        who: request.operator,
         at_ms: wall_ms(),
-        what: wish.what,
+        what: request.summary,
     };
-    let bundle = Bundle::next(&head, &wish.config, change);
+    let bundle = Bundle::next(&head, &request.config, change);
     for (hash, text) in &bundle.chunks {
         if !head.chunks.contains(hash) {
             // A chunk that is there already is the same: its key is its hash.
-            let key = format!("{CHUNK}{hash}");
+            let key = format!("{CHUNK_KEY_PREFIX}{hash}");
             put_chunk(shared, &key, text).await.map_err(down)?;
         }
     }
     let text = serde_json::to_vec(&bundle.head).expect("a head is JSON");
-    match shared.kv.swap(HEAD, kv_revision, &text, 0).await {
+    match shared.kv.swap(HEAD_KEY, kv_revision, &text, 0).await {
         Ok(Swap::Done(_)) => Ok(accepted(shared, bundle)),
-        Ok(Swap::Lost(_)) => find_again(shared, &wish.change_id, bundle, true).await,
+        Ok(Swap::Lost(_)) => find_again(shared, &request.change_id, bundle, true).await,
         Err(Failure::Refused(_)) => Err(Error::new(
             Kind::PlatformDown,
             "the platform's service refused the change",
         )),
-        Err(Failure::Unknown(_)) => find_again(shared, &wish.change_id, bundle, false).await,
+        Err(Failure::Unknown(_)) => find_again(shared, &request.change_id, bundle, false).await,
     }
 }
 
@@ -127,12 +131,12 @@
 
 fn accepted(shared: &Arc<SharedState>, bundle: Bundle) -> u64 {
     let revision = bundle.head.revision;
-    put_in_force(shared, bundle);
+    apply(shared, bundle);
     shared.log(Event::ConfigAccepted, format!("revision {revision}"));
     let cx = Arc::clone(shared);
     tokio::spawn(async move {
         let began = cx.clock.now();
-        gossip::tell_all(&cx, None).await;
+        gossip::broadcast(&cx, None).await;
         follow_spread(&cx, revision, began).await;
     });
     revision
@@ -141,12 +145,19 @@
 /// Measures when the last living instance has a revision in force.
 async fn follow_spread(shared: &SharedState, revision: u64, began: u64) {
     let look = async {
-        while shared.live().iter().any(|m| m.revision < revision) {
+        while shared
+            .live_instances()
+            .iter()
+            .any(|m| m.revision < revision)
+        {
             tokio::time::sleep(SPREAD_LOOK).await;
         }
     };
     if timeout(SPREAD_MOST, look).await.is_ok() {
         let ms = shared.clock.now() - began;
-        shared.metrics.config_spread.observe(ms as f64 / 1000.0);
+        shared
+            .metrics
+            .config_spread_seconds
+            .observe(ms as f64 / 1000.0);
     }
 }
--- a/crates/entry/src/config_sync.rs
+++ b/crates/entry/src/config_sync.rs
@@ -13,9 +13,9 @@
 use crate::shared_state::{ActiveConfig, SharedState};
 
 /// Key of the head.
-pub(crate) const HEAD: &str = "/oriolehitch/config/head";
+pub(crate) const HEAD_KEY: &str = "/oriolehitch/config/head";
 /// Keys of the chunks that a head names.
-pub(crate) const CHUNK: &str = "/oriolehitch/config/chunk/";
+pub(crate) const CHUNK_KEY_PREFIX: &str = "/oriolehitch/config/chunk/";
 /// The head is read at least this often: a watch can stall without a sign.
 const POLL_EVERY: Duration = Duration::from_secs(10);
 const WATCH_RETRY: Duration = Duration::from_secs(1);
@@ -24,13 +24,13 @@
 pub fn spawn(shared: &Arc<SharedState>) {
     tokio::spawn(follow(Arc::clone(shared)));
     for addr in shared.settings.peers.clone().unwrap_or_default() {
-        pull_from(Arc::clone(shared), addr.to_string());
+        spawn_pull(Arc::clone(shared), addr.to_string());
     }
 }
 
 async fn follow(shared: Arc<SharedState>) {
     loop {
-        let mut watch = shared.kv.watch(HEAD).await.ok();
+        let mut watch = shared.kv.watch(HEAD_KEY).await.ok();
         loop {
             read(&shared).await;
             let Some(rx) = watch.as_mut() else {
@@ -49,12 +49,12 @@
     let Ok(Some((head, _))) = read_head(shared).await else {
         return;
     };
-    if head.revision <= shared.revision() {
+    if head.revision <= shared.config_revision() {
         return;
     }
     let mut bundle = start(shared, head);
     for hash in bundle.missing() {
-        match shared.kv.get(&format!("{CHUNK}{hash}")).await {
+        match shared.kv.get(&format!("{CHUNK_KEY_PREFIX}{hash}")).await {
             Ok(Some(found)) => {
                 let text = String::from_utf8_lossy(&found.value).into_owned();
                 bundle.add(Chunk { hash, text });
@@ -62,7 +62,7 @@
             Ok(None) | Err(_) => return,
         }
     }
-    put_in_force(shared, bundle);
+    apply(shared, bundle);
 }
 
 /// Starts a bundle with the chunks that are here already.
@@ -71,7 +71,7 @@
         head,
         chunks: Default::default(),
     };
-    if let Some(active) = shared.active() {
+    if let Some(active) = shared.active_config() {
         for (hash, text) in &active.bundle.chunks {
             if bundle.head.chunks.contains(hash) {
                 bundle.chunks.insert(hash.clone(), text.clone());
@@ -82,24 +82,24 @@
 }
 
 pub(crate) async fn read_head(shared: &SharedState) -> Result<Option<(Head, i64)>, Failure> {
-    let Some(found) = shared.kv.get(HEAD).await? else {
+    let Some(found) = shared.kv.get(HEAD_KEY).await? else {
         return Ok(None);
     };
     match serde_json::from_slice(&found.value) {
         Ok(head) => Ok(Some((head, found.revision))),
         Err(e) => {
-            shared.log(Event::ConfigBroken, &e);
+            shared.log(Event::ConfigInvalid, &e);
             Err(Failure::Refused(e.to_string()))
         }
     }
 }
 
 /// Puts a whole bundle in force, unless a newer one is.
-pub(crate) fn put_in_force(shared: &Arc<SharedState>, bundle: Bundle) {
-    let active = match ActiveConfig::join(bundle) {
+pub(crate) fn apply(shared: &Arc<SharedState>, bundle: Bundle) {
+    let active = match ActiveConfig::from_bundle(bundle) {
         Ok(active) => Arc::new(active),
         Err(e) => {
-            shared.log(Event::ConfigBroken, e);
+            shared.log(Event::ConfigInvalid, e);
             return;
         }
     };
@@ -116,19 +116,22 @@
         assert!(revision > current, "a configuration never goes back");
     }
     let lag = wall_ms().saturating_sub(at_ms);
-    shared.metrics.config_lag.observe(lag as f64 / 1000.0);
+    shared
+        .metrics
+        .config_lag_seconds
+        .observe(lag as f64 / 1000.0);
     let mut members = shared.members.lock().expect("no panic inside");
     members.set_revision(revision);
     drop(members);
     shared.log(
-        Event::ConfigInForce,
+        Event::ConfigApplied,
         format!("revision {revision} after {lag} ms"),
     );
 }
 
 /// Answers a peer that asks for the configuration.
-pub fn answer(shared: &SharedState, msg: &PullConfigMsg) -> PullConfigReply {
-    let Some(active) = shared.active() else {
+pub fn handle_pull(shared: &SharedState, msg: &PullConfigMsg) -> PullConfigReply {
+    let Some(active) = shared.active_config() else {
         return PullConfigReply {
             head: None,
             chunks: Vec::new(),
@@ -138,7 +141,7 @@
         .bundle
         .chunks
         .iter()
-        .filter(|(h, _)| !msg.have.contains(h));
+        .filter(|(h, _)| !msg.chunk_hashes.contains(h));
     let chunk = |(hash, text): (&String, &String)| Chunk {
         hash: hash.clone(),
         text: text.clone(),
@@ -150,12 +153,12 @@
 }
 
 /// Fetches a peer's configuration in a task of its own.
-pub fn pull_from(shared: Arc<SharedState>, addr: String) {
+pub fn spawn_pull(shared: Arc<SharedState>, addr: String) {
     tokio::spawn(async move {
-        let active = shared.active();
+        let active = shared.active_config();
         let have = active.map(|a| a.bundle.chunks.keys().cloned().collect());
         let msg = PullConfigMsg {
-            have: have.unwrap_or_default(),
+            chunk_hashes: have.unwrap_or_default(),
         };
         let reply = shared
             .peers
@@ -168,7 +171,7 @@
         else {
             return;
         };
-        if head.revision <= shared.revision() {
+        if head.revision <= shared.config_revision() {
             return;
         }
         let mut bundle = start(&shared, head);
@@ -176,7 +179,7 @@
             bundle.add(chunk);
         }
         if bundle.missing().is_empty() {
-            put_in_force(&shared, bundle);
+            apply(&shared, bundle);
         }
     });
 }
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -15,49 +15,49 @@
     /// A planned stop has ended.
     Stopped,
     /// A planned stop was cut short.
-    Cut,
+    StopAborted,
     /// An invariant of the budgets failed: the process ends at once.
-    Broken,
+    InvariantFailed,
     /// Another configuration is in force.
-    ConfigInForce,
+    ConfigApplied,
     /// A configuration in the platform is broken.
-    ConfigBroken,
+    ConfigInvalid,
     /// A change of configuration was accepted here.
     ConfigAccepted,
     /// The platform does not answer.
-    PlatformLost,
+    PlatformUnavailable,
     /// The platform answers again.
-    PlatformBack,
+    PlatformRecovered,
     /// An instance is new, or changed its standing.
-    Member,
+    MembershipChanged,
     /// An instance fell silent.
-    MemberSilent,
+    InstanceUnresponsive,
     /// An upstream is leaving.
     UpstreamLeaving,
     /// A bill waits longer than its answer should.
-    BillLate,
+    BillDelayed,
     /// A bill had only one copy when its answer ended.
-    BillSingle,
+    BillNotDurable,
     /// An upstream served more than was asked for.
-    Excess,
+    TokensExceeded,
     /// A request was billed before under the same id.
-    BillDuplicate,
+    DuplicateBill,
     /// An orphaned request was cancelled and billed by its upstream's word.
     OrphanBilled,
     /// An orphaned request's upstream does not answer: its tokens stay held.
-    OrphanHeld,
+    OrphanUnresolved,
     /// An operator released stranded tokens.
-    Released,
+    TokensReleased,
     /// An operator topped up a budget.
-    ToppedUp,
+    BudgetToppedUp,
     /// An answer broke off.
-    Incomplete,
+    ResponseAborted,
     /// An upstream's answer was not for this request.
-    Mixed,
+    ResponseMismatch,
     /// A claim's end could not be stored.
-    ClaimLate,
+    ClaimNotStored,
     /// An upstream was ordered to serve a version.
-    Ordered,
+    VersionOrdered,
 }
 
 /// The catalogue.
@@ -65,21 +65,26 @@
     row(Event::Started, 1001, Level::INFO, "instance serves"),
     row(Event::Stopping, 1002, Level::INFO, "planned stop begun"),
     row(Event::Stopped, 1003, Level::INFO, "planned stop ended"),
-    row(Event::Cut, 1004, Level::WARN, "planned stop cut short"),
     row(
-        Event::Broken,
+        Event::StopAborted,
+        1004,
+        Level::WARN,
+        "planned stop cut short",
+    ),
+    row(
+        Event::InvariantFailed,
         1005,
         Level::ERROR,
         "invariant of the budgets failed, process ends",
     ),
     row(
-        Event::ConfigInForce,
+        Event::ConfigApplied,
         1101,
         Level::INFO,
         "configuration in force",
     ),
     row(
-        Event::ConfigBroken,
+        Event::ConfigInvalid,
         1102,
         Level::ERROR,
         "configuration broken",
@@ -91,19 +96,29 @@
         "configuration accepted",
     ),
     row(
-        Event::PlatformLost,
+        Event::PlatformUnavailable,
         1201,
         Level::WARN,
         "platform does not answer",
     ),
     row(
-        Event::PlatformBack,
+        Event::PlatformRecovered,
         1202,
         Level::INFO,
         "platform answers again",
     ),
-    row(Event::Member, 1301, Level::INFO, "instance new or changed"),
-    row(Event::MemberSilent, 1302, Level::WARN, "instance silent"),
+    row(
+        Event::MembershipChanged,
+        1301,
+        Level::INFO,
+        "instance new or changed",
+    ),
+    row(
+        Event::InstanceUnresponsive,
+        1302,
+        Level::WARN,
+        "instance silent",
+    ),
     row(
         Event::UpstreamLeaving,
         1401,
@@ -111,26 +126,26 @@
         "upstream leaving",
     ),
     row(
-        Event::Ordered,
+        Event::VersionOrdered,
         1402,
         Level::INFO,
         "upstream ordered to serve a version",
     ),
-    row(Event::BillLate, 1501, Level::WARN, "bill late"),
+    row(Event::BillDelayed, 1501, Level::WARN, "bill late"),
     row(
-        Event::BillSingle,
+        Event::BillNotDurable,
         1502,
         Level::WARN,
         "answer ended with one copy of its bill",
     ),
     row(
-        Event::Excess,
+        Event::TokensExceeded,
         1503,
         Level::WARN,
         "upstream served more than asked for",
     ),
     row(
-        Event::BillDuplicate,
+        Event::DuplicateBill,
         1504,
         Level::WARN,
         "request billed before",
@@ -142,27 +157,32 @@
         "orphaned request billed",
     ),
     row(
-        Event::OrphanHeld,
+        Event::OrphanUnresolved,
         1506,
         Level::WARN,
         "orphaned request's tokens stay held",
     ),
     row(
-        Event::Released,
+        Event::TokensReleased,
         1507,
         Level::WARN,
         "stranded tokens released",
     ),
-    row(Event::ToppedUp, 1508, Level::INFO, "budget topped up"),
-    row(Event::Incomplete, 1601, Level::WARN, "answer broke off"),
+    row(Event::BudgetToppedUp, 1508, Level::INFO, "budget topped up"),
+    row(
+        Event::ResponseAborted,
+        1601,
+        Level::WARN,
+        "answer broke off",
+    ),
     row(
-        Event::Mixed,
+        Event::ResponseMismatch,
         1602,
         Level::ERROR,
         "upstream answered another request",
     ),
     row(
-        Event::ClaimLate,
+        Event::ClaimNotStored,
         1603,
         Level::WARN,
         "end of a claim not stored",
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -41,8 +41,8 @@
 
 /// Takes over who lives, who fell silent and who came back.
 fn settle_members(shared: &Arc<SharedState>, silent: &mut BTreeSet<String>) {
-    shared.bank.set_members(shared.candidates());
-    let live = shared.live().len();
+    shared.budgets.set_members(shared.home_candidates());
+    let live = shared.live_instances().len();
     shared
         .pool
         .lock()
@@ -53,10 +53,10 @@
     let quiet: BTreeSet<String> = quiet.into_iter().collect();
     let news: Vec<String> = quiet.difference(silent).cloned().collect();
     for id in &news {
-        shared.log(Event::MemberSilent, id);
+        shared.log(Event::InstanceUnresponsive, id);
     }
     if !news.is_empty() {
-        shared.bank.set_silent(news);
+        shared.budgets.report_unresponsive(news);
     }
     *silent = quiet;
 }
@@ -75,15 +75,15 @@
 
 fn message(shared: &SharedState, told: Told) -> GossipMsg {
     GossipMsg {
-        told,
-        revision: shared.revision(),
-        leaving: shared.pool.lock().expect("no panic inside").leaving(),
+        membership: told,
+        revision: shared.config_revision(),
+        leaving_upstreams: shared.pool.lock().expect("no panic inside").leaving(),
     }
 }
 
 /// Answers a partner.
-pub fn answer(shared: &Arc<SharedState>, msg: GossipMsg) -> GossipMsg {
-    let addr = msg.told.members.first().map(|m| m.peer_addr.clone());
+pub fn handle_message(shared: &Arc<SharedState>, msg: GossipMsg) -> GossipMsg {
+    let addr = msg.membership.members.first().map(|m| m.peer_addr.clone());
     take(shared, msg, &addr.unwrap_or_default());
     let now = shared.clock.now();
     let mut rng = StdRng::from_os_rng();
@@ -98,28 +98,28 @@
     let now = shared.clock.now();
     let news = {
         let mut members = shared.members.lock().expect("no panic inside");
-        members.hear(now, msg.told)
+        members.hear(now, msg.membership)
     };
     for member in &news {
         let detail = format!("{} {:?}", member.id, member.standing);
-        shared.log(Event::Member, detail);
+        shared.log(Event::MembershipChanged, detail);
     }
     if !news.is_empty() {
-        shared.bank.set_members(shared.candidates());
+        shared.budgets.set_members(shared.home_candidates());
     }
-    for id in &msg.leaving {
+    for id in &msg.leaving_upstreams {
         let known = shared.pool.lock().expect("no panic inside").set_leaving(id);
         if known {
             shared.log(Event::UpstreamLeaving, format!("{id}, by a peer"));
         }
     }
-    if msg.revision > shared.revision() {
-        config_sync::pull_from(Arc::clone(shared), addr.to_string());
+    if msg.revision > shared.config_revision() {
+        config_sync::spawn_pull(Arc::clone(shared), addr.to_string());
     }
 }
 
 /// Tells every living instance at once, for news that must not wait.
-pub async fn tell_all(shared: &Arc<SharedState>, standing: Option<Standing>) {
+pub async fn broadcast(shared: &Arc<SharedState>, standing: Option<Standing>) {
     let (me, live) = {
         let mut members = shared.members.lock().expect("no panic inside");
         if let Some(standing) = standing {
@@ -128,7 +128,7 @@
         (members.me().clone(), members.live(shared.clock.now()))
     };
     let mut talks = Vec::new();
-    for member in live.into_iter().filter(|m| m.id != shared.me).take(16) {
+    for member in live.into_iter().filter(|m| m.id != shared.own_id).take(16) {
         let talk = talk(
             Arc::clone(shared),
             member,
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -48,7 +48,7 @@
     pub async fn spawn(settings: Settings) -> Result<Instance> {
         let bound = peer_server::bind(settings.peer_listen()).await;
         let (server, peer_addr) = bound.map_err(|e| anyhow!("peer listener: {e}"))?;
-        let (bank, inbox) = budget_handle::open();
+        let (bank, inbox) = budget_handle::channel();
         let shared = Arc::new(share(settings, peer_addr, bank)?);
         budget_task::spawn(inbox, &shared);
         let peer = peer_server::serve(server, Arc::clone(&shared));
@@ -81,7 +81,7 @@
 
     /// Returns this incarnation.
     pub fn id(&self) -> &str {
-        &self.shared.me
+        &self.shared.own_id
     }
 
     /// Returns the address for callers.
@@ -111,9 +111,9 @@
         let shared = &self.shared;
         shared.log(
             Event::Stopping,
-            format!("{} under way", *shared.busy.borrow()),
+            format!("{} under way", *shared.in_flight.borrow()),
         );
-        gossip::tell_all(shared, Some(Standing::Leaving)).await;
+        gossip::broadcast(shared, Some(Standing::Leaving)).await;
         tokio::time::sleep(NOTICE).await;
         let limit = Duration::from_millis(shared.settings.drain_ms());
         let whole = tokio::select! {
@@ -121,14 +121,14 @@
             () = hurry => false,
         };
         if whole {
-            gossip::tell_all(shared, Some(Standing::Left)).await;
-            registry::delist(shared).await;
+            gossip::broadcast(shared, Some(Standing::Left)).await;
+            registry::remove_entry(shared).await;
             shared.log(Event::Stopped, "nothing cut off");
         } else {
-            let left = *shared.busy.borrow();
-            let clear = shared.bank.is_clear().await;
+            let left = *shared.in_flight.borrow();
+            let clear = shared.budgets.is_drained().await;
             shared.log(
-                Event::Cut,
+                Event::StopAborted,
                 format!("{left} cut off, budgets clear: {clear}"),
             );
         }
@@ -140,11 +140,11 @@
     }
 
     async fn drain(&self) {
-        let mut busy = self.shared.busy.subscribe();
+        let mut busy = self.shared.in_flight.subscribe();
         // The sender lives in `shared`, so waiting can't fail.
         let _ = busy.wait_for(|n| *n == 0).await;
-        self.shared.bank.leave();
-        while !self.shared.bank.is_clear().await {
+        self.shared.budgets.release_all();
+        while !self.shared.budgets.is_drained().await {
             tokio::time::sleep(DRAIN_LOOK).await;
         }
     }
@@ -168,22 +168,22 @@
         revision: 0,
     };
     Ok(SharedState {
-        me,
+        own_id: me,
         clock: Clock::start(),
         kv: kv::Client::open(&settings.platform),
         http: client().build()?,
         http_once: client().pool_max_idle_per_host(0).build()?,
-        bank,
+        budgets: bank,
         config: RwLock::new(None),
         pool: Mutex::new(Pool::default()),
-        admission: Mutex::new(WaitQueues::default()),
-        retry: Mutex::new(RetryBudget::default()),
+        wait_queues: Mutex::new(WaitQueues::default()),
+        retry_budget: Mutex::new(RetryBudget::default()),
         members: Mutex::new(Members::open(member)),
         peers: PeerClients::default(),
-        metrics: Metrics::open(),
+        metrics: Metrics::create(),
         journal: RequestJournal::default(),
-        attempts: Mutex::default(),
-        busy: watch::channel(0).0,
+        claim_attempts: Mutex::default(),
+        in_flight: watch::channel(0).0,
         claim_lease: tokio::sync::Mutex::new(None),
         settings,
     })
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -14,9 +14,11 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Step {
     /// When, in milliseconds since the instance's start.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub at_ms: u64,
     /// What happened.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
 }
 
 #[derive(Debug, Default)]
@@ -31,7 +33,7 @@
 
 impl RequestJournal {
     /// Adds a step to a request.
-    pub fn add(&self, at: u64, request: &str, what: impl Into<String>) {
+    pub fn record(&self, at_ms: u64, request: &str, description: impl Into<String>) {
         let mut inner = self.0.lock().expect("no panic inside");
         if !inner.steps.contains_key(request) {
             inner.order.push_back(request.to_string());
@@ -39,8 +41,8 @@
         }
         let steps = inner.steps.get_mut(request).expect("inserted above");
         if steps.len() < STEPS_MOST {
-            let what = what.into();
-            steps.push(Step { at, what });
+            let description = description.into();
+            steps.push(Step { at_ms, description });
         }
         if inner.order.len() > REQUESTS_MOST {
             if let Some(old) = inner.order.pop_front() {
@@ -50,7 +52,7 @@
     }
 
     /// Returns a request's steps.
-    pub fn get(&self, request: &str) -> Vec<Step> {
+    pub fn steps_of(&self, request: &str) -> Vec<Step> {
         let inner = self.0.lock().expect("no panic inside");
         inner.steps.get(request).cloned().unwrap_or_default()
     }
--- a/crates/entry/src/load_reports.rs
+++ b/crates/entry/src/load_reports.rs
@@ -27,14 +27,14 @@
         every.tick().await;
         round += 1;
         for (key, url) in due(&shared, round) {
-            tokio::spawn(ask(Arc::clone(&shared), key, url));
+            tokio::spawn(fetch_report(Arc::clone(&shared), key, url));
         }
-        crate::admission::wake(&shared);
+        crate::admission::admit_waiting(&shared);
     }
 }
 
 fn due(shared: &SharedState, round: u64) -> Vec<(Key, String)> {
-    let active = shared.active();
+    let active = shared.active_config();
     let wanted = active
         .map(|a| a.config.versions.clone())
         .unwrap_or_default();
@@ -60,7 +60,7 @@
 }
 
 /// Asks one upstream.
-pub async fn ask(shared: Arc<SharedState>, key: Key, url: String) {
+pub async fn fetch_report(shared: Arc<SharedState>, key: Key, url: String) {
     let sent = shared
         .http
         .get(format!("{url}/load"))
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -10,7 +10,8 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReserveMsg {
     /// The request.
-    pub req: ReserveRequest,
+    #[serde(rename = "req")]
+    pub request: ReserveRequest,
     /// How long the asker waits, in milliseconds.
     pub wait_ms: u64,
 }
@@ -23,7 +24,8 @@
     /// The hold.
     pub hold: u64,
     /// Where the entry will send the request.
-    pub at: AttemptRef,
+    #[serde(rename = "at")]
+    pub attempt: AttemptRef,
     /// Tokens more.
     pub tokens: u64,
     /// How long the asker waits, in milliseconds.
@@ -36,7 +38,8 @@
     /// The customer.
     pub account: String,
     /// The request's id.
-    pub request: String,
+    #[serde(rename = "request")]
+    pub request_id: String,
     /// The entry's incarnation.
     pub entry: String,
 }
@@ -58,9 +61,11 @@
     /// The customer.
     pub account: String,
     /// The settlement.
-    pub post: Settlement,
+    #[serde(rename = "post")]
+    pub settlement: Settlement,
     /// What may have been spent besides.
-    pub doubts: Vec<UnconfirmedUsage>,
+    #[serde(rename = "doubts")]
+    pub unconfirmed: Vec<UnconfirmedUsage>,
 }
 
 /// A copy of a settlement, to be kept until it is recorded.
@@ -69,7 +74,8 @@
     /// The customer.
     pub account: String,
     /// The settlement.
-    pub post: Settlement,
+    #[serde(rename = "post")]
+    pub settlement: Settlement,
 }
 
 /// A call for unspent tokens.
@@ -91,25 +97,29 @@
     /// The joint grant's key.
     pub key: String,
     /// Tokens opened after the step, cumulative.
-    pub upto: u64,
+    #[serde(rename = "upto")]
+    pub up_to: u64,
 }
 
 /// What two instances tell each other again and again.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GossipMsg {
     /// What the sender knows of instances, itself first.
-    pub told: Told,
+    #[serde(rename = "told")]
+    pub membership: Told,
     /// The revision of the sender's configuration.
     pub revision: u64,
     /// Upstreams that are leaving.
-    pub leaving: Vec<String>,
+    #[serde(rename = "leaving")]
+    pub leaving_upstreams: Vec<String>,
 }
 
 /// A call for a configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PullConfigMsg {
     /// Hashes of chunks that the asker has.
-    pub have: Vec<String>,
+    #[serde(rename = "have")]
+    pub chunk_hashes: Vec<String>,
 }
 
 /// A configuration, less the chunks that the asker has.
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -36,23 +36,23 @@
     /// Requests by their end.
     pub requests: Family<RequestLabels, Counter>,
     /// Requests that are under way.
-    pub inflight: Gauge,
+    pub in_flight: Gauge,
     /// Attempts at upstreams.
     pub attempts: Counter,
     /// Streams resumed after a cut.
     pub resumes: Counter,
     /// Tokens delivered to callers.
-    pub tokens: Counter,
+    pub delivered_tokens: Counter,
     /// Seconds from a request's arrival to its first token.
-    pub first_token: Histogram,
+    pub first_token_seconds: Histogram,
     /// Seconds that an end marker waited for its bill.
-    pub bill_wait: Histogram,
+    pub bill_wait_seconds: Histogram,
     /// Seconds that a reservation took.
-    pub reserve_wait: Histogram,
+    pub reserve_seconds: Histogram,
     /// Seconds from a change's acceptance to its being in force here.
-    pub config_lag: Histogram,
+    pub config_lag_seconds: Histogram,
     /// Seconds from a change's acceptance here to its being in force on every live instance.
-    pub config_spread: Histogram,
+    pub config_spread_seconds: Histogram,
     /// Messages to peers, by sort.
     pub peer_messages: Family<CallLabels, Counter>,
     /// Bytes of messages to and from peers.
@@ -63,20 +63,20 @@
 
 impl Metrics {
     /// Opens a registry with all metrics.
-    pub fn open() -> Metrics {
+    pub fn create() -> Metrics {
         let seconds = || Histogram::new(SECONDS);
         let metrics = Metrics {
             registry: Mutex::new(Registry::with_prefix("oriolehitch")),
             requests: Family::default(),
-            inflight: Gauge::default(),
+            in_flight: Gauge::default(),
             attempts: Counter::default(),
             resumes: Counter::default(),
-            tokens: Counter::default(),
-            first_token: seconds(),
-            bill_wait: seconds(),
-            reserve_wait: seconds(),
-            config_lag: seconds(),
-            config_spread: seconds(),
+            delivered_tokens: Counter::default(),
+            first_token_seconds: seconds(),
+            bill_wait_seconds: seconds(),
+            reserve_seconds: seconds(),
+            config_lag_seconds: seconds(),
+            config_spread_seconds: seconds(),
             peer_messages: Family::default(),
             peer_bytes: Counter::default(),
             platform_calls: Family::default(),
@@ -88,38 +88,38 @@
     fn register(&self) {
         let mut r = self.registry.lock().expect("no panic inside");
         r.register("requests", "Requests by their end", self.requests.clone());
-        r.register("inflight", "Requests under way", self.inflight.clone());
+        r.register("inflight", "Requests under way", self.in_flight.clone());
         r.register("attempts", "Attempts at upstreams", self.attempts.clone());
         r.register(
             "resumes",
             "Streams resumed after a cut",
             self.resumes.clone(),
         );
-        r.register("tokens", "Tokens delivered", self.tokens.clone());
+        r.register("tokens", "Tokens delivered", self.delivered_tokens.clone());
         r.register(
             "first_token_seconds",
             "Arrival to first token",
-            self.first_token.clone(),
+            self.first_token_seconds.clone(),
         );
         r.register(
             "bill_wait_seconds",
             "End marker's wait for its bill",
-            self.bill_wait.clone(),
+            self.bill_wait_seconds.clone(),
         );
         r.register(
             "reserve_seconds",
             "Time of a reservation",
-            self.reserve_wait.clone(),
+            self.reserve_seconds.clone(),
         );
         r.register(
             "config_lag_seconds",
             "Acceptance to in force here",
-            self.config_lag.clone(),
+            self.config_lag_seconds.clone(),
         );
         r.register(
             "config_spread_seconds",
             "Acceptance here to in force everywhere",
-            self.config_spread.clone(),
+            self.config_spread_seconds.clone(),
         );
         r.register(
             "peer_messages",
@@ -139,27 +139,27 @@
     }
 
     /// Counts a request's end.
-    pub fn ended(&self, code: &str) {
+    pub fn count_request(&self, code: &str) {
         let code = code.to_string();
         self.requests.get_or_create(&RequestLabels { code }).inc();
     }
 
     /// Counts a message to a peer.
-    pub fn message(&self, sort: &str, bytes: u64) {
+    pub fn count_peer_message(&self, sort: &str, bytes: u64) {
         let sort = sort.to_string();
         self.peer_messages.get_or_create(&CallLabels { sort }).inc();
         self.peer_bytes.inc_by(bytes);
     }
 
     /// Takes over the platform client's counts.
-    pub fn platform(&self, sort: &str, calls: u64) {
+    pub fn set_platform_calls(&self, sort: &str, calls: u64) {
         let sort = sort.to_string();
         let gauge = self.platform_calls.get_or_create(&CallLabels { sort });
         gauge.set(calls as f64);
     }
 
     /// Returns all metrics in the OpenMetrics text format.
-    pub fn text(&self) -> String {
+    pub fn encode_text(&self) -> String {
         let mut buf = String::new();
         let registry = self.registry.lock().expect("no panic inside");
         // Writing to a string fails only when a metric can't be written, which then is left out.
--- a/crates/entry/src/model_versions.rs
+++ b/crates/entry/src/model_versions.rs
@@ -34,7 +34,7 @@
         let mut every = tokio::time::interval(EVERY);
         loop {
             every.tick().await;
-            let Some(active) = shared.active() else {
+            let Some(active) = shared.active_config() else {
                 continue;
             };
             if let Some(order) = next(&shared, &active) {
@@ -46,10 +46,10 @@
 
 /// Returns the first order that this instance has to give.
 fn next(shared: &SharedState, active: &ActiveConfig) -> Option<Order> {
-    let candidates = shared.candidates();
+    let candidates = shared.home_candidates();
     let pool = shared.pool.lock().expect("no panic inside");
     for (key, up) in pool.all() {
-        let mine = issuer(&up.spec.id, &candidates) == Some(shared.me.as_str());
+        let mine = issuer(&up.spec.id, &candidates) == Some(shared.own_id.as_str());
         if up.spec.kind != Kind::Engine || up.leaving || !mine {
             continue;
         }
@@ -93,8 +93,8 @@
             "{} {} by revision {}",
             order.model, order.version, order.fence
         );
-        shared.log(Event::Ordered, detail);
+        shared.log(Event::VersionOrdered, detail);
     }
     // What it reports counts, not what it answered.
-    crate::load_reports::ask(Arc::clone(shared), order.key, order.url).await;
+    crate::load_reports::fetch_report(Arc::clone(shared), order.key, order.url).await;
 }
--- a/crates/entry/src/peer_clients.rs
+++ b/crates/entry/src/peer_clients.rs
@@ -16,7 +16,7 @@
 /// Longer than a home lets an entry wait for tokens.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Largest message either way, in bytes.
-pub(crate) const MESSAGE_LIMIT: u32 = 8 << 20;
+pub(crate) const MAX_MESSAGE_BYTES: u32 = 8 << 20;
 
 /// Clients of other instances, by address.
 #[derive(Default)]
@@ -33,8 +33,8 @@
         }
         let built = HttpClientBuilder::default()
             .request_timeout(CALL_TIMEOUT)
-            .max_request_size(MESSAGE_LIMIT)
-            .max_response_size(MESSAGE_LIMIT)
+            .max_request_size(MAX_MESSAGE_BYTES)
+            .max_response_size(MAX_MESSAGE_BYTES)
             .build(format!("http://{addr}"));
         let client = built.map_err(|e| e.to_string())?;
         clients.insert(addr.to_string(), client.clone());
@@ -42,7 +42,7 @@
     }
 
     /// Cuts the links to some addresses, for tests; replaces an earlier cut.
-    pub fn set_cut(&self, addrs: Vec<String>) {
+    pub fn set_blocked(&self, addrs: Vec<String>) {
         *self.cut.lock().expect("no panic inside") = addrs;
     }
 
@@ -75,7 +75,7 @@
         let called = client.request(name, params).await;
         let reply: Box<RawValue> = called.map_err(|e| e.to_string())?;
         let got = reply.get().len();
-        metrics.message(name, (sent + got) as u64);
+        metrics.count_peer_message(name, (sent + got) as u64);
         serde_json::from_str(reply.get()).map_err(|e| e.to_string())
     }
 }
--- a/crates/entry/src/peer_server.rs
+++ b/crates/entry/src/peer_server.rs
@@ -14,7 +14,7 @@
     method, DetachMsg, ExtendMsg, GossipMsg, OpenStepMsg, PullConfigMsg, RecallMsg, ReserveMsg,
     SettleMsg, StoreCopyMsg, VoidMsg,
 };
-use crate::peer_clients::MESSAGE_LIMIT;
+use crate::peer_clients::MAX_MESSAGE_BYTES;
 use crate::shared_state::SharedState;
 
 const CONNECTIONS: u32 = 4096;
@@ -28,8 +28,8 @@
     let config = ServerConfig::builder()
         .http_only()
         .max_connections(CONNECTIONS)
-        .max_request_body_size(MESSAGE_LIMIT)
-        .max_response_body_size(MESSAGE_LIMIT)
+        .max_request_body_size(MAX_MESSAGE_BYTES)
+        .max_response_body_size(MAX_MESSAGE_BYTES)
         .build();
     let built = ServerBuilder::new().set_config(config).build(addr).await;
     let server = built.map_err(|e| format!("{addr}: {e}"))?;
@@ -48,59 +48,59 @@
         &mut module,
         method::RESERVE,
         |cx, m: ReserveMsg| async move {
-            let reply = cx.bank.reserve(m.req, m.wait_ms).await;
+            let reply = cx.budgets.reserve(m.request, m.wait_ms).await;
             reply.unwrap_or(ReserveReply::OutOfReach { retry_ms: 1_000 })
         },
     );
     add(&mut module, method::EXTEND, |cx, m: ExtendMsg| async move {
-        let reply = cx.bank.extend(m).await;
+        let reply = cx.budgets.extend(m).await;
         reply.unwrap_or(ReserveReply::OutOfReach { retry_ms: 1_000 })
     });
     add(&mut module, method::VOID, |cx, m: VoidMsg| async move {
-        cx.bank.void(m);
+        cx.budgets.void(m);
         true
     });
     add(&mut module, method::DETACH, |cx, m: DetachMsg| async move {
         // Without an answer nobody may cancel: the home will, when no entry is left.
-        cx.bank.drop_out(m).await.unwrap_or(true)
+        cx.budgets.detach(m).await.unwrap_or(true)
     });
     add(&mut module, method::SETTLE, |cx, m: SettleMsg| async move {
-        let how: Option<Durability> = cx.bank.settle(m).await;
+        let how: Option<Durability> = cx.budgets.settle(m).await;
         how
     });
     add(
         &mut module,
         method::STORE_COPY,
         |cx, m: StoreCopyMsg| async move {
-            cx.bank.keep(m);
+            cx.budgets.store_copy(m);
             true
         },
     );
     add(&mut module, method::RECALL, |cx, m: RecallMsg| async move {
-        let sent: Option<u64> = cx.bank.recall(m).await;
+        let sent: Option<u64> = cx.budgets.recall(m).await;
         sent
     });
     add(
         &mut module,
         method::OPEN_STEP,
         |cx, m: OpenStepMsg| async move {
-            let opened: Option<u64> = cx.bank.open(m).await;
+            let opened: Option<u64> = cx.budgets.open_step(m).await;
             opened
         },
     );
     add(&mut module, method::GOSSIP, |cx, m: GossipMsg| async move {
-        crate::gossip::answer(&cx, m)
+        crate::gossip::handle_message(&cx, m)
     });
     add(
         &mut module,
         method::PULL_CONFIG,
-        |cx, m: PullConfigMsg| async move { crate::config_sync::answer(&cx, &m) },
+        |cx, m: PullConfigMsg| async move { crate::config_sync::handle_pull(&cx, &m) },
     );
     add(
         &mut module,
         method::ATTEMPT_STATUS,
         |cx, m: String| async move {
-            let attempts = cx.attempts.lock().expect("no panic inside");
+            let attempts = cx.claim_attempts.lock().expect("no panic inside");
             attempts.get(&m).copied().unwrap_or(AttemptStatus::Unknown)
         },
     );
--- a/crates/entry/src/pipeline/auth.rs
+++ b/crates/entry/src/pipeline/auth.rs
@@ -18,8 +18,8 @@
 /// # Errors
 ///
 /// Returns why the request can't go on: no configuration, a stop, an unknown key, a bad id.
-pub fn auth(shared: &Arc<SharedState>, req: &Req) -> Result<RequestContext, Error> {
-    let Some(active) = shared.active() else {
+pub fn authenticate(shared: &Arc<SharedState>, req: &Req) -> Result<RequestContext, Error> {
+    let Some(active) = shared.active_config() else {
         return Err(Error::new(Kind::NotConfigured, "no configuration yet"));
     };
     if !shared.is_ready() {
@@ -27,7 +27,9 @@
     }
     let header = req.header("authorization").unwrap_or_default();
     let key = header.strip_prefix("Bearer ").unwrap_or_default();
-    let customer = active.keys.get(&conf::customer::hash_key(key));
+    let customer = active
+        .customer_by_key_hash
+        .get(&conf::customer::hash_key(key));
     let unknown = || Error::new(Kind::UnknownKey, "the bearer key belongs to no customer");
     let customer = customer.ok_or_else(unknown)?;
     let policy = active.config.policy(customer).ok_or_else(unknown)?;
@@ -44,12 +46,12 @@
         customer: customer.clone(),
         policy,
         active: Arc::clone(&active),
-        began_us: shared.clock.now_us(),
+        arrived_us: shared.clock.now_us(),
         deadline: now + wait_ms.min(shared.settings.request_ms()),
         body: req.body.clone(),
         upstream: None,
-        run: String::new(),
-        keyed: req.headers.contains_key("idempotency-key"),
+        attempt_id: String::new(),
+        has_caller_id: req.headers.contains_key("idempotency-key"),
         tried: SmallVec::new(),
         attempts: 0,
         hold: None,
--- a/crates/entry/src/pipeline/chat.rs
+++ b/crates/entry/src/pipeline/chat.rs
@@ -11,7 +11,7 @@
 use super::chat_request::{self, ChatRequest};
 use super::context::{Hold, RequestContext};
 use super::settlement::{settle, Usage};
-use super::stream::{relay, AttemptEnd, CallerResponse};
+use super::stream::{relay_attempt, AttemptEnd, CallerResponse};
 use super::{auth, choose, reservation};
 use crate::budget_io;
 use crate::event::Event;
@@ -23,11 +23,11 @@
 const ATTEMPTS: u32 = 3;
 
 /// Answers a chat completion.
-pub async fn answer(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
-    let cx = auth::auth(shared, req)?;
-    let chat = chat_request::chat(&req.body, &cx.policy)?;
+pub async fn handle(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
+    let cx = auth::authenticate(shared, req)?;
+    let chat = chat_request::parse(&req.body, &cx.policy)?;
     let (tx, rx) = oneshot::channel();
-    let out = CallerResponse::open(tx, chat.stream);
+    let out = CallerResponse::new(tx, chat.stream);
     // A task of its own: the bill must be settled even when the caller leaves.
     tokio::spawn(run(cx, chat, out));
     let lost = |_| Error::new(Kind::Internal, "the request's task ended without an answer");
@@ -35,21 +35,25 @@
 }
 
 async fn run(mut cx: RequestContext, chat: ChatRequest, mut out: CallerResponse) {
-    let busy = cx.shared.begin();
-    cx.shared.retry.lock().expect("no panic inside").request();
+    let busy = cx.shared.track_in_flight();
+    cx.shared
+        .retry_budget
+        .lock()
+        .expect("no panic inside")
+        .request();
     let code = match attempts(&mut cx, &chat, &mut out).await {
         Ok(()) => {
             out.finish(&cx, &chat).await;
             "ok"
         }
         Err(error) => {
-            cx.step(format!("ends with {error}"));
+            cx.record_step(format!("ends with {error}"));
             let code = error.kind.answer().code;
             out.fail(error).await;
             code
         }
     };
-    cx.shared.metrics.ended(code);
+    cx.shared.metrics.count_request(code);
     drop(busy);
 }
 
@@ -60,33 +64,33 @@
     out: &mut CallerResponse,
 ) -> Result<(), Error> {
     let mut spent = Usage {
-        body: chat.hash,
+        body_hash: chat.body_hash,
         ..Usage::default()
     };
     loop {
         // Boxed, as all that is not relaying: a stream would keep their large states as it lasts.
         if let Err(error) = Box::pin(prepare(cx, chat, &spent)).await {
-            choose::done(cx, ENGINE, &chat.model, true);
+            choose::finish_attempt(cx, ENGINE, &chat.model, true);
             Box::pin(settle(cx, spent.clone())).await;
             return Err(blame(error, &spent));
         }
         cx.attempts += 1;
         cx.shared.metrics.attempts.inc();
         let joined = cx.hold.as_ref().is_some_and(|h| h.joined.is_some());
-        let end = relay(cx, chat, out, joined).await;
-        cx.step(format!("attempt {} ended: {end:?}", cx.attempts));
+        let end = relay_attempt(cx, chat, out, joined).await;
+        cx.record_step(format!("attempt {} ended: {end:?}", cx.attempts));
         let ok = matches!(
             end,
             AttemptEnd::Whole(_) | AttemptEnd::CallerLeft | AttemptEnd::Late | AttemptEnd::Gone
         );
         match Box::pin(after(cx, chat, out, end, &mut spent)).await {
             Next::Whole => {
-                choose::done(cx, ENGINE, &chat.model, ok);
+                choose::finish_attempt(cx, ENGINE, &chat.model, ok);
                 return Ok(());
             }
-            Next::Again => choose::done(cx, ENGINE, &chat.model, ok),
+            Next::Again => choose::finish_attempt(cx, ENGINE, &chat.model, ok),
             Next::Stop(error) => {
-                choose::done(cx, ENGINE, &chat.model, ok);
+                choose::finish_attempt(cx, ENGINE, &chat.model, ok);
                 return Err(error);
             }
         }
@@ -95,7 +99,7 @@
 
 /// An error after an attempt must not say that nothing ran.
 fn blame(error: Error, spent: &Usage) -> Error {
-    if spent.tokens > 0 || !spent.doubts.is_empty() {
+    if spent.tokens > 0 || !spent.unconfirmed.is_empty() {
         return error.ran(Ran::Unknown);
     }
     error
@@ -103,10 +107,10 @@
 
 /// Chooses an upstream and has its cost held back.
 async fn prepare(cx: &mut RequestContext, chat: &ChatRequest, spent: &Usage) -> Result<(), Error> {
-    choose::choose(cx, ENGINE, &chat.model, chat.prefix).await?;
+    choose::choose(cx, ENGINE, &chat.model, chat.prefix_hash).await?;
     if let Some(hold) = &cx.hold {
         // The hold still stands, less what the earlier attempts spent or may have spent.
-        let doubted: u64 = spent.doubts.iter().map(|d| d.tokens).sum();
+        let doubted: u64 = spent.unconfirmed.iter().map(|d| d.tokens).sum();
         let wanted = spent.tokens + doubted + cost(chat);
         let tokens = wanted.saturating_sub(hold.tokens);
         return reservation::extend(cx, tokens).await;
@@ -114,14 +118,14 @@
     reservation::reserve(cx, chat).await?;
     let joined = cx.hold.as_ref().and_then(|h| h.joined.clone());
     if let Some(at) = joined {
-        choose::done(cx, ENGINE, &chat.model, true);
-        choose::join(cx, &at)?;
+        choose::finish_attempt(cx, ENGINE, &chat.model, true);
+        choose::join_attempt(cx, &at)?;
     }
     Ok(())
 }
 
 fn cost(chat: &ChatRequest) -> u64 {
-    chat.prompt_bound + chat.max_tokens
+    chat.max_prompt_tokens + chat.max_tokens
 }
 
 enum Next {
@@ -141,7 +145,7 @@
     let hold = cx.hold.clone();
     let finished = hold.as_ref().is_some_and(|h| h.billed.is_some());
     let shared_run =
-        cx.keyed && !matches!(end, AttemptEnd::Whole(_)) && !finished && others(cx).await;
+        cx.has_caller_id && !matches!(end, AttemptEnd::Whole(_)) && !finished && others(cx).await;
     match end {
         AttemptEnd::Whole(tokens) => {
             spent.tokens += tokens;
@@ -166,7 +170,7 @@
             Next::Stop(Error::new(Kind::Incomplete, "the caller left"))
         }
         AttemptEnd::Overrun => {
-            cx.shared.log(Event::Excess, &cx.id);
+            cx.shared.log(Event::TokensExceeded, &cx.id);
             stop_run(cx, chat, out, spent).await;
             spent.billed = true;
             settle(cx, spent.clone()).await;
@@ -196,7 +200,7 @@
         )),
         AttemptEnd::Gone | AttemptEnd::Broken(_) => {
             stop_run(cx, chat, out, spent).await;
-            if out.at == 0 && may_retry(cx) {
+            if out.position == 0 && may_retry(cx) {
                 if let Some(hold) = &mut cx.hold {
                     // What it had joined is cancelled: the next attempt is its own.
                     hold.joined = None;
@@ -204,16 +208,21 @@
                 return Next::Again;
             }
             settle(cx, spent.clone()).await;
-            cx.shared.log(Event::Incomplete, &cx.id);
-            let message = format!("the answer broke off after {} tokens", out.at);
+            cx.shared.log(Event::ResponseAborted, &cx.id);
+            let message = format!("the answer broke off after {} tokens", out.position);
             Next::Stop(Error::new(Kind::Incomplete, message))
         }
     }
 }
 
 fn may_retry(cx: &RequestContext) -> bool {
-    let left = cx.attempts < ATTEMPTS && cx.left_ms() > 0;
-    left && cx.shared.retry.lock().expect("no panic inside").take()
+    let left = cx.attempts < ATTEMPTS && cx.remaining_ms() > 0;
+    left && cx
+        .shared
+        .retry_budget
+        .lock()
+        .expect("no panic inside")
+        .take()
 }
 
 /// Cancels the current attempt and adds what it spent, or may have spent.
@@ -223,13 +232,13 @@
     out: &CallerResponse,
     spent: &mut Usage,
 ) {
-    let at = cx.run_at();
-    match budget_io::probe(&cx.shared, &at).await {
+    let at = cx.attempt_ref();
+    match budget_io::cancel_attempt(&cx.shared, &at).await {
         Some(tokens) => spent.tokens += tokens,
         None => {
-            let paid = out.at;
+            let paid = out.position;
             spent.tokens += paid;
-            spent.doubts.push(UnconfirmedUsage {
+            spent.unconfirmed.push(UnconfirmedUsage {
                 attempt: at,
                 tokens: cost(chat) - paid,
                 settled: paid,
@@ -247,10 +256,10 @@
     let msg = DetachMsg {
         account: cx.customer.clone(),
         hold: number,
-        entry: shared.me.clone(),
+        entry: shared.own_id.clone(),
     };
-    if holder == shared.me {
-        return shared.bank.drop_out(msg).await.unwrap_or(true);
+    if holder == shared.own_id {
+        return shared.budgets.detach(msg).await.unwrap_or(true);
     }
     let Some(addr) = shared.peer_addr(&holder) else {
         return true;
--- a/crates/entry/src/pipeline/chat_request.rs
+++ b/crates/entry/src/pipeline/chat_request.rs
@@ -20,17 +20,17 @@
     /// The most tokens of the answer.
     pub max_tokens: u64,
     /// The most tokens that the prompt can be: no token is shorter than a byte.
-    pub prompt_bound: u64,
+    pub max_prompt_tokens: u64,
     /// Whether the answer is streamed.
     pub stream: bool,
     /// Whether a streamed answer ends with its usage.
-    pub usage: bool,
+    pub include_usage: bool,
     /// Hash of the prompt's prefix, where the prompt is long enough for a cache to matter.
-    pub prefix: Option<u64>,
+    pub prefix_hash: Option<u64>,
     /// Hash of the whole request.
-    pub hash: u64,
+    pub body_hash: u64,
     /// The body for the engine.
-    pub body: Value,
+    pub engine_body: Value,
 }
 
 /// Reads a chat completion.
@@ -38,7 +38,7 @@
 /// # Errors
 ///
 /// Returns `BadRequest` with the field at fault, or `NotAllowed`.
-pub fn chat(bytes: &[u8], policy: &Policy) -> Result<ChatRequest, Error> {
+pub fn parse(bytes: &[u8], policy: &Policy) -> Result<ChatRequest, Error> {
     let bad = |m: String| Error::new(Kind::BadRequest, m);
     let mut body: Value =
         serde_json::from_slice(bytes).map_err(|e| bad(format!("the body is not JSON: {e}")))?;
@@ -50,10 +50,10 @@
         let message = format!("model {model:?} is not among this customer's");
         return Err(Error::new(Kind::NotAllowed, message));
     }
-    let (prompt_bound, prefix) = messages(&body)?;
+    let (max_prompt_tokens, prefix) = messages(&body)?;
     let max_tokens = max_tokens(&body, policy)?;
     let stream = flag(&body, "stream")?;
-    let usage = match &body["stream_options"] {
+    let include_usage = match &body["stream_options"] {
         Value::Null => false,
         options => flag(options, "include_usage")?,
     };
@@ -66,12 +66,12 @@
     Ok(ChatRequest {
         model,
         max_tokens,
-        prompt_bound,
+        max_prompt_tokens,
         stream,
-        usage,
-        prefix: Some(prefix).filter(|_| prompt_bound >= PREFIX_WORTH),
-        hash: xxh3_64(bytes),
-        body,
+        include_usage,
+        prefix_hash: Some(prefix).filter(|_| max_prompt_tokens >= PREFIX_WORTH),
+        body_hash: xxh3_64(bytes),
+        engine_body: body,
     })
 }
 
--- a/crates/entry/src/pipeline/choose.rs
+++ b/crates/entry/src/pipeline/choose.rs
@@ -52,8 +52,8 @@
     pool.get_mut(choice.key).begin();
     drop(pool);
     cx.tried.push(choice.key);
-    cx.name_run();
-    cx.step(format!("chose {} ({:?})", choice.id, choice.why));
+    cx.new_attempt_id();
+    cx.record_step(format!("chose {} ({:?})", choice.id, choice.why));
     cx.upstream = Some(choice);
     Ok(())
 }
@@ -68,7 +68,7 @@
 /// # Errors
 ///
 /// Returns `OutcomeUnknown` when this instance does not know the upstream.
-pub fn join(cx: &mut RequestContext, at: &AttemptRef) -> Result<(), Error> {
+pub fn join_attempt(cx: &mut RequestContext, at: &AttemptRef) -> Result<(), Error> {
     let mut pool = cx.shared.pool.lock().expect("no panic inside");
     let key = pool.find(&at.upstream).ok_or_else(|| {
         let message = format!("it runs at {}, which is not listed", at.upstream);
@@ -83,13 +83,13 @@
         why: Why::Joined,
     };
     drop(pool);
-    cx.run = at.id.clone();
+    cx.attempt_id = at.id.clone();
     cx.upstream = Some(choice);
     Ok(())
 }
 
 /// Counts the end of an attempt at the chosen upstream.
-pub fn done(cx: &mut RequestContext, kind: upstream::Kind, serves: &str, ok: bool) {
+pub fn finish_attempt(cx: &mut RequestContext, kind: upstream::Kind, serves: &str, ok: bool) {
     let Some(choice) = cx.upstream.take() else {
         return;
     };
@@ -98,5 +98,5 @@
         let mut pool = cx.shared.pool.lock().expect("no panic inside");
         pool.get_mut(choice.key).end(now, ok, random());
     }
-    admission::finished(&cx.shared, kind, serves);
+    admission::record_finished(&cx.shared, kind, serves);
 }
--- a/crates/entry/src/pipeline/claims.rs
+++ b/crates/entry/src/pipeline/claims.rs
@@ -47,20 +47,20 @@
 /// # Errors
 ///
 /// Returns why it must not run: a bad or used id, another holder, or the platform being out.
-pub async fn claim(cx: &RequestContext, req: &Req) -> Result<ClaimOutcome, Error> {
+pub async fn acquire(cx: &RequestContext, req: &Req) -> Result<ClaimOutcome, Error> {
     check_id(cx)?;
     let shared = &cx.shared;
     let mine = Claim {
         attempt: Uuid::new_v4().to_string(),
-        holder: shared.me.clone(),
+        holder: shared.own_id.clone(),
         request_hash: claim::request_hash(&req.method, &req.path, &req.body),
         state: State::Claimed,
     };
-    set_word(shared, &mine.attempt, AttemptStatus::Running);
+    set_status(shared, &mine.attempt, AttemptStatus::Running);
     let outcome = contend(cx, &mine).await;
     if !matches!(outcome, Ok(ClaimOutcome::Run(_))) {
         // The write may still land. Whoever asks about it is told that it never runs.
-        set_word(shared, &mine.attempt, AttemptStatus::NotRun);
+        set_status(shared, &mine.attempt, AttemptStatus::NotRun);
     }
     outcome
 }
@@ -69,7 +69,7 @@
     let retention = cx.shared.settings.claim_retention_ms();
     let wanted = "this request may not be repeated: an Idempotency-Key that is a UUID of version 7 is wanted";
     match claim::check_id(&cx.id, wall_ms(), retention) {
-        Ok(()) if cx.keyed => Ok(()),
+        Ok(()) if cx.has_caller_id => Ok(()),
         Ok(()) | Err(IdError::NoTimestamp) => Err(Error::new(Kind::IdRequired, wanted)),
         Err(IdError::TooOld) => Err(Error::new(
             Kind::IdTooOld,
@@ -136,7 +136,7 @@
     match claim::resolve(&theirs, mine, None) {
         Resolution::AskHolder => {
             let word = ask_holder(&cx.shared, &theirs).await;
-            cx.step(format!("claimed by {}, which says {word:?}", theirs.holder));
+            cx.record_step(format!("claimed by {}, which says {word:?}", theirs.holder));
             Ok(claim::resolve(&theirs, mine, Some(word)))
         }
         next => Ok(next),
@@ -160,8 +160,8 @@
 }
 
 async fn ask_holder(shared: &SharedState, theirs: &Claim) -> AttemptStatus {
-    if theirs.holder == shared.me {
-        let attempts = shared.attempts.lock().expect("no panic inside");
+    if theirs.holder == shared.own_id {
+        let attempts = shared.claim_attempts.lock().expect("no panic inside");
         return attempts
             .get(&theirs.attempt)
             .copied()
@@ -180,8 +180,8 @@
 }
 
 /// Remembers how far an attempt is.
-pub fn set_word(shared: &SharedState, attempt: &str, word: AttemptStatus) {
-    let mut attempts = shared.attempts.lock().expect("no panic inside");
+pub fn set_status(shared: &SharedState, attempt: &str, word: AttemptStatus) {
+    let mut attempts = shared.claim_attempts.lock().expect("no panic inside");
     attempts.insert(attempt.to_string(), word);
 }
 
@@ -203,13 +203,13 @@
 }
 
 /// Stores the end of a claimed request; goes on in the background when the platform is out.
-pub async fn end(shared: &Arc<SharedState>, held: OwnedClaim, state: State) {
+pub async fn finish(shared: &Arc<SharedState>, held: OwnedClaim, state: State) {
     let word = match state {
         State::NotRun => AttemptStatus::NotRun,
         _ => AttemptStatus::Unknown,
     };
     let cx = Arc::clone(shared);
-    let busy = shared.begin();
+    let busy = shared.track_in_flight();
     let stored = tokio::spawn(async move {
         store(&cx, held, state, word).await;
         drop(busy);
@@ -221,7 +221,7 @@
 async fn store(shared: &SharedState, mut held: OwnedClaim, state: State, word: AttemptStatus) {
     let attempt = held.claim.attempt.clone();
     if word == AttemptStatus::NotRun {
-        set_word(shared, &attempt, word);
+        set_status(shared, &attempt, word);
     }
     held.claim.state = state;
     let text = serde_json::to_vec(&held.claim).expect("a claim is JSON");
@@ -240,13 +240,13 @@
             Err(_) => {}
         }
         if !late {
-            shared.log(Event::ClaimLate, &held.key);
+            shared.log(Event::ClaimNotStored, &held.key);
             late = true;
         }
         tokio::time::sleep(STORE_EVERY).await;
     }
     shared
-        .attempts
+        .claim_attempts
         .lock()
         .expect("no panic inside")
         .remove(&attempt);
--- a/crates/entry/src/pipeline/context.rs
+++ b/crates/entry/src/pipeline/context.rs
@@ -38,9 +38,9 @@
     /// The configuration that the request began with.
     pub active: Arc<ActiveConfig>,
     /// When the request came, in microseconds.
-    pub began_us: u64,
+    pub arrived_us: u64,
     /// Whether the caller chose the id, and so may come back for the answer.
-    pub keyed: bool,
+    pub has_caller_id: bool,
     /// When its caller's time is over, in milliseconds.
     pub deadline: u64,
     /// The body as it came.
@@ -48,7 +48,7 @@
     /// The chosen upstream.
     pub upstream: Option<Choice>,
     /// The name of the current attempt at the upstream.
-    pub run: String,
+    pub attempt_id: String,
     /// Upstreams that were tried.
     pub tried: SmallVec<[Key; 4]>,
     /// Attempts so far.
@@ -59,29 +59,29 @@
 
 impl RequestContext {
     /// Adds a step to the request's journal.
-    pub fn step(&self, what: impl Into<String>) {
-        self.shared.step(&self.id, what);
+    pub fn record_step(&self, what: impl Into<String>) {
+        self.shared.record_step(&self.id, what);
     }
 
     /// Names the next run at an upstream, unlike any before.
     ///
     /// A late part of another run is told apart by it. A home that was given up, and later asks the
     /// upstream what its reservation spent, must not find the run that another home holds.
-    pub fn name_run(&mut self) {
-        self.run = format!("{}~{:08x}", self.id, rand::random::<u32>());
+    pub fn new_attempt_id(&mut self) {
+        self.attempt_id = format!("{}~{:08x}", self.id, rand::random::<u32>());
     }
 
     /// Returns where the current attempt runs.
-    pub fn run_at(&self) -> AttemptRef {
+    pub fn attempt_ref(&self) -> AttemptRef {
         let upstream = self.upstream.as_ref().map(|u| u.id.clone());
         AttemptRef {
             upstream: upstream.unwrap_or_default(),
-            id: self.run.clone(),
+            id: self.attempt_id.clone(),
         }
     }
 
     /// Returns the milliseconds until the deadline.
-    pub fn left_ms(&self) -> u64 {
+    pub fn remaining_ms(&self) -> u64 {
         self.deadline.saturating_sub(self.shared.clock.now())
     }
 }
--- a/crates/entry/src/pipeline/reservation.rs
+++ b/crates/entry/src/pipeline/reservation.rs
@@ -30,7 +30,7 @@
 /// later, `IdReused` for an id with another body.
 pub async fn reserve(cx: &mut RequestContext, chat: &ChatRequest) -> Result<(), Error> {
     let began = cx.shared.clock.now_us();
-    let bound = chat.prompt_bound + chat.max_tokens;
+    let bound = chat.max_prompt_tokens + chat.max_tokens;
     let mut reply = ask_homes(cx, chat, bound).await?;
     let refused = |r: &ReserveReply| {
         matches!(
@@ -41,12 +41,12 @@
     if refused(&reply) {
         // The bound from bytes is several times the prompt: ask what it really is.
         if let Some(exact) = tokenize(cx, chat).await {
-            cx.step(format!("bound {bound} does not fit, exact is {exact}"));
+            cx.record_step(format!("bound {bound} does not fit, exact is {exact}"));
             reply = ask_homes(cx, chat, exact + chat.max_tokens).await?;
         }
     }
     let took = cx.shared.clock.now_us() - began;
-    cx.shared.metrics.reserve_wait.observe(took as f64 / 1e6);
+    cx.shared.metrics.reserve_seconds.observe(took as f64 / 1e6);
     judge(cx, reply)
 }
 
@@ -66,7 +66,7 @@
             format!("the budget has {left} tokens left, fewer than this request can cost"),
         )),
         ReserveReply::OutOfReach { retry_ms } => {
-            cx.step("budget out of reach");
+            cx.record_step("budget out of reach");
             let message = "the budget's tokens are held elsewhere or reserved";
             let secs = retry_ms.div_ceil(1000) as u32;
             Err(Error::new(Kind::BudgetOutOfReach, message).retry_after(secs))
@@ -81,22 +81,22 @@
     tokens: u64,
 ) -> Result<ReserveReply, Error> {
     let mut msg = ReserveMsg {
-        req: ReserveRequest {
+        request: ReserveRequest {
             account: cx.customer.clone(),
             request_id: cx.id.clone(),
-            body_hash: chat.hash,
-            entry: cx.shared.me.clone(),
+            body_hash: chat.body_hash,
+            entry: cx.shared.own_id.clone(),
             attempt: Default::default(),
             tokens,
             weight: cx.policy.weight,
         },
         wait_ms: WAIT_MS,
     };
-    for home in homes(&cx.shared, &cx.customer) {
-        cx.name_run();
-        msg.req.attempt = cx.run_at();
+    for home in home_order(&cx.shared, &cx.customer) {
+        cx.new_attempt_id();
+        msg.request.attempt = cx.attempt_ref();
         let Some(reply) = ask_home(&cx.shared, &home, &msg).await else {
-            cx.step(format!("home {home} does not answer"));
+            cx.record_step(format!("home {home} does not answer"));
             give_up(cx, &home);
             continue;
         };
@@ -110,7 +110,7 @@
 fn note(cx: &mut RequestContext, reply: &ReserveReply, tokens: u64) {
     match reply {
         ReserveReply::Held { holder, hold } => {
-            cx.step(format!("holds {tokens} tokens at {holder}, number {hold}"));
+            cx.record_step(format!("holds {tokens} tokens at {holder}, number {hold}"));
             cx.hold = Some(Hold {
                 holder: holder.clone(),
                 number: *hold,
@@ -126,7 +126,7 @@
             billed,
         } => {
             let upstream = &at.upstream;
-            cx.step(format!(
+            cx.record_step(format!(
                 "known at {holder}, runs at {upstream}, billed {billed:?}"
             ));
             cx.hold = Some(Hold {
@@ -142,8 +142,8 @@
 }
 
 /// Returns the instances to ask for a budget: the home, the own zone's standby, the others.
-pub fn homes(shared: &SharedState, account: &str) -> Vec<String> {
-    let candidates = shared.candidates();
+pub fn home_order(shared: &SharedState, account: &str) -> Vec<String> {
+    let candidates = shared.home_candidates();
     let shard = placement::shard_of(account, shared.settings.shards());
     let mut order = placement::home_and_standbys(shard, &candidates);
     if order.len() > 1 {
@@ -153,8 +153,11 @@
 }
 
 async fn ask_home(shared: &SharedState, home: &str, msg: &ReserveMsg) -> Option<ReserveReply> {
-    if home == shared.me {
-        return shared.bank.reserve(msg.req.clone(), msg.wait_ms).await;
+    if home == shared.own_id {
+        return shared
+            .budgets
+            .reserve(msg.request.clone(), msg.wait_ms)
+            .await;
     }
     let addr = shared.peer_addr(home)?;
     shared
@@ -170,8 +173,8 @@
     let home = home.to_string();
     let msg = VoidMsg {
         account: cx.customer.clone(),
-        request: cx.id.clone(),
-        entry: shared.me.clone(),
+        request_id: cx.id.clone(),
+        entry: shared.own_id.clone(),
     };
     tokio::spawn(async move {
         for _ in 0..VOID_TRIES {
@@ -200,13 +203,13 @@
     let msg = ExtendMsg {
         account: cx.customer.clone(),
         hold: hold.number,
-        at: cx.run_at(),
+        attempt: cx.attempt_ref(),
         tokens,
         wait_ms: WAIT_MS,
     };
     let shared = &cx.shared;
-    let reply = if hold.holder == shared.me {
-        shared.bank.extend(msg).await
+    let reply = if hold.holder == shared.own_id {
+        shared.budgets.extend(msg).await
     } else {
         let addr = shared.peer_addr(&hold.holder).ok_or_else(gone)?;
         let called = shared
@@ -228,7 +231,7 @@
 /// Asks an engine how long the prompt is.
 async fn tokenize(cx: &RequestContext, chat: &ChatRequest) -> Option<u64> {
     let url = format!("{}/tokenize", cx.upstream.as_ref()?.url);
-    let sent = cx.shared.http.post(url).json(&chat.body);
+    let sent = cx.shared.http.post(url).json(&chat.engine_body);
     let res = sent.timeout(TOKENIZE_TIMEOUT).send().await.ok()?;
     let value: Value = res.json().await.ok()?;
     value["tokens"].as_u64()
--- a/crates/entry/src/pipeline/service_call.rs
+++ b/crates/entry/src/pipeline/service_call.rs
@@ -13,7 +13,7 @@
 
 use super::claims::{self, ClaimOutcome, OwnedClaim};
 use super::context::RequestContext;
-use super::stream::headers;
+use super::stream::add_headers;
 use super::{auth, choose};
 use crate::shared_state::SharedState;
 
@@ -41,8 +41,8 @@
 }
 
 /// Answers a call of a plain service.
-pub async fn answer(shared: &Arc<SharedState>, req: Req) -> Result<Res, Error> {
-    let cx = auth::auth(shared, &req)?;
+pub async fn handle(shared: &Arc<SharedState>, req: Req) -> Result<Res, Error> {
+    let cx = auth::authenticate(shared, &req)?;
     let segments = req.segments();
     let [_, _, service, ..] = segments.as_slice() else {
         return Err(Error::new(Kind::NotFound, "a service's name is wanted"));
@@ -62,7 +62,7 @@
 }
 
 async fn run(mut cx: RequestContext, req: Req, service: String) -> Result<Res, Error> {
-    let busy = cx.shared.begin();
+    let busy = cx.shared.track_in_flight();
     let once = cx.policy.not_repeatable.contains(&service);
     let end = if once {
         run_once(&mut cx, &req, &service).await
@@ -73,18 +73,18 @@
         Ok(_) => "ok",
         Err(error) => error.kind.answer().code,
     };
-    cx.step(format!("ends with {code}"));
-    cx.shared.metrics.ended(code);
+    cx.record_step(format!("ends with {code}"));
+    cx.shared.metrics.count_request(code);
     drop(busy);
     let reply = end?;
-    Ok(headers(
+    Ok(add_headers(
         &cx,
         Res::new(reply.status, &reply.media, reply.body),
     ))
 }
 
 async fn run_once(cx: &mut RequestContext, req: &Req, service: &str) -> Result<Reply, Error> {
-    let held = match claims::claim(cx, req).await? {
+    let held = match claims::acquire(cx, req).await? {
         ClaimOutcome::Run(held) => held,
         ClaimOutcome::Replay(answer) => return stored(answer),
     };
@@ -92,7 +92,7 @@
         let end = match choose::choose(cx, SERVICE, service, None).await {
             Ok(()) => attempt(cx, req, service, true).await,
             Err(error) => {
-                claims::end(&cx.shared, held, State::NotRun).await;
+                claims::finish(&cx.shared, held, State::NotRun).await;
                 return Err(error);
             }
         };
@@ -104,11 +104,11 @@
             // Nothing ran, so another upstream is no repetition.
             End::NotRun(_) if cx.attempts < ATTEMPTS => {}
             End::NotRun(why) => {
-                claims::end(&cx.shared, held, State::NotRun).await;
+                claims::finish(&cx.shared, held, State::NotRun).await;
                 return Err(Error::new(Kind::NoUpstream, why));
             }
             End::Unknown(why) => {
-                claims::end(&cx.shared, held, State::Unknown).await;
+                claims::finish(&cx.shared, held, State::Unknown).await;
                 let message = format!("the service did not answer, and is not asked again: {why}");
                 return Err(Error::new(Kind::OutcomeUnknown, message));
             }
@@ -117,7 +117,11 @@
 }
 
 async fn run_repeatable(cx: &mut RequestContext, req: &Req, service: &str) -> Result<Reply, Error> {
-    cx.shared.retry.lock().expect("no panic inside").request();
+    cx.shared
+        .retry_budget
+        .lock()
+        .expect("no panic inside")
+        .request();
     let mut ran = Ran::No;
     loop {
         choose::choose(cx, SERVICE, service, None)
@@ -131,9 +135,16 @@
                 (Kind::UpstreamError, why)
             }
         };
-        let again = cx.attempts < ATTEMPTS && cx.left_ms() > 0;
-        if !again || !cx.shared.retry.lock().expect("no panic inside").take() {
-            let kind = if cx.left_ms() == 0 {
+        let again = cx.attempts < ATTEMPTS && cx.remaining_ms() > 0;
+        if !again
+            || !cx
+                .shared
+                .retry_budget
+                .lock()
+                .expect("no panic inside")
+                .take()
+        {
+            let kind = if cx.remaining_ms() == 0 {
                 Kind::DeadlinePassed
             } else {
                 kind
@@ -153,8 +164,8 @@
         End::NotRun(why) => format!("did not run: {why}"),
         End::Unknown(why) => format!("outcome unknown: {why}"),
     };
-    cx.step(format!("attempt {}: {what}", cx.attempts));
-    choose::done(cx, SERVICE, service, ok);
+    cx.record_step(format!("attempt {}: {what}", cx.attempts));
+    choose::finish_attempt(cx, SERVICE, service, ok);
     end
 }
 
@@ -181,7 +192,7 @@
         .request(web::method(&req.method), url)
         .header("x-request-id", &cx.id)
         .header("x-customer", &cx.customer)
-        .timeout(Duration::from_millis(cx.left_ms().max(1)))
+        .timeout(Duration::from_millis(cx.remaining_ms().max(1)))
         .body(req.body.clone());
     for name in FORWARDED {
         if let Some(value) = req.header(name) {
@@ -219,7 +230,7 @@
         media: reply.media.clone(),
         body: fits.then(|| BASE64_STANDARD.encode(&reply.body)),
     };
-    claims::end(&cx.shared, held, State::Done(answer)).await;
+    claims::finish(&cx.shared, held, State::Done(answer)).await;
 }
 
 fn stored(answer: StoredResponse) -> Result<Reply, Error> {
--- a/crates/entry/src/pipeline/settlement.rs
+++ b/crates/entry/src/pipeline/settlement.rs
@@ -7,7 +7,7 @@
 use tokio::time::{timeout_at, Instant};
 
 use super::context::{Hold, RequestContext};
-use super::reservation::homes;
+use super::reservation::home_order;
 use crate::clock::wall_ms;
 use crate::event::Event;
 use crate::messages::{method, SettleMsg};
@@ -28,9 +28,9 @@
     /// Whether the caller is billed.
     pub billed: bool,
     /// Hash of the request's body.
-    pub body: u64,
+    pub body_hash: u64,
     /// What upstreams that can't be asked may have served besides.
-    pub doubts: Vec<UnconfirmedUsage>,
+    pub unconfirmed: Vec<UnconfirmedUsage>,
 }
 
 /// Settles the request's hold and waits until its bill is durable.
@@ -47,9 +47,9 @@
     let shared = cx.shared.clone();
     let began = shared.clock.now_us();
     let msg = message(cx, &hold, spent);
-    cx.step(format!("settles {} tokens", msg.post.tokens));
+    cx.record_step(format!("settles {} tokens", msg.settlement.tokens));
     let id = cx.id.clone();
-    let busy = shared.begin();
+    let busy = shared.track_in_flight();
     let carried = tokio::spawn(async move {
         let how = carry(&shared, &hold, msg).await;
         drop(busy);
@@ -57,32 +57,32 @@
     });
     let shared = &cx.shared;
     match timeout_at(Instant::now() + WAIT, carried).await {
-        Ok(how) => cx.step(format!("settled: {how:?}")),
-        Err(_) => shared.log(Event::BillSingle, id),
+        Ok(how) => cx.record_step(format!("settled: {how:?}")),
+        Err(_) => shared.log(Event::BillNotDurable, id),
     }
     let took = shared.clock.now_us() - began;
-    shared.metrics.bill_wait.observe(took as f64 / 1e6);
+    shared.metrics.bill_wait_seconds.observe(took as f64 / 1e6);
 }
 
 fn message(cx: &RequestContext, hold: &Hold, spent: Usage) -> SettleMsg {
     if spent.tokens > hold.tokens {
         let extra = spent.tokens - hold.tokens;
         cx.shared
-            .log(Event::Excess, format!("{}: {extra} tokens", cx.id));
+            .log(Event::TokensExceeded, format!("{}: {extra} tokens", cx.id));
     }
     SettleMsg {
         account: cx.customer.clone(),
-        post: Settlement {
+        settlement: Settlement {
             holder: hold.holder.clone(),
             hold: hold.number,
             request_id: cx.id.clone(),
             tokens: spent.tokens.min(hold.tokens),
             billed: spent.billed,
-            body_hash: spent.body,
-            attempt: cx.run_at(),
+            body_hash: spent.body_hash,
+            attempt: cx.attempt_ref(),
             at_ms: wall_ms(),
         },
-        doubts: spent.doubts,
+        unconfirmed: spent.unconfirmed,
     }
 }
 
@@ -95,11 +95,11 @@
         }
         round += 1;
         if round == HOME_ROUNDS {
-            shared.log(Event::BillLate, &msg.post.request_id);
+            shared.log(Event::BillDelayed, &msg.settlement.request_id);
         }
         if round >= HOME_ROUNDS {
             // Posting is idempotent by holder and number, so the home may post it as well.
-            for home in homes(shared, &msg.account) {
+            for home in home_order(shared, &msg.account) {
                 if let Some(how) = send(shared, &home, &msg).await {
                     return how;
                 }
@@ -110,8 +110,8 @@
 }
 
 async fn send(shared: &SharedState, to: &str, msg: &SettleMsg) -> Option<Durability> {
-    if to == shared.me {
-        return shared.bank.settle(msg.clone()).await;
+    if to == shared.own_id {
+        return shared.budgets.settle(msg.clone()).await;
     }
     let addr = shared.peer_addr(to)?;
     let reply: Result<Option<Durability>, String> = shared
--- a/crates/entry/src/pipeline/sse.rs
+++ b/crates/entry/src/pipeline/sse.rs
@@ -16,7 +16,7 @@
     /// The mark of the end.
     Done,
     /// The stream broke off, or holds what is no event.
-    Broken(String),
+    Failed(String),
 }
 
 /// A stream that is being read.
@@ -27,7 +27,7 @@
 
 impl SseReader {
     /// Starts to read an answer.
-    pub fn open(res: reqwest::Response) -> SseReader {
+    pub fn new(res: reqwest::Response) -> SseReader {
         SseReader {
             bytes: res.bytes_stream().boxed(),
             buf: Vec::new(),
@@ -44,12 +44,12 @@
                 }
             }
             if self.buf.len() > EVENT_MOST {
-                return SseItem::Broken("an event is too long".to_string());
+                return SseItem::Failed("an event is too long".to_string());
             }
             match self.bytes.next().await {
                 Some(Ok(bytes)) => self.buf.extend_from_slice(&bytes),
-                Some(Err(e)) => return SseItem::Broken(e.to_string()),
-                None => return SseItem::Broken("the stream ended early".to_string()),
+                Some(Err(e)) => return SseItem::Failed(e.to_string()),
+                None => return SseItem::Failed("the stream ended early".to_string()),
             }
         }
     }
@@ -71,6 +71,6 @@
     }
     match serde_json::from_slice(data) {
         Ok(value) => Some(SseItem::Data(value)),
-        Err(e) => Some(SseItem::Broken(format!("an event is not JSON: {e}"))),
+        Err(e) => Some(SseItem::Failed(format!("an event is not JSON: {e}"))),
     }
 }
--- a/crates/entry/src/pipeline/stream.rs
+++ b/crates/entry/src/pipeline/stream.rs
@@ -29,20 +29,20 @@
     text: String,
     streamed: bool,
     /// Tokens passed on so far; the next one has this position.
-    pub at: u64,
+    pub position: u64,
     usage: Option<Value>,
     finish: Option<String>,
 }
 
 impl CallerResponse {
     /// Opens the caller's side; the answer's head, or an error, goes to `head`.
-    pub fn open(head: oneshot::Sender<Result<Res, Error>>, streamed: bool) -> CallerResponse {
+    pub fn new(head: oneshot::Sender<Result<Res, Error>>, streamed: bool) -> CallerResponse {
         CallerResponse {
             head: Some(head),
             parts: None,
             text: String::new(),
             streamed,
-            at: 0,
+            position: 0,
             usage: None,
             finish: None,
         }
@@ -62,7 +62,7 @@
         if let Some(head) = self.head.take() {
             let (tx, res) = Res::events();
             self.parts = Some(tx);
-            let _ = head.send(Ok(headers(cx, res)));
+            let _ = head.send(Ok(add_headers(cx, res)));
         }
         if let Some(parts) = &self.parts {
             let _ = parts.send(part).await;
@@ -72,7 +72,7 @@
     /// Ends the answer.
     pub async fn finish(mut self, cx: &RequestContext, chat: &ChatRequest) {
         if self.streamed {
-            if chat.usage {
+            if chat.include_usage {
                 let usage = json!({
                     "id": format!("chatcmpl-{}", cx.id), "object": "chat.completion.chunk",
                     "model": chat.model, "choices": [], "usage": self.usage,
@@ -95,7 +95,7 @@
             "usage": self.usage,
         });
         if let Some(head) = self.head.take() {
-            let _ = head.send(Ok(headers(cx, Res::json(200, &whole))));
+            let _ = head.send(Ok(add_headers(cx, Res::json(200, &whole))));
         }
     }
 
@@ -113,9 +113,9 @@
 }
 
 /// Adds the headers that every answer has.
-pub fn headers(cx: &RequestContext, res: Res) -> Res {
+pub fn add_headers(cx: &RequestContext, res: Res) -> Res {
     res.with("x-request-id", cx.id.clone())
-        .with("x-oriolehitch-instance", cx.shared.me.clone())
+        .with("x-oriolehitch-instance", cx.shared.own_id.clone())
         .with("x-oriolehitch-attempts", cx.attempts.to_string())
 }
 
@@ -146,7 +146,7 @@
 }
 
 /// Relays one attempt, and takes it up again where a link was cut.
-pub async fn relay(
+pub async fn relay_attempt(
     cx: &RequestContext,
     chat: &ChatRequest,
     out: &mut CallerResponse,
@@ -157,7 +157,7 @@
     loop {
         let fresh = resumes == 0 && !joined;
         // Boxed: its state is large, and would be kept for as long as the stream lasts.
-        let end = match Box::pin(connect(cx, chat, out.at, fresh)).await {
+        let end = match Box::pin(connect(cx, chat, out.position, fresh)).await {
             Link::Up(events) => read(cx, chat, out, events, &mut grace).await,
             Link::NotRun(why) => return AttemptEnd::NotRun(why),
             Link::Gone => return AttemptEnd::Gone,
@@ -166,8 +166,8 @@
         let AttemptEnd::Broken(why) = end else {
             return end;
         };
-        cx.step(format!("cut at token {}: {why}", out.at));
-        if resumes >= RESUMES || cx.left_ms() == 0 {
+        cx.record_step(format!("cut at token {}: {why}", out.position));
+        if resumes >= RESUMES || cx.remaining_ms() == 0 {
             return AttemptEnd::Broken(why);
         }
         sleep(RESUME_PAUSE * (1 << resumes)).await;
@@ -176,7 +176,7 @@
     }
 }
 
-async fn connect(cx: &RequestContext, chat: &ChatRequest, at: u64, fresh: bool) -> Link {
+async fn connect(cx: &RequestContext, chat: &ChatRequest, position: u64, fresh: bool) -> Link {
     let Some(upstream) = &cx.upstream else {
         return Link::NotRun("no upstream".to_string());
     };
@@ -184,12 +184,12 @@
         .shared
         .http
         .post(format!("{}/v1/chat/completions", upstream.url))
-        .header("x-request-id", &cx.run)
+        .header("x-request-id", &cx.attempt_id)
         .header("x-customer", &cx.customer)
         .header("x-priority", cx.policy.priority.to_string())
-        .json(&chat.body);
+        .json(&chat.engine_body);
     if !fresh {
-        req = req.header("x-resume-from", at.to_string());
+        req = req.header("x-resume-from", position.to_string());
     }
     let sent = tokio::time::timeout(HEAD_TIMEOUT, req.send()).await;
     let res = match sent {
@@ -200,7 +200,7 @@
     };
     let status = res.status();
     if status.is_success() {
-        return Link::Up(SseReader::open(res));
+        return Link::Up(SseReader::new(res));
     }
     let not_run = res.headers().contains_key("x-not-run");
     match (status.as_u16(), fresh) {
@@ -242,11 +242,11 @@
         tokio::select! {
             biased;
             () = out.left(), if !gone => {
-                if !cx.keyed {
+                if !cx.has_caller_id {
                     return AttemptEnd::CallerLeft;
                 }
                 // It chose the id, so it may come back for the answer.
-                cx.step("caller left; waits for it to come back");
+                cx.record_step("caller left; waits for it to come back");
                 *grace = Some(clock.now() + cx.shared.settings.orphan_grace_ms());
             }
             item = events.next() => {
@@ -270,13 +270,15 @@
 ) -> Option<AttemptEnd> {
     let mut event = match item {
         SseItem::Data(event) => event,
-        SseItem::Broken(why) => return Some(AttemptEnd::Broken(why)),
+        SseItem::Failed(why) => return Some(AttemptEnd::Broken(why)),
         SseItem::Done => return Some(whole(out)),
     };
-    if event["id"].as_str() != Some(cx.run.as_str()) {
+    if event["id"].as_str() != Some(cx.attempt_id.as_str()) {
         // Passed on, this would be another caller's answer.
-        cx.shared
-            .log(Event::Mixed, format!("{}: {}", cx.run, event["id"]));
+        cx.shared.log(
+            Event::ResponseMismatch,
+            format!("{}: {}", cx.attempt_id, event["id"]),
+        );
         return Some(AttemptEnd::Broken(
             "an answer to another request".to_string(),
         ));
@@ -290,11 +292,11 @@
         out.finish = Some(finish.to_string());
     }
     match event["position"].as_u64() {
-        Some(at) if at < out.at => return None,
-        Some(at) if at > out.at => {
+        Some(at) if at < out.position => return None,
+        Some(at) if at > out.position => {
             return Some(AttemptEnd::Broken(format!("token {at} came early")))
         }
-        Some(_) if out.at >= chat.max_tokens => return Some(AttemptEnd::Overrun),
+        Some(_) if out.position >= chat.max_tokens => return Some(AttemptEnd::Overrun),
         Some(_) => first_token(cx, out),
         None => {}
     }
@@ -303,12 +305,15 @@
 }
 
 fn first_token(cx: &RequestContext, out: &mut CallerResponse) {
-    if out.at == 0 {
-        let took = cx.shared.clock.now_us() - cx.began_us;
-        cx.shared.metrics.first_token.observe(took as f64 / 1e6);
+    if out.position == 0 {
+        let took = cx.shared.clock.now_us() - cx.arrived_us;
+        cx.shared
+            .metrics
+            .first_token_seconds
+            .observe(took as f64 / 1e6);
     }
-    out.at += 1;
-    cx.shared.metrics.tokens.inc();
+    out.position += 1;
+    cx.shared.metrics.delivered_tokens.inc();
 }
 
 async fn pass_on(
@@ -337,7 +342,10 @@
     };
     let produced = usage["completion_tokens"].as_u64();
     match usage["total_tokens"].as_u64() {
-        Some(total) if produced == Some(out.at) => AttemptEnd::Whole(total),
-        _ => AttemptEnd::Broken(format!("an end after {} of {produced:?} tokens", out.at)),
+        Some(total) if produced == Some(out.position) => AttemptEnd::Whole(total),
+        _ => AttemptEnd::Broken(format!(
+            "an end after {} of {produced:?} tokens",
+            out.position
+        )),
     }
 }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -94,9 +94,9 @@
 fn note_platform(shared: &SharedState, lost: &mut bool, answered: bool) {
     if answered == *lost {
         let event = if answered {
-            Event::PlatformBack
+            Event::PlatformRecovered
         } else {
-            Event::PlatformLost
+            Event::PlatformUnavailable
         };
         shared.log(event, &shared.settings.platform);
     }
@@ -115,9 +115,9 @@
         table.introduce(now, members.clone());
         presence(&table.all(now), &members)
     };
-    shared.bank.set_presence(present, left);
+    shared.budgets.set_presence(present, left);
     shared.pool.lock().expect("no panic inside").set_list(specs);
-    shared.bank.set_members(shared.candidates());
+    shared.budgets.set_members(shared.home_candidates());
 }
 
 /// Returns the holders that are present by anyone's word, and those that have left by their own.
@@ -134,13 +134,13 @@
 }
 
 /// Returns whether the list shows a holder, or can't be read.
-pub async fn may_live(shared: &SharedState, holder: &str) -> bool {
+pub async fn may_be_alive(shared: &SharedState, holder: &str) -> bool {
     let listed = shared.kv.get(&key(holder)).await;
     !matches!(listed, Ok(None))
 }
 
 /// Takes this instance's entry out of the list, by ending its word.
-pub async fn delist(shared: &SharedState) {
+pub async fn remove_entry(shared: &SharedState) {
     let me = shared.members.lock().expect("no panic inside").me().clone();
     if let Ok(lease) = shared.kv.lease(1).await {
         // The entry then ends with the short lease; if this fails, with the old one.
--- a/crates/entry/src/shared_state.rs
+++ b/crates/entry/src/shared_state.rs
@@ -26,7 +26,7 @@
     /// Joined.
     pub config: Config,
     /// Customers by the hash of their keys.
-    pub keys: BTreeMap<String, String>,
+    pub customer_by_key_hash: BTreeMap<String, String>,
 }
 
 impl ActiveConfig {
@@ -35,18 +35,18 @@
     /// # Errors
     ///
     /// Returns what is missing or broken.
-    pub fn join(bundle: Bundle) -> Result<ActiveConfig, String> {
+    pub fn from_bundle(bundle: Bundle) -> Result<ActiveConfig, String> {
         let config = bundle.config()?;
-        let mut keys = BTreeMap::new();
+        let mut customer_by_key_hash = BTreeMap::new();
         for (name, customer) in &config.customers {
             for hash in &customer.key_hashes {
-                keys.insert(hash.clone(), name.clone());
+                customer_by_key_hash.insert(hash.clone(), name.clone());
             }
         }
         Ok(ActiveConfig {
             bundle,
             config,
-            keys,
+            customer_by_key_hash,
         })
     }
 }
@@ -56,7 +56,7 @@
     /// The settings.
     pub settings: Settings,
     /// This incarnation.
-    pub me: String,
+    pub own_id: String,
     /// The clock.
     pub clock: Clock,
     /// The platform.
@@ -66,15 +66,15 @@
     /// The client for requests that may not be repeated: a new connection for each.
     pub http_once: reqwest::Client,
     /// Budgets.
-    pub bank: budget_handle::BudgetHandle,
+    pub budgets: budget_handle::BudgetHandle,
     /// The configuration in force.
     pub config: RwLock<Option<Arc<ActiveConfig>>>,
     /// Upstreams.
     pub pool: Mutex<Pool>,
     /// Requests that wait for upstreams.
-    pub admission: Mutex<WaitQueues>,
+    pub wait_queues: Mutex<WaitQueues>,
     /// Retries in store.
-    pub retry: Mutex<RetryBudget>,
+    pub retry_budget: Mutex<RetryBudget>,
     /// Instances.
     pub members: Mutex<Members>,
     /// Clients of other instances.
@@ -84,9 +84,9 @@
     /// The latest requests.
     pub journal: RequestJournal,
     /// Attempts at requests that may not be repeated, as this holder knows them.
-    pub attempts: Mutex<BTreeMap<String, AttemptStatus>>,
+    pub claim_attempts: Mutex<BTreeMap<String, AttemptStatus>>,
     /// Requests, bills and claims under way.
-    pub busy: watch::Sender<u64>,
+    pub in_flight: watch::Sender<u64>,
     /// The platform lease that this instance's claims are bound to, with the end of its use.
     pub claim_lease: tokio::sync::Mutex<Option<(i64, u64)>>,
 }
@@ -96,27 +96,27 @@
 
 impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.busy.send_modify(|n| *n -= 1);
-        self.0.metrics.inflight.dec();
+        self.0.in_flight.send_modify(|n| *n -= 1);
+        self.0.metrics.in_flight.dec();
     }
 }
 
 impl SharedState {
     /// Counts one thing under way.
-    pub fn begin(self: &Arc<Self>) -> InFlightGuard {
-        self.busy.send_modify(|n| *n += 1);
-        self.metrics.inflight.inc();
+    pub fn track_in_flight(self: &Arc<Self>) -> InFlightGuard {
+        self.in_flight.send_modify(|n| *n += 1);
+        self.metrics.in_flight.inc();
         InFlightGuard(Arc::clone(self))
     }
 
     /// Returns the configuration in force.
-    pub fn active(&self) -> Option<Arc<ActiveConfig>> {
+    pub fn active_config(&self) -> Option<Arc<ActiveConfig>> {
         self.config.read().expect("no panic inside").clone()
     }
 
     /// Returns the revision in force; 0 for none.
-    pub fn revision(&self) -> u64 {
-        self.active().map_or(0, |a| a.bundle.head.revision)
+    pub fn config_revision(&self) -> u64 {
+        self.active_config().map_or(0, |a| a.bundle.head.revision)
     }
 
     /// Returns what this instance says of itself.
@@ -126,23 +126,27 @@
 
     /// Returns whether new requests are taken.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Standing::Live && self.active().is_some()
+        self.standing() == Standing::Live && self.active_config().is_some()
     }
 
     /// Returns the living instances.
-    pub fn live(&self) -> Vec<Member> {
+    pub fn live_instances(&self) -> Vec<Member> {
         let members = self.members.lock().expect("no panic inside");
         members.live(self.clock.now())
     }
 
     /// Returns the living instances of the own region, which may be homes.
-    pub fn candidates(&self) -> Vec<Candidate> {
+    pub fn home_candidates(&self) -> Vec<Candidate> {
         let own = |m: &Member| m.region == self.settings.region;
         let candidate = |m: Member| Candidate {
             id: m.id,
             zone: m.zone,
         };
-        self.live().into_iter().filter(own).map(candidate).collect()
+        self.live_instances()
+            .into_iter()
+            .filter(own)
+            .map(candidate)
+            .collect()
     }
 
     /// Returns where an instance listens for its peers.
@@ -153,11 +157,11 @@
 
     /// Logs an event.
     pub fn log(&self, event: Event, detail: impl std::fmt::Display) {
-        event.log(&self.me, detail);
+        event.log(&self.own_id, detail);
     }
 
     /// Adds a step to a request's journal.
-    pub fn step(&self, request: &str, what: impl Into<String>) {
-        self.journal.add(self.clock.now(), request, what);
+    pub fn record_step(&self, request: &str, what: impl Into<String>) {
+        self.journal.record(self.clock.now(), request, what);
     }
 }
--- a/crates/entry/src/wait_queues.rs
+++ b/crates/entry/src/wait_queues.rs
@@ -31,7 +31,7 @@
 
 impl WaitQueues {
     /// Returns how many wait, by what they wait for.
-    pub fn waiting(&self) -> BTreeMap<String, usize> {
+    pub fn lengths(&self) -> BTreeMap<String, usize> {
         let row = |(k, l): (&Pool, &Line)| (k.1.clone(), l.queue.len());
         self.0.iter().map(row).collect()
     }
--- a/crates/entry/tests/encoding.rs
+++ b/crates/entry/tests/encoding.rs
@@ -30,10 +30,10 @@
 #[test]
 fn steps_of_requests_keep_their_encoding() {
     let journal = RequestJournal::default();
-    journal.add(12, "q-1", "asked");
+    journal.record(12, "q-1", "asked");
     let sample = r#"[{"at":12,"what":"asked"}]"#;
     assert_eq!(
-        serde_json::to_string(&journal.get("q-1")).expect("JSON"),
+        serde_json::to_string(&journal.steps_of("q-1")).expect("JSON"),
         sample
     );
 }
@@ -54,11 +54,11 @@
 /// Guards names that monitoring reads.
 #[test]
 fn metrics_keep_their_names_and_labels() {
-    let metrics = Metrics::open();
-    metrics.ended("ok");
-    metrics.message("settle", 5);
-    metrics.platform("read", 7);
-    let text = metrics.text();
+    let metrics = Metrics::create();
+    metrics.count_request("ok");
+    metrics.count_peer_message("settle", 5);
+    metrics.set_platform_calls("read", 7);
+    let text = metrics.encode_text();
     // Without their values, which follow the last space.
     let line = |l: &str| match l.rsplit_once(' ') {
         Some((name, _)) if !l.starts_with('#') => name.to_string(),
