--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,4 +1,4 @@
-//! Lets requests wait for an upstream, and lets them in.
+//! Admission control: requests wait in a queue until an upstream has capacity.
 
 use std::sync::Arc;
 
@@ -8,14 +8,14 @@
 use tokio::sync::oneshot;
 
 use crate::shared_state::SharedState;
-use crate::wait_queues::Pool;
+use crate::wait_queues::QueueKey;
 
-/// Waits until an upstream can take a request.
+/// Waits until an upstream can accept the request.
 ///
 /// # Errors
 ///
-/// Returns `Overloaded` at once when the backlog is longer than the time left, and
-/// `DeadlinePassed` when the time has passed nevertheless.
+/// Returns `Overloaded` without waiting if the queue is full or the expected wait is too long for the
+/// deadline, and `DeadlinePassed` if the deadline passes in the queue.
 pub async fn admit(
     shared: &Arc<SharedState>,
     kind: upstream::Kind,
@@ -23,91 +23,94 @@
     priority: u8,
     deadline: u64,
 ) -> Result<(), Error> {
-    let pool = (kind, serves.to_string());
+    let queue_key = (kind, serves.to_string());
     let now = shared.clock.now();
-    let rooms = rooms(shared, &pool);
+    let capacity = free_capacity(shared, &queue_key);
     let (ticket, rx) = {
-        let mut admission = shared.wait_queues.lock().expect("no panic inside");
-        let line = admission.0.entry(pool.clone()).or_default();
-        match line.queue.arrive(now, &rooms, priority, deadline) {
+        let mut queues = shared.wait_queues.lock().expect("lock not poisoned");
+        let wait_queue = queues.0.entry(queue_key.clone()).or_default();
+        match wait_queue.queue.arrive(now, &capacity, priority, deadline) {
             Verdict::Go => return Ok(()),
             Verdict::Refuse { retry_ms } => {
                 let message =
-                    format!("the backlog of {serves} is longer than this request can wait");
+                    format!("the queue for {serves} is too long for the deadline of the request");
                 let secs = retry_ms.div_ceil(1000) as u32;
                 return Err(Error::new(Kind::Overloaded, message).retry_after(secs));
             }
             Verdict::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
-                line.waiters.insert(ticket, tx);
+                wait_queue.waiters.insert(ticket, tx);
                 (ticket, rx)
             }
         }
     };
-    let left = Left {
+    let guard = QueueGuard {
         shared: Arc::clone(shared),
-        pool,
+        queue_key,
         ticket,
     };
-    let go = rx.await;
-    drop(left);
-    if go == Ok(true) {
+    let admitted = rx.await;
+    drop(guard);
+    if admitted == Ok(true) {
         return Ok(());
     }
-    let error = Error::new(Kind::DeadlinePassed, "no upstream was free in time");
+    let error = Error::new(
+        Kind::DeadlinePassed,
+        "no upstream had capacity before the deadline",
+    );
     Err(error.ran(err::Ran::No))
 }
 
-/// Takes a request out of its queue when its caller leaves.
-struct Left {
+/// Removes a request from its queue when it stops waiting.
+struct QueueGuard {
     shared: Arc<SharedState>,
-    pool: Pool,
+    queue_key: QueueKey,
     ticket: Ticket,
 }
 
-impl Drop for Left {
+impl Drop for QueueGuard {
     fn drop(&mut self) {
-        let mut admission = self.shared.wait_queues.lock().expect("no panic inside");
-        if let Some(line) = admission.0.get_mut(&self.pool) {
-            line.queue.leave(self.ticket);
-            line.waiters.remove(&self.ticket);
+        let mut queues = self.shared.wait_queues.lock().expect("lock not poisoned");
+        if let Some(wait_queue) = queues.0.get_mut(&self.queue_key) {
+            wait_queue.queue.leave(self.ticket);
+            wait_queue.waiters.remove(&self.ticket);
         }
     }
 }
 
-fn rooms(shared: &SharedState, (kind, serves): &Pool) -> Rooms {
+fn free_capacity(shared: &SharedState, (kind, serves): &QueueKey) -> Rooms {
     let now = shared.clock.now();
-    let pool = shared.pool.lock().expect("no panic inside");
+    let pool = shared.pool.lock().expect("lock not poisoned");
     pool.rooms(now, *kind, serves)
 }
 
-/// Counts the end of a request and lets in who waits.
+/// Records the end of a request and admits waiting ones.
 pub fn record_finished(shared: &SharedState, kind: upstream::Kind, serves: &str) {
     let now = shared.clock.now();
-    let pool = (kind, serves.to_string());
+    let queue_key = (kind, serves.to_string());
     {
-        let mut admission = shared.wait_queues.lock().expect("no panic inside");
-        if let Some(line) = admission.0.get_mut(&pool) {
-            line.queue.finished(now);
+        let mut queues = shared.wait_queues.lock().expect("lock not poisoned");
+        if let Some(wait_queue) = queues.0.get_mut(&queue_key) {
+            wait_queue.queue.finished(now);
         }
     }
     admit_waiting(shared);
 }
 
-/// Lets in who waits, as far as there is room, and turns away whose time has passed.
+/// Admits waiting requests as far as there is capacity, and rejects those past their deadline.
 pub fn admit_waiting(shared: &SharedState) {
     let now = shared.clock.now();
-    let mut admission = shared.wait_queues.lock().expect("no panic inside");
-    for (pool, line) in &mut admission.0 {
-        if line.queue.is_empty() {
+    let mut queues = shared.wait_queues.lock().expect("lock not poisoned");
+    for (queue_key, wait_queue) in &mut queues.0 {
+        if wait_queue.queue.is_empty() {
             continue;
         }
-        for ticket in line.queue.expire(now) {
-            line.tell(ticket, false);
+        for ticket in wait_queue.queue.expire(now) {
+            wait_queue.notify(ticket, false);
         }
-        let rooms = rooms(shared, pool);
-        for ticket in line.queue.release(&rooms) {
-            line.tell(ticket, true);
+        let capacity = free_capacity(shared, queue_key);
+        for ticket in wait_queue.queue.release(&capacity) {
+            wait_queue.notify(ticket, true);
         }
     }
 }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The listener for callers.
+//! The HTTP API for callers.
 
 use std::sync::Arc;
 
@@ -9,33 +9,39 @@
 use crate::pipeline::{auth, chat, service_call};
 use crate::shared_state::SharedState;
 
-/// Answers callers.
+/// Handles the requests of callers.
 pub struct CallerService {
-    /// What the instance's tasks share.
+    /// The state of the instance.
     pub shared: Arc<SharedState>,
 }
 
 impl web::Service for CallerService {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         let shared = Arc::clone(&self.shared);
-        let answered = match (req.method.as_str(), req.segments().as_slice()) {
+        let response = match (req.method.as_str(), req.segments().as_slice()) {
             ("POST", ["v1", "chat", "completions"]) => chat::handle(&shared, &req).await,
             ("GET", ["v1", "models"]) => models(&shared, &req),
             (_, ["v1", "services", ..]) => service_call::handle(&shared, req).await,
             (method, _) => {
-                let message = format!("there is nothing at {method} {}", req.path);
+                let message = format!("no such endpoint: {method} {}", req.path);
                 Err(Error::new(Kind::NotFound, message))
             }
         };
-        answered.unwrap_or_else(|e| error_response(&shared, &e))
+        response.unwrap_or_else(|e| error_response(&shared, &e))
     }
 
     fn unreadable(&self, too_large: bool) -> Res {
         let error = if too_large {
-            let most = self.shared.settings.body_limit();
-            Error::new(Kind::TooLarge, format!("a body has at most {most} bytes"))
+            let max_bytes = self.shared.settings.body_limit();
+            Error::new(
+                Kind::TooLarge,
+                format!("the request body exceeds {max_bytes} bytes"),
+            )
         } else {
-            Error::new(Kind::BadRequest, "the body did not come whole in time")
+            Error::new(
+                Kind::BadRequest,
+                "the request body was not received completely in time",
+            )
         };
         error_response(&self.shared, &error)
     }
@@ -48,7 +54,7 @@
     Ok(Res::json(200, &json!({"object": "list", "data": data})))
 }
 
-/// Returns the answer to an error.
+/// Returns the response for an error.
 pub fn error_response(shared: &SharedState, error: &Error) -> Res {
     let res = Res::json(error.status(), &error.body());
     let res = res.with("x-oriolehitch-instance", shared.own_id.clone());
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -1,4 +1,4 @@
-//! One running instance: its start and its planned stop.
+//! Start and planned stop of an instance.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, RwLock};
@@ -22,12 +22,16 @@
     peer_server, registry,
 };
 
+/// Connect timeout of calls to upstreams.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum size of an operator's request body, in bytes.
 const ADMIN_BODY_LIMIT: usize = 64 << 20;
-/// How often a planned stop looks whether it is done.
-const DRAIN_LOOK: Duration = Duration::from_millis(50);
-/// New work stops this long before the listeners close, so that balancers notice.
-const NOTICE: Duration = Duration::from_millis(300);
+/// Interval in which a planned stop checks whether the budgets are drained.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// New requests are refused at least this long before the listeners close, so that load balancers
+/// notice.
+const READINESS_NOTICE: Duration = Duration::from_millis(300);
+/// Connections that are still open when the listeners close are ended after this time.
 const CLOSE_GRACE: Duration = Duration::from_secs(2);
 
 /// A running instance.
@@ -48,9 +52,9 @@
     pub async fn spawn(settings: Settings) -> Result<Instance> {
         let bound = peer_server::bind(settings.peer_listen()).await;
         let (server, peer_addr) = bound.map_err(|e| anyhow!("peer listener: {e}"))?;
-        let (bank, inbox) = budget_handle::channel();
-        let shared = Arc::new(share(settings, peer_addr, bank)?);
-        budget_task::spawn(inbox, &shared);
+        let (budgets, commands) = budget_handle::channel();
+        let shared = Arc::new(new_state(settings, peer_addr, budgets)?);
+        budget_task::spawn(commands, &shared);
         let peer = peer_server::serve(server, Arc::clone(&shared));
         let service = Arc::new(callers::CallerService {
             shared: Arc::clone(&shared),
@@ -79,7 +83,7 @@
         })
     }
 
-    /// Returns this incarnation.
+    /// Returns the id of this incarnation.
     pub fn id(&self) -> &str {
         &self.shared.own_id
     }
@@ -99,67 +103,69 @@
         self.peer_addr
     }
 
-    /// Returns whether new requests are taken.
+    /// Returns whether new requests are accepted.
     pub fn is_ready(&self) -> bool {
         self.shared.is_ready()
     }
 
-    /// Stops as planned: takes no new work, ends what runs, settles and hands back, then leaves.
+    /// Performs a planned stop: refuses new requests, finishes those in flight, settles them, returns
+    /// the unspent tokens, and deregisters.
     ///
-    /// Returns whether nothing was cut off. `hurry` cuts the stop short.
-    pub async fn stop(self, hurry: impl std::future::Future<Output = ()>) -> bool {
+    /// Returns whether everything was finished. The stop ends early when `abort` completes, or after
+    /// the time in the settings.
+    pub async fn stop(self, abort: impl std::future::Future<Output = ()>) -> bool {
         let shared = &self.shared;
         shared.log(
             Event::Stopping,
-            format!("{} under way", *shared.in_flight.borrow()),
+            format!("{} in flight", *shared.in_flight.borrow()),
         );
         gossip::broadcast(shared, Some(Standing::Leaving)).await;
-        tokio::time::sleep(NOTICE).await;
+        tokio::time::sleep(READINESS_NOTICE).await;
         let limit = Duration::from_millis(shared.settings.drain_ms());
-        let whole = tokio::select! {
+        let clean = tokio::select! {
             done = tokio::time::timeout(limit, self.drain()) => done.is_ok(),
-            () = hurry => false,
+            () = abort => false,
         };
-        if whole {
+        if clean {
             gossip::broadcast(shared, Some(Standing::Left)).await;
             registry::remove_entry(shared).await;
-            shared.log(Event::Stopped, "nothing cut off");
+            shared.log(Event::Stopped, "nothing aborted");
         } else {
-            let left = *shared.in_flight.borrow();
-            let clear = shared.budgets.is_drained().await;
+            let remaining = *shared.in_flight.borrow();
+            let drained = shared.budgets.is_drained().await;
             shared.log(
                 Event::StopAborted,
-                format!("{left} cut off, budgets clear: {clear}"),
+                format!("{remaining} aborted, budgets drained: {drained}"),
             );
         }
         self.callers.stop(CLOSE_GRACE);
         self.admin.stop(CLOSE_GRACE);
-        // The server may have stopped already; then there is nothing to stop.
+        // Fails only if the server has already stopped.
         let _ = self.peer.stop();
-        whole
+        clean
     }
 
     async fn drain(&self) {
-        let mut busy = self.shared.in_flight.subscribe();
-        // The sender lives in `shared`, so waiting can't fail.
-        let _ = busy.wait_for(|n| *n == 0).await;
+        let mut in_flight = self.shared.in_flight.subscribe();
+        // Can't fail, since `shared` owns the sender.
+        let _ = in_flight.wait_for(|n| *n == 0).await;
         self.shared.budgets.release_all();
         while !self.shared.budgets.is_drained().await {
-            tokio::time::sleep(DRAIN_LOOK).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 }
 
-fn share(
+fn new_state(
     settings: Settings,
     peer_addr: SocketAddr,
-    bank: budget_handle::BudgetHandle,
+    budgets: budget_handle::BudgetHandle,
 ) -> Result<SharedState> {
-    // Half of it names the time of the start, the other half is random.
-    let start = format!("{:08x}{:08x}", wall_ms() / 1000, rand::random::<u32>());
-    let me = format!("{}.{start}", settings.name);
+    // The first half is the time of the start, the second half is random.
+    let incarnation = format!("{:08x}{:08x}", wall_ms() / 1000, rand::random::<u32>());
+    let own_id = format!("{}.{incarnation}", settings.name);
     let member = Member {
-        id: me.clone(),
+        id: own_id.clone(),
         region: settings.region.clone(),
         zone: settings.zone.clone(),
         peer_addr: peer_addr.to_string(),
@@ -168,12 +174,12 @@
         revision: 0,
     };
     Ok(SharedState {
-        own_id: me,
+        own_id,
         clock: Clock::start(),
         kv: kv::Client::open(&settings.platform),
-        http: client().build()?,
-        http_once: client().pool_max_idle_per_host(0).build()?,
-        budgets: bank,
+        http: http_client().build()?,
+        http_no_reuse: http_client().pool_max_idle_per_host(0).build()?,
+        budgets,
         config: RwLock::new(None),
         pool: Mutex::new(Pool::default()),
         wait_queues: Mutex::new(WaitQueues::default()),
@@ -189,8 +195,8 @@
     })
 }
 
-/// Starts a client that repeats and redirects nothing by itself.
-fn client() -> reqwest::ClientBuilder {
+/// Returns the builder of a client that does not retry or follow redirects.
+fn http_client() -> reqwest::ClientBuilder {
     reqwest::Client::builder()
         .no_proxy()
         .connect_timeout(CONNECT_TIMEOUT)
--- a/crates/entry/src/journal.rs
+++ b/crates/entry/src/journal.rs
@@ -1,19 +1,19 @@
-//! What happened to the latest requests, for operators who ask why.
+//! A journal of the latest requests in memory, in which operators look up what happened to one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Mutex;
 
 use serde::Serialize;
 
-/// Requests remembered.
-const REQUESTS_MOST: usize = 1_000;
-/// Steps remembered of one request.
-const STEPS_MOST: usize = 32;
+/// Maximum number of requests; the oldest is removed first.
+const MAX_REQUESTS: usize = 1_000;
+/// Maximum number of steps per request; later ones are dropped.
+const MAX_STEPS: usize = 32;
 
-/// One step of a request.
+/// A step of a request.
 #[derive(Clone, Debug, Serialize)]
 pub struct Step {
-    /// When, in milliseconds since the instance's start.
+    /// Time of the step, in milliseconds since the start of the instance.
     #[serde(rename = "at")]
     pub at_ms: u64,
     /// What happened.
@@ -23,37 +23,39 @@
 
 #[derive(Debug, Default)]
 struct Inner {
+    /// Steps by request id.
     steps: BTreeMap<String, Vec<Step>>,
-    order: VecDeque<String>,
+    /// Ids of the requests, oldest first.
+    by_age: VecDeque<String>,
 }
 
-/// The latest requests with their steps.
+/// The steps of the latest requests.
 #[derive(Debug, Default)]
 pub struct RequestJournal(Mutex<Inner>);
 
 impl RequestJournal {
-    /// Adds a step to a request.
+    /// Records a step of a request.
     pub fn record(&self, at_ms: u64, request: &str, description: impl Into<String>) {
-        let mut inner = self.0.lock().expect("no panic inside");
+        let mut inner = self.0.lock().expect("lock not poisoned");
         if !inner.steps.contains_key(request) {
-            inner.order.push_back(request.to_string());
+            inner.by_age.push_back(request.to_string());
             inner.steps.insert(request.to_string(), Vec::new());
         }
         let steps = inner.steps.get_mut(request).expect("inserted above");
-        if steps.len() < STEPS_MOST {
+        if steps.len() < MAX_STEPS {
             let description = description.into();
             steps.push(Step { at_ms, description });
         }
-        if inner.order.len() > REQUESTS_MOST {
-            if let Some(old) = inner.order.pop_front() {
-                inner.steps.remove(&old);
+        if inner.by_age.len() > MAX_REQUESTS {
+            if let Some(oldest) = inner.by_age.pop_front() {
+                inner.steps.remove(&oldest);
             }
         }
     }
 
-    /// Returns a request's steps.
+    /// Returns the steps of a request; none if it is unknown.
     pub fn steps_of(&self, request: &str) -> Vec<Step> {
-        let inner = self.0.lock().expect("no panic inside");
+        let inner = self.0.lock().expect("lock not poisoned");
         inner.steps.get(request).cloned().unwrap_or_default()
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics, by prometheus-client.
+//! Prometheus metrics.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::Mutex;
@@ -11,60 +11,60 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::Registry;
 
-/// Upper bounds of the buckets of times, in seconds.
-const SECONDS: [f64; 14] = [
+/// Upper bounds of the histogram buckets, in seconds.
+const BUCKETS: [f64; 14] = [
     0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.25, 0.77, 2.0, 5.0, 19.0, 60.0,
 ];
 
-/// The end of a request: `ok` or the code of its error.
+/// Labels of the request counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// The code.
+    /// `ok`, or the code of the error.
     pub code: String,
 }
 
-/// A sort of platform call or peer message.
+/// Labels of the counts of platform calls and of messages to peers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// The sort.
+    /// Kind of the call, or method name of the message.
     pub sort: String,
 }
 
-/// The metrics of one instance.
+/// The metrics of an instance.
 pub struct Metrics {
     registry: Mutex<Registry>,
-    /// Requests by their end.
+    /// Finished requests, by code.
     pub requests: Family<RequestLabels, Counter>,
-    /// Requests that are under way.
+    /// Requests, bills and claims in flight.
     pub in_flight: Gauge,
-    /// Attempts at upstreams.
+    /// Attempts at upstreams: first ones and retries.
     pub attempts: Counter,
-    /// Streams resumed after a cut.
+    /// Streams resumed after a lost connection.
     pub resumes: Counter,
     /// Tokens delivered to callers.
     pub delivered_tokens: Counter,
-    /// Seconds from a request's arrival to its first token.
+    /// Time from the arrival of a chat completion to its first token.
     pub first_token_seconds: Histogram,
-    /// Seconds that an end marker waited for its bill.
+    /// Time that a request waited for its bill to become durable.
     pub bill_wait_seconds: Histogram,
-    /// Seconds that a reservation took.
+    /// Duration of reservations.
     pub reserve_seconds: Histogram,
-    /// Seconds from a change's acceptance to its being in force here.
+    /// Time from the acceptance of a configuration change until it was applied here.
     pub config_lag_seconds: Histogram,
-    /// Seconds from a change's acceptance here to its being in force on every live instance.
+    /// Time from the acceptance of a configuration change here until all live instances applied it.
     pub config_spread_seconds: Histogram,
-    /// Messages to peers, by sort.
+    /// Messages to peers that got a reply, by method.
     pub peer_messages: Family<CallLabels, Counter>,
-    /// Bytes of messages to and from peers.
+    /// Bytes of these messages and their replies.
     pub peer_bytes: Counter,
-    /// Platform calls, by sort.
+    /// Calls of the platform, by kind.
     pub platform_calls: Family<CallLabels, Gauge<f64, AtomicU64>>,
 }
 
 impl Metrics {
-    /// Opens a registry with all metrics.
+    /// Creates the metrics and registers them.
     pub fn create() -> Metrics {
-        let seconds = || Histogram::new(SECONDS);
+        let seconds = || Histogram::new(BUCKETS);
         let metrics = Metrics {
             registry: Mutex::new(Registry::with_prefix("oriolehitch")),
             requests: Family::default(),
@@ -86,72 +86,72 @@
     }
 
     fn register(&self) {
-        let mut r = self.registry.lock().expect("no panic inside");
-        r.register("requests", "Requests by their end", self.requests.clone());
-        r.register("inflight", "Requests under way", self.in_flight.clone());
-        r.register("attempts", "Attempts at upstreams", self.attempts.clone());
-        r.register(
+        let mut registry = self.registry.lock().expect("lock not poisoned");
+        registry.register("requests", "Requests by their end", self.requests.clone());
+        registry.register("inflight", "Requests under way", self.in_flight.clone());
+        registry.register("attempts", "Attempts at upstreams", self.attempts.clone());
+        registry.register(
             "resumes",
             "Streams resumed after a cut",
             self.resumes.clone(),
         );
-        r.register("tokens", "Tokens delivered", self.delivered_tokens.clone());
-        r.register(
+        registry.register("tokens", "Tokens delivered", self.delivered_tokens.clone());
+        registry.register(
             "first_token_seconds",
             "Arrival to first token",
             self.first_token_seconds.clone(),
         );
-        r.register(
+        registry.register(
             "bill_wait_seconds",
             "End marker's wait for its bill",
             self.bill_wait_seconds.clone(),
         );
-        r.register(
+        registry.register(
             "reserve_seconds",
             "Time of a reservation",
             self.reserve_seconds.clone(),
         );
-        r.register(
+        registry.register(
             "config_lag_seconds",
             "Acceptance to in force here",
             self.config_lag_seconds.clone(),
         );
-        r.register(
+        registry.register(
             "config_spread_seconds",
             "Acceptance here to in force everywhere",
             self.config_spread_seconds.clone(),
         );
-        r.register(
+        registry.register(
             "peer_messages",
             "Messages to peers",
             self.peer_messages.clone(),
         );
-        r.register(
+        registry.register(
             "peer_bytes",
             "Bytes to and from peers",
             self.peer_bytes.clone(),
         );
-        r.register(
+        registry.register(
             "platform_calls",
             "Platform calls",
             self.platform_calls.clone(),
         );
     }
 
-    /// Counts a request's end.
+    /// Counts a finished request.
     pub fn count_request(&self, code: &str) {
         let code = code.to_string();
         self.requests.get_or_create(&RequestLabels { code }).inc();
     }
 
-    /// Counts a message to a peer.
+    /// Counts a message to a peer with its reply.
     pub fn count_peer_message(&self, sort: &str, bytes: u64) {
         let sort = sort.to_string();
         self.peer_messages.get_or_create(&CallLabels { sort }).inc();
         self.peer_bytes.inc_by(bytes);
     }
 
-    /// Takes over the platform client's counts.
+    /// Sets the number of platform calls of a kind, as counted by the client.
     pub fn set_platform_calls(&self, sort: &str, calls: u64) {
         let sort = sort.to_string();
         let gauge = self.platform_calls.get_or_create(&CallLabels { sort });
@@ -161,8 +161,8 @@
     /// Returns all metrics in the OpenMetrics text format.
     pub fn encode_text(&self) -> String {
         let mut buf = String::new();
-        let registry = self.registry.lock().expect("no panic inside");
-        // Writing to a string fails only when a metric can't be written, which then is left out.
+        let registry = self.registry.lock().expect("lock not poisoned");
+        // Writing to a string can't fail. If a metric can't be encoded, the output ends before it.
         let _ = encode(&mut buf, &registry);
         buf
     }
--- a/crates/entry/src/pipeline/auth.rs
+++ b/crates/entry/src/pipeline/auth.rs
@@ -1,4 +1,4 @@
-//! Names the customer by its key, and starts the context.
+//! Authentication of requests by API key.
 
 use std::sync::Arc;
 
@@ -10,34 +10,40 @@
 use super::context::RequestContext;
 use crate::shared_state::SharedState;
 
-/// Longest request id.
-const ID_MOST: usize = 128;
+/// Maximum length of a request id, in bytes.
+const MAX_ID_LEN: usize = 128;
 
-/// Names the customer of a request.
+/// Identifies the customer of a request and creates the request's context.
 ///
 /// # Errors
 ///
-/// Returns why the request can't go on: no configuration, a stop, an unknown key, a bad id.
+/// Returns `NotConfigured`, `Draining`, `UnknownKey`, or `BadRequest` for an invalid header.
 pub fn authenticate(shared: &Arc<SharedState>, req: &Req) -> Result<RequestContext, Error> {
     let Some(active) = shared.active_config() else {
-        return Err(Error::new(Kind::NotConfigured, "no configuration yet"));
+        return Err(Error::new(
+            Kind::NotConfigured,
+            "this instance has no configuration yet",
+        ));
     };
     if !shared.is_ready() {
-        return Err(Error::new(Kind::Draining, "this instance is stopping"));
+        return Err(Error::new(Kind::Draining, "this instance is shutting down"));
     }
     let header = req.header("authorization").unwrap_or_default();
     let key = header.strip_prefix("Bearer ").unwrap_or_default();
     let customer = active
         .customer_by_key_hash
         .get(&conf::customer::hash_key(key));
-    let unknown = || Error::new(Kind::UnknownKey, "the bearer key belongs to no customer");
+    let unknown = || Error::new(Kind::UnknownKey, "the API key belongs to no customer");
     let customer = customer.ok_or_else(unknown)?;
     let policy = active.config.policy(customer).ok_or_else(unknown)?;
-    let wait_ms = match req.header("x-timeout-ms") {
+    let timeout_ms = match req.header("x-timeout-ms") {
         None => shared.settings.request_ms(),
-        Some(text) => text
-            .parse()
-            .map_err(|_| Error::new(Kind::BadRequest, "x-timeout-ms: a whole number is wanted"))?,
+        Some(value) => value.parse().map_err(|_| {
+            Error::new(
+                Kind::BadRequest,
+                "x-timeout-ms: expected a non-negative integer",
+            )
+        })?,
     };
     let now = shared.clock.now();
     Ok(RequestContext {
@@ -47,7 +53,7 @@
         policy,
         active: Arc::clone(&active),
         arrived_us: shared.clock.now_us(),
-        deadline: now + wait_ms.min(shared.settings.request_ms()),
+        deadline: now + timeout_ms.min(shared.settings.request_ms()),
         body: req.body.clone(),
         upstream: None,
         attempt_id: String::new(),
@@ -58,15 +64,15 @@
     })
 }
 
-/// Returns the caller's request id, or a new one.
+/// Returns the request id chosen by the caller, or a new one.
 fn request_id(req: &Req) -> Result<String, Error> {
     let Some(value) = req.headers.get("idempotency-key") else {
         return Ok(Uuid::now_v7().to_string());
     };
     let id = value.to_str().unwrap_or_default();
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
-    if id.is_empty() || id.len() > ID_MOST || !id.bytes().all(plain) {
-        let message = "Idempotency-Key: 1 to 128 letters, digits or -_.: are wanted";
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b"-_.:".contains(&b);
+    if id.is_empty() || id.len() > MAX_ID_LEN || !id.bytes().all(is_allowed) {
+        let message = "Idempotency-Key: expected 1 to 128 letters, digits or any of -_.:";
         return Err(Error::new(Kind::BadRequest, message));
     }
     Ok(id.to_string())
--- a/crates/entry/src/pipeline/chat.rs
+++ b/crates/entry/src/pipeline/chat.rs
@@ -1,4 +1,4 @@
-//! One chat completion through its filters, with the attempts that it may take.
+//! Processing of chat completions, with retries at other upstreams.
 
 use std::sync::Arc;
 
@@ -19,77 +19,78 @@
 use crate::shared_state::SharedState;
 
 const ENGINE: upstream::Kind = upstream::Kind::Engine;
-/// Attempts at different upstreams.
-const ATTEMPTS: u32 = 3;
+/// Maximum number of attempts, each at a different upstream.
+const MAX_ATTEMPTS: u32 = 3;
 
-/// Answers a chat completion.
+/// Handles a chat completion.
 pub async fn handle(shared: &Arc<SharedState>, req: &Req) -> Result<Res, Error> {
     let cx = auth::authenticate(shared, req)?;
     let chat = chat_request::parse(&req.body, &cx.policy)?;
     let (tx, rx) = oneshot::channel();
-    let out = CallerResponse::new(tx, chat.stream);
-    // A task of its own: the bill must be settled even when the caller leaves.
-    tokio::spawn(run(cx, chat, out));
-    let lost = |_| Error::new(Kind::Internal, "the request's task ended without an answer");
+    let response = CallerResponse::new(tx, chat.stream);
+    // In a separate task, since the bill must be settled even if the caller disconnects.
+    tokio::spawn(run(cx, chat, response));
+    let lost = |_| Error::new(Kind::Internal, "the request task ended without a response");
     rx.await.map_err(lost)?
 }
 
-async fn run(mut cx: RequestContext, chat: ChatRequest, mut out: CallerResponse) {
-    let busy = cx.shared.track_in_flight();
+async fn run(mut cx: RequestContext, chat: ChatRequest, mut response: CallerResponse) {
+    let in_flight = cx.shared.track_in_flight();
     cx.shared
         .retry_budget
         .lock()
-        .expect("no panic inside")
+        .expect("lock not poisoned")
         .request();
-    let code = match attempts(&mut cx, &chat, &mut out).await {
+    let code = match run_attempts(&mut cx, &chat, &mut response).await {
         Ok(()) => {
-            out.finish(&cx, &chat).await;
+            response.finish(&cx, &chat).await;
             "ok"
         }
         Err(error) => {
-            cx.record_step(format!("ends with {error}"));
+            cx.record_step(format!("finished with error {error}"));
             let code = error.kind.answer().code;
-            out.fail(error).await;
+            response.fail(error).await;
             code
         }
     };
     cx.shared.metrics.count_request(code);
-    drop(busy);
+    drop(in_flight);
 }
 
-/// Tries upstreams until the answer is whole, or there is nothing left to try.
-async fn attempts(
+/// Tries upstreams until the response is complete or no further attempt is possible.
+async fn run_attempts(
     cx: &mut RequestContext,
     chat: &ChatRequest,
-    out: &mut CallerResponse,
+    response: &mut CallerResponse,
 ) -> Result<(), Error> {
-    let mut spent = Usage {
+    let mut usage = Usage {
         body_hash: chat.body_hash,
         ..Usage::default()
     };
     loop {
-        // Boxed, as all that is not relaying: a stream would keep their large states as it lasts.
-        if let Err(error) = Box::pin(prepare(cx, chat, &spent)).await {
+        // Boxed, like everything except relaying: otherwise this future would hold memory for their
+        // large state while a stream lasts.
+        if let Err(error) = Box::pin(prepare(cx, chat, &usage)).await {
             choose::finish_attempt(cx, ENGINE, &chat.model, true);
-            Box::pin(settle(cx, spent.clone())).await;
-            return Err(blame(error, &spent));
+            Box::pin(settle(cx, usage.clone())).await;
+            return Err(mark_possibly_run(error, &usage));
         }
         cx.attempts += 1;
         cx.shared.metrics.attempts.inc();
         let joined = cx.hold.as_ref().is_some_and(|h| h.joined.is_some());
-        let end = relay_attempt(cx, chat, out, joined).await;
+        let end = relay_attempt(cx, chat, response, joined).await;
         cx.record_step(format!("attempt {} ended: {end:?}", cx.attempts));
         let ok = matches!(
             end,
             AttemptEnd::Whole(_) | AttemptEnd::CallerLeft | AttemptEnd::Late | AttemptEnd::Gone
         );
-        match Box::pin(after(cx, chat, out, end, &mut spent)).await {
-            Next::Whole => {
+        match Box::pin(after_attempt(cx, chat, response, end, &mut usage)).await {
+            NextStep::Done => {
                 choose::finish_attempt(cx, ENGINE, &chat.model, ok);
                 return Ok(());
             }
-            Next::Again => choose::finish_attempt(cx, ENGINE, &chat.model, ok),
-            Next::Stop(error) => {
+            NextStep::Retry => choose::finish_attempt(cx, ENGINE, &chat.model, ok),
+            NextStep::Fail(error) => {
                 choose::finish_attempt(cx, ENGINE, &chat.model, ok);
                 return Err(error);
             }
@@ -97,158 +98,172 @@
     }
 }
 
-/// An error after an attempt must not say that nothing ran.
-fn blame(error: Error, spent: &Usage) -> Error {
-    if spent.tokens > 0 || !spent.unconfirmed.is_empty() {
+/// Marks an error as possibly run if earlier attempts spent tokens or may have done so: it must not
+/// claim that nothing ran.
+fn mark_possibly_run(error: Error, usage: &Usage) -> Error {
+    if usage.tokens > 0 || !usage.unconfirmed.is_empty() {
         return error.ran(Ran::Unknown);
     }
     error
 }
 
-/// Chooses an upstream and has its cost held back.
-async fn prepare(cx: &mut RequestContext, chat: &ChatRequest, spent: &Usage) -> Result<(), Error> {
+/// Chooses an upstream and reserves the maximum cost of an attempt.
+async fn prepare(cx: &mut RequestContext, chat: &ChatRequest, usage: &Usage) -> Result<(), Error> {
     choose::choose(cx, ENGINE, &chat.model, chat.prefix_hash).await?;
     if let Some(hold) = &cx.hold {
-        // The hold still stands, less what the earlier attempts spent or may have spent.
-        let doubted: u64 = spent.unconfirmed.iter().map(|d| d.tokens).sum();
-        let wanted = spent.tokens + doubted + cost(chat);
-        let tokens = wanted.saturating_sub(hold.tokens);
+        // The hold must also cover what earlier attempts spent or may have spent.
+        let unconfirmed: u64 = usage.unconfirmed.iter().map(|u| u.tokens).sum();
+        let required = usage.tokens + unconfirmed + max_cost(chat);
+        let tokens = required.saturating_sub(hold.tokens);
         return reservation::extend(cx, tokens).await;
     }
     reservation::reserve(cx, chat).await?;
     let joined = cx.hold.as_ref().and_then(|h| h.joined.clone());
-    if let Some(at) = joined {
+    if let Some(attempt) = joined {
         choose::finish_attempt(cx, ENGINE, &chat.model, true);
-        choose::join_attempt(cx, &at)?;
+        choose::join_attempt(cx, &attempt)?;
     }
     Ok(())
 }
 
-fn cost(chat: &ChatRequest) -> u64 {
+/// Returns the maximum number of tokens that an attempt can cost.
+fn max_cost(chat: &ChatRequest) -> u64 {
     chat.max_prompt_tokens + chat.max_tokens
 }
 
-enum Next {
-    Whole,
-    Again,
-    Stop(Error),
+/// What follows the end of an attempt.
+enum NextStep {
+    Done,
+    Retry,
+    Fail(Error),
 }
 
-/// Decides what follows from an attempt's end, and settles when it was the last one.
-async fn after(
+/// Decides what follows the end of an attempt, and settles the hold after the last one.
+async fn after_attempt(
     cx: &mut RequestContext,
     chat: &ChatRequest,
-    out: &CallerResponse,
+    response: &CallerResponse,
     end: AttemptEnd,
-    spent: &mut Usage,
-) -> Next {
+    usage: &mut Usage,
+) -> NextStep {
     let hold = cx.hold.clone();
-    let finished = hold.as_ref().is_some_and(|h| h.billed.is_some());
-    let shared_run =
-        cx.has_caller_id && !matches!(end, AttemptEnd::Whole(_)) && !finished && others(cx).await;
+    let already_billed = hold.as_ref().is_some_and(|h| h.billed.is_some());
+    let served_elsewhere = cx.has_caller_id
+        && !matches!(end, AttemptEnd::Whole(_))
+        && !already_billed
+        && detach(cx).await;
     match end {
         AttemptEnd::Whole(tokens) => {
-            spent.tokens += tokens;
-            spent.billed = true;
-            settle(cx, spent.clone()).await;
-            Next::Whole
+            usage.tokens += tokens;
+            usage.billed = true;
+            settle(cx, usage.clone()).await;
+            NextStep::Done
         }
         AttemptEnd::NotRun(why) => {
-            if may_retry(cx) {
-                return Next::Again;
+            if try_acquire_retry(cx) {
+                return NextStep::Retry;
             }
-            settle(cx, spent.clone()).await;
-            let message = format!("no upstream took the request: {why}");
-            Next::Stop(blame(Error::new(Kind::NoUpstream, message), spent))
+            settle(cx, usage.clone()).await;
+            let message = format!("no upstream accepted the request: {why}");
+            NextStep::Fail(mark_possibly_run(
+                Error::new(Kind::NoUpstream, message),
+                usage,
+            ))
         }
         AttemptEnd::CallerLeft => {
-            if !shared_run && !finished {
-                stop_run(cx, chat, out, spent).await;
-                spent.billed = true;
-                settle(cx, spent.clone()).await;
+            if !served_elsewhere && !already_billed {
+                cancel_attempt(cx, chat, response, usage).await;
+                usage.billed = true;
+                settle(cx, usage.clone()).await;
             }
-            Next::Stop(Error::new(Kind::Incomplete, "the caller left"))
+            NextStep::Fail(Error::new(Kind::Incomplete, "the caller disconnected"))
         }
         AttemptEnd::Overrun => {
             cx.shared.log(Event::TokensExceeded, &cx.id);
-            stop_run(cx, chat, out, spent).await;
-            spent.billed = true;
-            settle(cx, spent.clone()).await;
-            Next::Whole
+            cancel_attempt(cx, chat, response, usage).await;
+            usage.billed = true;
+            settle(cx, usage.clone()).await;
+            NextStep::Done
         }
         AttemptEnd::Late => {
-            if !shared_run && !finished {
-                stop_run(cx, chat, out, spent).await;
-                settle(cx, spent.clone()).await;
+            if !served_elsewhere && !already_billed {
+                cancel_attempt(cx, chat, response, usage).await;
+                settle(cx, usage.clone()).await;
             }
-            Next::Stop(Error::new(
+            NextStep::Fail(Error::new(
                 Kind::DeadlinePassed,
-                "the caller's time is over",
+                "the deadline passed before the response was complete",
             ))
         }
-        AttemptEnd::Gone if finished => Next::Stop(Error::new(
+        AttemptEnd::Gone if already_billed => NextStep::Fail(Error::new(
             Kind::AnswerGone,
-            "the request was billed before, and its answer is no longer kept",
+            "the request was already billed, and its response is no longer available",
         )),
-        AttemptEnd::Broken(why) if shared_run || finished => {
-            let message = format!("the answer can't be taken up now: {why}");
-            Next::Stop(Error::new(Kind::InProgress, message))
+        AttemptEnd::Broken(why) if served_elsewhere || already_billed => {
+            let message = format!("the response can't be resumed now: {why}");
+            NextStep::Fail(Error::new(Kind::InProgress, message))
         }
-        AttemptEnd::Gone if shared_run => Next::Stop(Error::new(
+        AttemptEnd::Gone if served_elsewhere => NextStep::Fail(Error::new(
             Kind::InProgress,
-            "the request runs at another instance",
+            "the request is in progress at another instance",
         )),
         AttemptEnd::Gone | AttemptEnd::Broken(_) => {
-            stop_run(cx, chat, out, spent).await;
-            if out.position == 0 && may_retry(cx) {
+            cancel_attempt(cx, chat, response, usage).await;
+            if response.position == 0 && try_acquire_retry(cx) {
                 if let Some(hold) = &mut cx.hold {
-                    // What it had joined is cancelled: the next attempt is its own.
+                    // The attempt that was joined is cancelled; the next one is started here.
                     hold.joined = None;
                 }
-                return Next::Again;
+                return NextStep::Retry;
             }
-            settle(cx, spent.clone()).await;
+            settle(cx, usage.clone()).await;
             cx.shared.log(Event::ResponseAborted, &cx.id);
-            let message = format!("the answer broke off after {} tokens", out.position);
-            Next::Stop(Error::new(Kind::Incomplete, message))
+            let message = format!(
+                "the response was aborted after {} tokens",
+                response.position
+            );
+            NextStep::Fail(Error::new(Kind::Incomplete, message))
         }
     }
 }
 
-fn may_retry(cx: &RequestContext) -> bool {
-    let left = cx.attempts < ATTEMPTS && cx.remaining_ms() > 0;
-    left && cx
-        .shared
-        .retry_budget
-        .lock()
-        .expect("no panic inside")
-        .take()
+/// Takes a retry from the retry budget; returns whether another attempt may be made.
+fn try_acquire_retry(cx: &RequestContext) -> bool {
+    let is_possible = cx.attempts < MAX_ATTEMPTS && cx.remaining_ms() > 0;
+    is_possible
+        && cx
+            .shared
+            .retry_budget
+            .lock()
+            .expect("lock not poisoned")
+            .take()
 }
 
-/// Cancels the current attempt and adds what it spent, or may have spent.
-async fn stop_run(
+/// Cancels the current attempt and adds the tokens that it spent, or may have spent, to the usage.
+async fn cancel_attempt(
     cx: &RequestContext,
     chat: &ChatRequest,
-    out: &CallerResponse,
-    spent: &mut Usage,
+    response: &CallerResponse,
+    usage: &mut Usage,
 ) {
-    let at = cx.attempt_ref();
-    match budget_io::cancel_attempt(&cx.shared, &at).await {
-        Some(tokens) => spent.tokens += tokens,
+    let attempt = cx.attempt_ref();
+    match budget_io::cancel_attempt(&cx.shared, &attempt).await {
+        Some(tokens) => usage.tokens += tokens,
         None => {
-            let paid = out.position;
-            spent.tokens += paid;
-            spent.unconfirmed.push(UnconfirmedUsage {
-                attempt: at,
-                tokens: cost(chat) - paid,
-                settled: paid,
+            let delivered = response.position;
+            usage.tokens += delivered;
+            usage.unconfirmed.push(UnconfirmedUsage {
+                attempt,
+                tokens: max_cost(chat) - delivered,
+                settled: delivered,
             });
         }
     }
 }
 
-/// Returns whether other entries still serve the request, so that it must not be cancelled.
-async fn others(cx: &RequestContext) -> bool {
+/// Removes this instance from the hold; returns whether other entry instances still serve the request
+/// or may do so, in which case the attempt must not be cancelled.
+async fn detach(cx: &RequestContext) -> bool {
     let Some(Hold { holder, number, .. }) = cx.hold.clone() else {
         return false;
     };
--- a/crates/entry/src/pipeline/choose.rs
+++ b/crates/entry/src/pipeline/choose.rs
@@ -1,4 +1,4 @@
-//! Waits for room, then chooses an upstream.
+//! Admission to, and choice of, an upstream.
 
 use budget::msg::AttemptRef;
 use err::{Error, Kind};
@@ -9,14 +9,16 @@
 use super::context::RequestContext;
 use crate::admission;
 
-/// When to come back while no upstream serves something, in seconds.
-const RETRY_SECS: u32 = 2;
+/// `Retry-After` when no upstream serves the model or service, in seconds.
+const RETRY_AFTER_SECS: u32 = 2;
 
-/// Waits until an upstream has room and chooses one, which then counts one request more.
+/// Waits until an upstream has capacity, chooses one and counts the request as in flight there.
+///
+/// Only the first attempt waits: later ones belong to a request that was admitted already.
 ///
 /// # Errors
 ///
-/// Returns `Overloaded`, `DeadlinePassed` or `NoUpstream`; nothing has run then.
+/// Returns `Overloaded`, `DeadlinePassed` or `NoUpstream`; this attempt did not run.
 pub async fn choose(
     cx: &mut RequestContext,
     kind: upstream::Kind,
@@ -24,18 +26,18 @@
     prefix: Option<u64>,
 ) -> Result<(), Error> {
     let shared = cx.shared.clone();
-    let known = {
-        let pool = shared.pool.lock().expect("no panic inside");
+    let is_served = {
+        let pool = shared.pool.lock().expect("lock not poisoned");
         pool.serves(kind, serves)
     };
-    if !known {
-        return Err(none(serves));
+    if !is_served {
+        return Err(no_upstream(serves));
     }
     if cx.attempts == 0 {
         admission::admit(&shared, kind, serves, cx.policy.priority, cx.deadline).await?;
     }
     let now = shared.clock.now();
-    let mut pool = shared.pool.lock().expect("no panic inside");
+    let mut pool = shared.pool.lock().expect("lock not poisoned");
     let choice = pool.choose(
         now,
         &Ask {
@@ -48,7 +50,7 @@
             random: random(),
         },
     );
-    let choice = choice.ok_or_else(|| none(serves))?;
+    let choice = choice.ok_or_else(|| no_upstream(serves))?;
     pool.get_mut(choice.key).begin();
     drop(pool);
     cx.tried.push(choice.key);
@@ -58,44 +60,47 @@
     Ok(())
 }
 
-fn none(serves: &str) -> Error {
-    let message = format!("no upstream serves {serves} now");
-    Error::new(Kind::NoUpstream, message).retry_after(RETRY_SECS)
+fn no_upstream(serves: &str) -> Error {
+    let message = format!("no upstream serves {serves} at the moment");
+    Error::new(Kind::NoUpstream, message).retry_after(RETRY_AFTER_SECS)
 }
 
-/// Takes the upstream where the request runs already.
+/// Selects the upstream at which the request is already running.
 ///
 /// # Errors
 ///
-/// Returns `OutcomeUnknown` when this instance does not know the upstream.
-pub fn join_attempt(cx: &mut RequestContext, at: &AttemptRef) -> Result<(), Error> {
-    let mut pool = cx.shared.pool.lock().expect("no panic inside");
-    let key = pool.find(&at.upstream).ok_or_else(|| {
-        let message = format!("it runs at {}, which is not listed", at.upstream);
+/// Returns `OutcomeUnknown` if this instance does not know the upstream.
+pub fn join_attempt(cx: &mut RequestContext, attempt: &AttemptRef) -> Result<(), Error> {
+    let mut pool = cx.shared.pool.lock().expect("lock not poisoned");
+    let key = pool.find(&attempt.upstream).ok_or_else(|| {
+        let message = format!(
+            "the request is running at upstream {}, which is not listed",
+            attempt.upstream
+        );
         Error::new(Kind::OutcomeUnknown, message)
     })?;
-    let up = pool.get_mut(key);
-    up.begin();
+    let upstream = pool.get_mut(key);
+    upstream.begin();
     let choice = Choice {
         key,
-        id: up.spec.id.clone(),
-        url: up.spec.url.clone(),
+        id: upstream.spec.id.clone(),
+        url: upstream.spec.url.clone(),
         why: Why::Joined,
     };
     drop(pool);
-    cx.attempt_id = at.id.clone();
+    cx.attempt_id = attempt.id.clone();
     cx.upstream = Some(choice);
     Ok(())
 }
 
-/// Counts the end of an attempt at the chosen upstream.
+/// Records the end of the attempt at the chosen upstream, if there is one.
 pub fn finish_attempt(cx: &mut RequestContext, kind: upstream::Kind, serves: &str, ok: bool) {
     let Some(choice) = cx.upstream.take() else {
         return;
     };
     let now = cx.shared.clock.now();
     {
-        let mut pool = cx.shared.pool.lock().expect("no panic inside");
+        let mut pool = cx.shared.pool.lock().expect("lock not poisoned");
         pool.get_mut(choice.key).end(now, ok, random());
     }
     admission::record_finished(&cx.shared, kind, serves);
--- a/crates/entry/src/pipeline/claims.rs
+++ b/crates/entry/src/pipeline/claims.rs
@@ -1,4 +1,6 @@
-//! Claims a request that may not be repeated, before it is sent anywhere.
+//! Claims of requests that must not be repeated.
+//!
+//! Such a request is claimed in the store before it is sent to an upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,18 +17,20 @@
 use crate::messages::method;
 use crate::shared_state::SharedState;
 
-/// How long a claim may take; longer means that the platform is out.
-const CLAIM_MS: u64 = 4_000;
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// An instance binds its claims to one lease for this long, then makes another.
-const LEASE_USE_MS: u64 = 3_600_000;
-/// How long an answer waits until it is stored.
-const STORE_WAIT: Duration = Duration::from_secs(1);
-const STORE_EVERY: Duration = Duration::from_millis(500);
-/// When to come back while the platform is out, in seconds.
-const OUTAGE_RETRY_SECS: u32 = 5;
-
-/// A claim that is this attempt's own.
+/// Time in which a claim must succeed; otherwise the platform counts as unavailable.
+const CLAIM_TIMEOUT_MS: u64 = 4_000;
+/// Pause before a failed write of a claim is retried.
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// An instance binds its new claims to the same lease for this time, then creates another one.
+const LEASE_ROTATION_MS: u64 = 3_600_000;
+/// Maximum time that a response is delayed until the result of its request is stored.
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause before a failed write of the result is retried.
+const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// `Retry-After` while the platform is unavailable, in seconds.
+const OUTAGE_RETRY_AFTER_SECS: u32 = 5;
+
+/// A claim that this attempt has acquired.
 #[derive(Clone, Debug)]
 pub struct OwnedClaim {
     key: String,
@@ -34,11 +38,11 @@
     revision: i64,
 }
 
-/// What became of a claim.
+/// The outcome of claiming a request.
 pub enum ClaimOutcome {
     /// The request may run here, once.
     Run(OwnedClaim),
-    /// It ran before; this was its answer.
+    /// The request has already run and returned this response.
     Replay(StoredResponse),
 }
 
@@ -46,208 +50,232 @@
 ///
 /// # Errors
 ///
-/// Returns why it must not run: a bad or used id, another holder, or the platform being out.
+/// Returns why the request must not run: its id is invalid or was used for another request, another
+/// instance holds the claim, or the platform is unavailable.
 pub async fn acquire(cx: &RequestContext, req: &Req) -> Result<ClaimOutcome, Error> {
     check_id(cx)?;
     let shared = &cx.shared;
-    let mine = Claim {
+    let own = Claim {
         attempt: Uuid::new_v4().to_string(),
         holder: shared.own_id.clone(),
         request_hash: claim::request_hash(&req.method, &req.path, &req.body),
         state: State::Claimed,
     };
-    set_status(shared, &mine.attempt, AttemptStatus::Running);
-    let outcome = contend(cx, &mine).await;
+    set_status(shared, &own.attempt, AttemptStatus::Running);
+    let outcome = write_claim(cx, &own).await;
     if !matches!(outcome, Ok(ClaimOutcome::Run(_))) {
-        // The write may still land. Whoever asks about it is told that it never runs.
-        set_status(shared, &mine.attempt, AttemptStatus::NotRun);
+        // A write may still take effect. Instances that ask for its status learn that this attempt
+        // never runs the request.
+        set_status(shared, &own.attempt, AttemptStatus::NotRun);
     }
     outcome
 }
 
 fn check_id(cx: &RequestContext) -> Result<(), Error> {
     let retention = cx.shared.settings.claim_retention_ms();
-    let wanted = "this request may not be repeated: an Idempotency-Key that is a UUID of version 7 is wanted";
+    let message = "this request must not be repeated: the Idempotency-Key must be a version 7 UUID";
     match claim::check_id(&cx.id, wall_ms(), retention) {
         Ok(()) if cx.has_caller_id => Ok(()),
-        Ok(()) | Err(IdError::NoTimestamp) => Err(Error::new(Kind::IdRequired, wanted)),
+        Ok(()) | Err(IdError::NoTimestamp) => Err(Error::new(Kind::IdRequired, message)),
         Err(IdError::TooOld) => Err(Error::new(
             Kind::IdTooOld,
-            "the request id is older than claims are kept",
+            "the request id is older than the retention period of claims",
         )),
         Err(IdError::InFuture) => Err(Error::new(
             Kind::BadRequest,
-            "the request id lies in the future",
+            "the timestamp of the request id is in the future",
         )),
     }
 }
 
-/// Returns the key of a claim.
-fn key(customer: &str, id: &str) -> String {
+/// Returns the store key of a claim.
+fn claim_key(customer: &str, id: &str) -> String {
     format!("/oriolehitch/claim/{customer}/{id}")
 }
 
-async fn contend(cx: &RequestContext, mine: &Claim) -> Result<ClaimOutcome, Error> {
+/// Writes a claim, after resolving an existing one.
+async fn write_claim(cx: &RequestContext, own: &Claim) -> Result<ClaimOutcome, Error> {
     let shared = &cx.shared;
-    let key = key(&cx.customer, &cx.id);
-    let text = serde_json::to_vec(mine).expect("a claim is JSON");
-    let until = (shared.clock.now() + CLAIM_MS).min(cx.deadline);
-    let mut base = 0;
-    while shared.clock.now() < until {
-        let Some(lease) = lease(shared).await else {
-            tokio::time::sleep(RETRY_PAUSE).await;
+    let key = claim_key(&cx.customer, &cx.id);
+    let value = serde_json::to_vec(own).expect("a claim serializes");
+    let give_up_at = (shared.clock.now() + CLAIM_TIMEOUT_MS).min(cx.deadline);
+    let mut base_revision = 0;
+    while shared.clock.now() < give_up_at {
+        let Some(lease) = current_lease(shared).await else {
+            tokio::time::sleep(RETRY_INTERVAL).await;
             continue;
         };
-        let found = match shared.kv.swap(&key, base, &text, lease).await {
-            Ok(Swap::Done(revision)) => return Ok(run(&key, mine, revision)),
+        let found = match shared.kv.swap(&key, base_revision, &value, lease).await {
+            Ok(Swap::Done(revision)) => return Ok(owned_claim(&key, own, revision)),
             Ok(Swap::Lost(Some(found))) => found,
             Ok(Swap::Lost(None)) => {
-                base = 0;
+                base_revision = 0;
                 continue;
             }
             Err(Failure::Refused(_) | Failure::Unknown(_)) => {
-                // The same write again is safe: it carries this attempt's own name.
-                tokio::time::sleep(RETRY_PAUSE).await;
+                // Repeating the write is safe, since the claim contains the id of this attempt.
+                tokio::time::sleep(RETRY_INTERVAL).await;
                 continue;
             }
         };
-        match judge(cx, mine, &found).await? {
-            Resolution::Run => return Ok(run(&key, mine, found.revision)),
+        match resolve_existing(cx, own, &found).await? {
+            Resolution::Run => return Ok(owned_claim(&key, own, found.revision)),
             Resolution::Replay(answer) => return Ok(ClaimOutcome::Replay(answer)),
-            Resolution::Replace => base = found.revision,
-            next => return Err(refusal(&next)),
+            Resolution::Replace => base_revision = found.revision,
+            resolution => return Err(refusal_error(&resolution)),
         }
     }
-    let message = "the platform's service does not answer, and the request needs its claim";
-    Err(Error::new(Kind::PlatformDown, message).retry_after(OUTAGE_RETRY_SECS))
+    let message = "the platform's key-value store did not respond, and the request needs a claim";
+    Err(Error::new(Kind::PlatformDown, message).retry_after(OUTAGE_RETRY_AFTER_SECS))
 }
 
-fn run(key: &str, mine: &Claim, revision: i64) -> ClaimOutcome {
+fn owned_claim(key: &str, own: &Claim, revision: i64) -> ClaimOutcome {
     ClaimOutcome::Run(OwnedClaim {
         key: key.to_string(),
-        claim: mine.clone(),
+        claim: own.clone(),
         revision,
     })
 }
 
-async fn judge(cx: &RequestContext, mine: &Claim, found: &Found) -> Result<Resolution, Error> {
-    let broken = |e: serde_json::Error| Error::new(Kind::Internal, format!("a broken claim: {e}"));
-    let theirs: Claim = serde_json::from_slice(&found.value).map_err(broken)?;
-    match claim::resolve(&theirs, mine, None) {
+async fn resolve_existing(
+    cx: &RequestContext,
+    own: &Claim,
+    found: &Found,
+) -> Result<Resolution, Error> {
+    let invalid = |e: serde_json::Error| {
+        Error::new(Kind::Internal, format!("invalid claim in the store: {e}"))
+    };
+    let existing: Claim = serde_json::from_slice(&found.value).map_err(invalid)?;
+    match claim::resolve(&existing, own, None) {
         Resolution::AskHolder => {
-            let word = ask_holder(&cx.shared, &theirs).await;
-            cx.record_step(format!("claimed by {}, which says {word:?}", theirs.holder));
-            Ok(claim::resolve(&theirs, mine, Some(word)))
+            let status = fetch_holder_status(&cx.shared, &existing).await;
+            cx.record_step(format!("claimed by {}, status {status:?}", existing.holder));
+            Ok(claim::resolve(&existing, own, Some(status)))
         }
-        next => Ok(next),
+        resolution => Ok(resolution),
     }
 }
 
-fn refusal(next: &Resolution) -> Error {
-    match next {
+fn refusal_error(resolution: &Resolution) -> Error {
+    match resolution {
         Resolution::IdReused => Error::new(
             Kind::IdReused,
-            "this request id came before with another request",
+            "this request id was already used for a different request",
         ),
         Resolution::InProgress => {
-            Error::new(Kind::InProgress, "the request runs at another instance")
+            Error::new(Kind::InProgress, "the request is already in progress")
         }
         _ => Error::new(
             Kind::OutcomeUnknown,
-            "the request's holder is gone: it may or may not have run, and is not run again",
+            "it is unknown whether the request ran; it is not run again",
         ),
     }
 }
 
-async fn ask_holder(shared: &SharedState, theirs: &Claim) -> AttemptStatus {
-    if theirs.holder == shared.own_id {
-        let attempts = shared.claim_attempts.lock().expect("no panic inside");
+/// Returns the status of the attempt that holds a claim, as its holder reports it.
+async fn fetch_holder_status(shared: &SharedState, existing: &Claim) -> AttemptStatus {
+    if existing.holder == shared.own_id {
+        let attempts = shared.claim_attempts.lock().expect("lock not poisoned");
         return attempts
-            .get(&theirs.attempt)
+            .get(&existing.attempt)
             .copied()
             .unwrap_or(AttemptStatus::Unknown);
     }
-    let Some(addr) = shared.peer_addr(&theirs.holder) else {
+    let Some(addr) = shared.peer_addr(&existing.holder) else {
         return AttemptStatus::Silent;
     };
-    let asked = shared.peers.call(
+    let reply = shared.peers.call(
         &shared.metrics,
         &addr,
         method::ATTEMPT_STATUS,
-        &theirs.attempt,
+        &existing.attempt,
     );
-    asked.await.unwrap_or(AttemptStatus::Silent)
+    reply.await.unwrap_or(AttemptStatus::Silent)
 }
 
-/// Remembers how far an attempt is.
-pub fn set_status(shared: &SharedState, attempt: &str, word: AttemptStatus) {
-    let mut attempts = shared.claim_attempts.lock().expect("no panic inside");
-    attempts.insert(attempt.to_string(), word);
+/// Sets the status of an attempt of this instance.
+pub fn set_status(shared: &SharedState, attempt: &str, status: AttemptStatus) {
+    let mut attempts = shared.claim_attempts.lock().expect("lock not poisoned");
+    attempts.insert(attempt.to_string(), status);
 }
 
-/// Returns the lease that claims are bound to now.
+/// Returns the lease that new claims are bound to; none if it could not be created.
 ///
-/// One lease serves an hour's claims, and lives longer than any id of that hour is accepted.
-async fn lease(shared: &SharedState) -> Option<i64> {
+/// A lease is used for an hour, and outlives the time in which the ids of that hour are accepted.
+async fn current_lease(shared: &SharedState) -> Option<i64> {
     let now = shared.clock.now();
     let mut current = shared.claim_lease.lock().await;
-    if let Some((id, until)) = *current {
-        if now < until {
+    if let Some((id, use_until)) = *current {
+        if now < use_until {
             return Some(id);
         }
     }
-    let keep = claim::lease_ttl_secs(shared.settings.claim_retention_ms());
-    let id = shared.kv.lease(keep + LEASE_USE_MS / 1000).await.ok()?;
-    *current = Some((id, now + LEASE_USE_MS));
+    let ttl_secs = claim::lease_ttl_secs(shared.settings.claim_retention_ms());
+    let id = shared
+        .kv
+        .lease(ttl_secs + LEASE_ROTATION_MS / 1000)
+        .await
+        .ok()?;
+    *current = Some((id, now + LEASE_ROTATION_MS));
     Some(id)
 }
 
-/// Stores the end of a claimed request; goes on in the background when the platform is out.
-pub async fn finish(shared: &Arc<SharedState>, held: OwnedClaim, state: State) {
-    let word = match state {
+/// Stores the result of a claimed request. If the platform is unavailable, this continues in the
+/// background.
+pub async fn finish(shared: &Arc<SharedState>, owned: OwnedClaim, state: State) {
+    let status = match state {
         State::NotRun => AttemptStatus::NotRun,
         _ => AttemptStatus::Unknown,
     };
-    let cx = Arc::clone(shared);
-    let busy = shared.track_in_flight();
+    let task_shared = Arc::clone(shared);
+    let in_flight = shared.track_in_flight();
     let stored = tokio::spawn(async move {
-        store(&cx, held, state, word).await;
-        drop(busy);
+        store_state(&task_shared, owned, state, status).await;
+        drop(in_flight);
     });
-    // The caller gets its answer anyway; a retry before the store asks this holder.
-    let _ = tokio::time::timeout(STORE_WAIT, stored).await;
+    // The caller gets its response in any case. Until the result is stored, instances that receive
+    // the request again ask this one for the status.
+    let _ = tokio::time::timeout(STORE_TIMEOUT, stored).await;
 }
 
-async fn store(shared: &SharedState, mut held: OwnedClaim, state: State, word: AttemptStatus) {
-    let attempt = held.claim.attempt.clone();
-    if word == AttemptStatus::NotRun {
-        set_status(shared, &attempt, word);
+async fn store_state(
+    shared: &SharedState,
+    mut owned: OwnedClaim,
+    state: State,
+    status: AttemptStatus,
+) {
+    let attempt = owned.claim.attempt.clone();
+    if status == AttemptStatus::NotRun {
+        set_status(shared, &attempt, status);
     }
-    held.claim.state = state;
-    let text = serde_json::to_vec(&held.claim).expect("a claim is JSON");
-    let mut late = false;
+    owned.claim.state = state;
+    let value = serde_json::to_vec(&owned.claim).expect("a claim serializes");
+    let mut logged = false;
     loop {
-        let Some(lease) = lease(shared).await else {
-            tokio::time::sleep(STORE_EVERY).await;
+        let Some(lease) = current_lease(shared).await else {
+            tokio::time::sleep(STORE_RETRY_INTERVAL).await;
             continue;
         };
-        let swapped = shared.kv.swap(&held.key, held.revision, &text, lease).await;
+        let swapped = shared
+            .kv
+            .swap(&owned.key, owned.revision, &value, lease)
+            .await;
         match swapped {
             Ok(Swap::Done(_)) => break,
-            Ok(Swap::Lost(Some(found))) if found.value == text => break,
-            // Another attempt replaced a claim that this one called not run, or the key lapsed.
+            Ok(Swap::Lost(Some(found))) if found.value == value => break,
+            // Another attempt replaced the claim, since it was reported as not run, or the key expired.
             Ok(Swap::Lost(_)) => break,
             Err(_) => {}
         }
-        if !late {
-            shared.log(Event::ClaimNotStored, &held.key);
-            late = true;
+        if !logged {
+            shared.log(Event::ClaimNotStored, &owned.key);
+            logged = true;
         }
-        tokio::time::sleep(STORE_EVERY).await;
+        tokio::time::sleep(STORE_RETRY_INTERVAL).await;
     }
     shared
         .claim_attempts
         .lock()
-        .expect("no panic inside")
+        .expect("lock not poisoned")
         .remove(&attempt);
 }
--- a/crates/entry/src/pipeline/context.rs
+++ b/crates/entry/src/pipeline/context.rs
@@ -1,4 +1,4 @@
-//! The context of one request: it travels through the filters.
+//! The context of a request, which its stages share.
 
 use std::sync::Arc;
 
@@ -10,68 +10,69 @@
 
 use crate::shared_state::{ActiveConfig, SharedState};
 
-/// A hold of tokens at its holder.
+/// A hold: tokens that are reserved for the request at an instance, the holder.
 #[derive(Clone, Debug)]
 pub struct Hold {
-    /// The holder, an incarnation.
+    /// Incarnation of the holder.
     pub holder: String,
-    /// The hold's number there.
+    /// Number of the hold at that holder.
     pub number: u64,
-    /// Tokens.
+    /// Number of reserved tokens.
     pub tokens: u64,
-    /// Where the request runs, when another entry has begun it.
+    /// The attempt to join, if it was started by an earlier request with the same id.
     pub joined: Option<AttemptRef>,
-    /// Tokens that were billed before, when the request is finished.
+    /// The tokens that were billed, if the request has already finished.
     pub billed: Option<u64>,
 }
 
 /// The context of one request.
 pub struct RequestContext {
-    /// What the instance's tasks share.
+    /// The state of the instance.
     pub shared: Arc<SharedState>,
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
-    /// The customer.
+    /// Name of the customer.
     pub customer: String,
-    /// What holds for the customer, from the configuration that the request began with.
+    /// The customer's policy in the configuration that was active on arrival.
     pub policy: Policy,
-    /// The configuration that the request began with.
+    /// The configuration that was active on arrival.
     pub active: Arc<ActiveConfig>,
-    /// When the request came, in microseconds.
+    /// Time of arrival, in microseconds.
     pub arrived_us: u64,
-    /// Whether the caller chose the id, and so may come back for the answer.
+    /// Whether the caller chose the id and may therefore send the request again to get the response.
     pub has_caller_id: bool,
-    /// When its caller's time is over, in milliseconds.
+    /// Deadline of the response, in milliseconds.
     pub deadline: u64,
-    /// The body as it came.
+    /// The unmodified body.
     pub body: Bytes,
     /// The chosen upstream.
     pub upstream: Option<Choice>,
-    /// The name of the current attempt at the upstream.
+    /// Id of the current attempt at the upstream.
     pub attempt_id: String,
-    /// Upstreams that were tried.
+    /// Upstreams that were chosen for this request so far.
     pub tried: SmallVec<[Key; 4]>,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// The tokens held for it.
+    /// The hold that pays for the request.
     pub hold: Option<Hold>,
 }
 
 impl RequestContext {
-    /// Adds a step to the request's journal.
-    pub fn record_step(&self, what: impl Into<String>) {
-        self.shared.record_step(&self.id, what);
+    /// Records a step of the request in the journal.
+    pub fn record_step(&self, description: impl Into<String>) {
+        self.shared.record_step(&self.id, description);
     }
 
-    /// Names the next run at an upstream, unlike any before.
+    /// Generates a unique id for the next attempt.
     ///
-    /// A late part of another run is told apart by it. A home that was given up, and later asks the
-    /// upstream what its reservation spent, must not find the run that another home holds.
+    /// By this id, late events of another attempt are recognized. Each home that is asked for a
+    /// reservation gets its own id: a home that did not respond in time may later cancel the attempt
+    /// that it knows, and must not hit the one that another home's hold pays for.
     pub fn new_attempt_id(&mut self) {
         self.attempt_id = format!("{}~{:08x}", self.id, rand::random::<u32>());
     }
 
-    /// Returns where the current attempt runs.
+    /// Returns the upstream and the id of the current attempt.
     pub fn attempt_ref(&self) -> AttemptRef {
         let upstream = self.upstream.as_ref().map(|u| u.id.clone());
         AttemptRef {
--- a/crates/entry/src/pipeline/mod.rs
+++ b/crates/entry/src/pipeline/mod.rs
@@ -1,7 +1,8 @@
-//! The filters that a request passes, one file each.
+//! The stages of request processing.
 //!
-//! A chat goes parse → authenticate → admit and choose → reserve → relay → settle. A plain call
-//! goes authenticate → claim (if it may not be repeated) → admit and choose → forward.
+//! A chat completion is authenticated, parsed, admitted to an upstream, covered by a reservation,
+//! relayed and settled. A call of a plain service is authenticated, claimed if it must not be
+//! repeated, admitted to an upstream and forwarded.
 
 pub mod auth;
 pub mod chat;
--- a/crates/entry/src/pipeline/reservation.rs
+++ b/crates/entry/src/pipeline/reservation.rs
@@ -1,4 +1,4 @@
-//! Holds back the most that a request can cost, before anything is sent.
+//! Reserves the maximum cost of a request before it is sent to an upstream.
 
 use std::time::Duration;
 
@@ -13,69 +13,79 @@
 use crate::messages::{method, ExtendMsg, ReserveMsg, VoidMsg};
 use crate::shared_state::SharedState;
 
-/// How long a home may look for tokens, in milliseconds.
-const WAIT_MS: u64 = 1_500;
-/// When to come back while no home can be reached, in seconds.
-const RETRY_SECS: u32 = 2;
+/// Time that a home has to obtain the tokens, in milliseconds.
+const TOKEN_WAIT_MS: u64 = 1_500;
+/// `Retry-After` when no home can be reached, in seconds.
+const RETRY_AFTER_SECS: u32 = 2;
+/// Timeout of a call that counts the tokens of a prompt.
 const TOKENIZE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two attempts to give up a reservation.
-const VOID_EVERY: Duration = Duration::from_secs(1);
-const VOID_TRIES: u32 = 60;
+/// Pause between attempts to void a reservation.
+const VOID_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of attempts to void a reservation.
+const MAX_VOID_ATTEMPTS: u32 = 60;
 
-/// Holds back the most that a chat can cost.
+/// Reserves the maximum cost of a chat completion.
 ///
 /// # Errors
 ///
-/// Returns `BudgetExhausted` when it can't be covered for good, `BudgetOutOfReach` when it may be
-/// later, `IdReused` for an id with another body.
+/// Returns `BudgetExhausted` if the budget can't cover the cost, `BudgetOutOfReach` if it may cover
+/// it later, and `IdReused` if the id was used with another body.
 pub async fn reserve(cx: &mut RequestContext, chat: &ChatRequest) -> Result<(), Error> {
-    let began = cx.shared.clock.now_us();
+    let started_us = cx.shared.clock.now_us();
     let bound = chat.max_prompt_tokens + chat.max_tokens;
-    let mut reply = ask_homes(cx, chat, bound).await?;
-    let refused = |r: &ReserveReply| {
+    let mut reply = reserve_at_homes(cx, chat, bound).await?;
+    let is_refused = |r: &ReserveReply| {
         matches!(
             r,
             ReserveReply::Exhausted { .. } | ReserveReply::OutOfReach { .. }
         )
     };
-    if refused(&reply) {
-        // The bound from bytes is several times the prompt: ask what it really is.
-        if let Some(exact) = tokenize(cx, chat).await {
-            cx.record_step(format!("bound {bound} does not fit, exact is {exact}"));
-            reply = ask_homes(cx, chat, exact + chat.max_tokens).await?;
+    if is_refused(&reply) {
+        // The upper bound from the number of bytes is several times the actual number of tokens, so
+        // the engine is asked for it.
+        if let Some(exact) = count_prompt_tokens(cx, chat).await {
+            cx.record_step(format!(
+                "reservation of {bound} tokens refused; the prompt has {exact} tokens"
+            ));
+            reply = reserve_at_homes(cx, chat, exact + chat.max_tokens).await?;
         }
     }
-    let took = cx.shared.clock.now_us() - began;
-    cx.shared.metrics.reserve_seconds.observe(took as f64 / 1e6);
-    judge(cx, reply)
+    let elapsed_us = cx.shared.clock.now_us() - started_us;
+    cx.shared
+        .metrics
+        .reserve_seconds
+        .observe(elapsed_us as f64 / 1e6);
+    check_reply(cx, reply)
 }
 
-fn judge(cx: &mut RequestContext, reply: ReserveReply) -> Result<(), Error> {
+/// Returns the error of a refused reservation.
+fn check_reply(cx: &mut RequestContext, reply: ReserveReply) -> Result<(), Error> {
     match reply {
         ReserveReply::Held { .. } | ReserveReply::Exists { .. } => Ok(()),
         ReserveReply::IdReused => Err(Error::new(
             Kind::IdReused,
-            "this request id came before with another body",
+            "this request id was already used with a different body",
         )),
         ReserveReply::Voided => Err(Error::new(
             Kind::BudgetOutOfReach,
-            "this instance gave the request up before",
+            "this instance has already voided the reservation of this request",
         )),
         ReserveReply::Exhausted { left } => Err(Error::new(
             Kind::BudgetExhausted,
-            format!("the budget has {left} tokens left, fewer than this request can cost"),
+            format!("the budget has {left} tokens left, fewer than this request may cost"),
         )),
         ReserveReply::OutOfReach { retry_ms } => {
             cx.record_step("budget out of reach");
-            let message = "the budget's tokens are held elsewhere or reserved";
+            let message =
+                "the remaining tokens of the budget are reserved or held by other instances";
             let secs = retry_ms.div_ceil(1000) as u32;
             Err(Error::new(Kind::BudgetOutOfReach, message).retry_after(secs))
         }
     }
 }
 
-/// Asks the home, then the standbys, until one answers.
-async fn ask_homes(
+/// Requests the reservation from the home, then from the standbys, until one of them replies.
+async fn reserve_at_homes(
     cx: &mut RequestContext,
     chat: &ChatRequest,
     tokens: u64,
@@ -90,27 +100,28 @@
             tokens,
             weight: cx.policy.weight,
         },
-        wait_ms: WAIT_MS,
+        wait_ms: TOKEN_WAIT_MS,
     };
     for home in home_order(&cx.shared, &cx.customer) {
         cx.new_attempt_id();
         msg.request.attempt = cx.attempt_ref();
-        let Some(reply) = ask_home(&cx.shared, &home, &msg).await else {
-            cx.record_step(format!("home {home} does not answer"));
-            give_up(cx, &home);
+        let Some(reply) = reserve_at(&cx.shared, &home, &msg).await else {
+            cx.record_step(format!("home {home} did not respond"));
+            void_reservation(cx, &home);
             continue;
         };
-        note(cx, &reply, tokens);
+        record_hold(cx, &reply, tokens);
         return Ok(reply);
     }
-    let message = "no instance that holds this budget can be reached";
-    Err(Error::new(Kind::BudgetOutOfReach, message).retry_after(RETRY_SECS))
+    let message = "neither the home of this budget nor a standby can be reached";
+    Err(Error::new(Kind::BudgetOutOfReach, message).retry_after(RETRY_AFTER_SECS))
 }
 
-fn note(cx: &mut RequestContext, reply: &ReserveReply, tokens: u64) {
+/// Sets the request's hold after a successful reservation.
+fn record_hold(cx: &mut RequestContext, reply: &ReserveReply, tokens: u64) {
     match reply {
         ReserveReply::Held { holder, hold } => {
-            cx.record_step(format!("holds {tokens} tokens at {holder}, number {hold}"));
+            cx.record_step(format!("reserved {tokens} tokens at {holder}, hold {hold}"));
             cx.hold = Some(Hold {
                 holder: holder.clone(),
                 number: *hold,
@@ -122,18 +133,18 @@
         ReserveReply::Exists {
             holder,
             hold,
-            attempt: at,
+            attempt,
             billed,
         } => {
-            let upstream = &at.upstream;
+            let upstream = &attempt.upstream;
             cx.record_step(format!(
-                "known at {holder}, runs at {upstream}, billed {billed:?}"
+                "already known at {holder}, upstream {upstream}, billed {billed:?}"
             ));
             cx.hold = Some(Hold {
                 holder: holder.clone(),
                 number: *hold,
                 tokens,
-                joined: Some(at.clone()),
+                joined: Some(attempt.clone()),
                 billed: *billed,
             });
         }
@@ -141,7 +152,8 @@
     }
 }
 
-/// Returns the instances to ask for a budget: the home, the own zone's standby, the others.
+/// Returns the instances to ask for tokens of a budget, in this order: the home, the standby of this
+/// instance's zone, the other standbys.
 pub fn home_order(shared: &SharedState, account: &str) -> Vec<String> {
     let candidates = shared.home_candidates();
     let shard = placement::shard_of(account, shared.settings.shards());
@@ -152,7 +164,8 @@
     order.into_iter().map(|c| c.id.clone()).collect()
 }
 
-async fn ask_home(shared: &SharedState, home: &str, msg: &ReserveMsg) -> Option<ReserveReply> {
+/// Requests a reservation from an instance; returns `None` if it does not reply.
+async fn reserve_at(shared: &SharedState, home: &str, msg: &ReserveMsg) -> Option<ReserveReply> {
     if home == shared.own_id {
         return shared
             .budgets
@@ -167,8 +180,8 @@
         .ok()
 }
 
-/// Tells a home that did not answer in time that its reservation will not be used.
-fn give_up(cx: &RequestContext, home: &str) {
+/// Tells a home that did not reply in time that its reservation will not be used.
+fn void_reservation(cx: &RequestContext, home: &str) {
     let shared = cx.shared.clone();
     let home = home.to_string();
     let msg = VoidMsg {
@@ -177,46 +190,51 @@
         entry: shared.own_id.clone(),
     };
     tokio::spawn(async move {
-        for _ in 0..VOID_TRIES {
+        for _ in 0..MAX_VOID_ATTEMPTS {
             let Some(addr) = shared.peer_addr(&home) else {
                 return;
             };
-            let done = shared
+            let reply = shared
                 .peers
                 .call::<_, bool>(&shared.metrics, &addr, method::VOID, &msg);
-            if done.await.is_ok() {
+            if reply.await.is_ok() {
                 return;
             }
-            tokio::time::sleep(VOID_EVERY).await;
+            tokio::time::sleep(VOID_RETRY_INTERVAL).await;
         }
     });
 }
 
-/// Tells the home where the next attempt goes, and widens the hold by what it can cost more.
+/// Tells the holder of the hold about the next attempt, and adds tokens to the hold.
 ///
 /// # Errors
 ///
-/// Returns an error when the home does not cover it; the attempt must not be made then.
+/// Returns `BudgetOutOfReach` if the tokens were not added; the attempt must not be made then.
 pub async fn extend(cx: &mut RequestContext, tokens: u64) -> Result<(), Error> {
-    let gone = || Error::new(Kind::BudgetOutOfReach, "another attempt can't be covered");
-    let hold = cx.hold.clone().ok_or_else(gone)?;
+    let not_covered = || {
+        Error::new(
+            Kind::BudgetOutOfReach,
+            "the budget does not cover another attempt at present",
+        )
+    };
+    let hold = cx.hold.clone().ok_or_else(not_covered)?;
     let msg = ExtendMsg {
         account: cx.customer.clone(),
         hold: hold.number,
         attempt: cx.attempt_ref(),
         tokens,
-        wait_ms: WAIT_MS,
+        wait_ms: TOKEN_WAIT_MS,
     };
     let shared = &cx.shared;
     let reply = if hold.holder == shared.own_id {
         shared.budgets.extend(msg).await
     } else {
-        let addr = shared.peer_addr(&hold.holder).ok_or_else(gone)?;
-        let called = shared
+        let addr = shared.peer_addr(&hold.holder).ok_or_else(not_covered)?;
+        let reply = shared
             .peers
             .call(&shared.metrics, &addr, method::EXTEND, &msg)
             .await;
-        called.ok()
+        reply.ok()
     };
     match reply {
         Some(ReserveReply::Held { .. }) => {
@@ -224,12 +242,12 @@
             hold.tokens += tokens;
             Ok(())
         }
-        _ => Err(gone()),
+        _ => Err(not_covered()),
     }
 }
 
-/// Asks an engine how long the prompt is.
-async fn tokenize(cx: &RequestContext, chat: &ChatRequest) -> Option<u64> {
+/// Returns the number of tokens of the prompt, counted by the chosen engine.
+async fn count_prompt_tokens(cx: &RequestContext, chat: &ChatRequest) -> Option<u64> {
     let url = format!("{}/tokenize", cx.upstream.as_ref()?.url);
     let sent = cx.shared.http.post(url).json(&chat.engine_body);
     let res = sent.timeout(TOKENIZE_TIMEOUT).send().await.ok()?;
--- a/crates/entry/src/pipeline/service_call.rs
+++ b/crates/entry/src/pipeline/service_call.rs
@@ -1,4 +1,4 @@
-//! One call of a plain service: forwarded whole, repeated only where that is allowed.
+//! Calls of plain services: forwarded as a whole, and repeated only where that is allowed.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,109 +18,124 @@
 use crate::shared_state::SharedState;
 
 const SERVICE: upstream::Kind = upstream::Kind::Service;
-/// Attempts at different upstreams.
-const ATTEMPTS: u32 = 3;
-/// Largest answer that is stored for a retry, in bytes.
-const STORED_MOST: usize = 256 << 10;
-/// Headers of the caller that go on to the service.
-const FORWARDED: [&str; 3] = ["content-type", "accept", "accept-language"];
+/// Maximum number of attempts, each at a different upstream.
+const MAX_ATTEMPTS: u32 = 3;
+/// Maximum size of a response body that is stored to be replayed, in bytes.
+const MAX_STORED_BYTES: usize = 256 << 10;
+/// Headers of the caller that are forwarded to the service.
+const FORWARDED_HEADERS: [&str; 3] = ["content-type", "accept", "accept-language"];
 
-/// A service's answer.
+/// The response of a service.
 #[derive(Clone, Debug)]
-struct Reply {
+struct ServiceResponse {
     status: u16,
-    media: String,
+    content_type: String,
     body: Bytes,
 }
 
 /// How an attempt ended.
-enum End {
-    Answered(Reply),
+enum CallEnd {
+    Responded(ServiceResponse),
     NotRun(String),
     Unknown(String),
 }
 
-/// Answers a call of a plain service.
+/// Handles a call of a plain service.
 pub async fn handle(shared: &Arc<SharedState>, req: Req) -> Result<Res, Error> {
     let cx = auth::authenticate(shared, &req)?;
     let segments = req.segments();
     let [_, _, service, ..] = segments.as_slice() else {
-        return Err(Error::new(Kind::NotFound, "a service's name is wanted"));
+        return Err(Error::new(
+            Kind::NotFound,
+            "the path does not name a service",
+        ));
     };
     let service = (*service).to_string();
     if !cx.policy.services.contains(&service) {
-        let message = format!("service {service:?} is not among this customer's");
+        let message = format!("service {service:?} is not enabled for this customer");
         return Err(Error::new(Kind::NotAllowed, message));
     }
     let (tx, rx) = oneshot::channel();
-    // A task of its own: a call that may not be repeated is carried through without its caller.
+    // In a separate task: a call that must not be repeated is completed even if the caller
+    // disconnects.
     tokio::spawn(async move {
         let _ = tx.send(run(cx, req, service).await);
     });
-    let lost = |_| Error::new(Kind::Internal, "the request's task ended without an answer");
+    let lost = |_| Error::new(Kind::Internal, "the request task ended without a response");
     rx.await.map_err(lost)?
 }
 
 async fn run(mut cx: RequestContext, req: Req, service: String) -> Result<Res, Error> {
-    let busy = cx.shared.track_in_flight();
-    let once = cx.policy.not_repeatable.contains(&service);
-    let end = if once {
+    let in_flight = cx.shared.track_in_flight();
+    let at_most_once = cx.policy.not_repeatable.contains(&service);
+    let result = if at_most_once {
         run_once(&mut cx, &req, &service).await
     } else {
         run_repeatable(&mut cx, &req, &service).await
     };
-    let code = match &end {
+    let code = match &result {
         Ok(_) => "ok",
         Err(error) => error.kind.answer().code,
     };
-    cx.record_step(format!("ends with {code}"));
+    cx.record_step(format!("finished with {code}"));
     cx.shared.metrics.count_request(code);
-    drop(busy);
-    let reply = end?;
+    drop(in_flight);
+    let response = result?;
     Ok(add_headers(
         &cx,
-        Res::new(reply.status, &reply.media, reply.body),
+        Res::new(response.status, &response.content_type, response.body),
     ))
 }
 
-async fn run_once(cx: &mut RequestContext, req: &Req, service: &str) -> Result<Reply, Error> {
-    let held = match claims::acquire(cx, req).await? {
-        ClaimOutcome::Run(held) => held,
-        ClaimOutcome::Replay(answer) => return stored(answer),
+/// Runs a call that must not be repeated.
+async fn run_once(
+    cx: &mut RequestContext,
+    req: &Req,
+    service: &str,
+) -> Result<ServiceResponse, Error> {
+    let owned = match claims::acquire(cx, req).await? {
+        ClaimOutcome::Run(owned) => owned,
+        ClaimOutcome::Replay(stored) => return replay(stored),
     };
     loop {
         let end = match choose::choose(cx, SERVICE, service, None).await {
             Ok(()) => attempt(cx, req, service, true).await,
             Err(error) => {
-                claims::finish(&cx.shared, held, State::NotRun).await;
+                claims::finish(&cx.shared, owned, State::NotRun).await;
                 return Err(error);
             }
         };
         match end {
-            End::Answered(reply) => {
-                finish(cx, held, &reply).await;
-                return Ok(reply);
+            CallEnd::Responded(response) => {
+                finish(cx, owned, &response).await;
+                return Ok(response);
             }
-            // Nothing ran, so another upstream is no repetition.
-            End::NotRun(_) if cx.attempts < ATTEMPTS => {}
-            End::NotRun(why) => {
-                claims::finish(&cx.shared, held, State::NotRun).await;
+            // The call did not run, so another attempt does not repeat it.
+            CallEnd::NotRun(_) if cx.attempts < MAX_ATTEMPTS => {}
+            CallEnd::NotRun(why) => {
+                claims::finish(&cx.shared, owned, State::NotRun).await;
                 return Err(Error::new(Kind::NoUpstream, why));
             }
-            End::Unknown(why) => {
-                claims::finish(&cx.shared, held, State::Unknown).await;
-                let message = format!("the service did not answer, and is not asked again: {why}");
+            CallEnd::Unknown(why) => {
+                claims::finish(&cx.shared, owned, State::Unknown).await;
+                let message =
+                    format!("the service did not respond, and the call is not repeated: {why}");
                 return Err(Error::new(Kind::OutcomeUnknown, message));
             }
         }
     }
 }
 
-async fn run_repeatable(cx: &mut RequestContext, req: &Req, service: &str) -> Result<Reply, Error> {
+/// Runs a call that may be repeated.
+async fn run_repeatable(
+    cx: &mut RequestContext,
+    req: &Req,
+    service: &str,
+) -> Result<ServiceResponse, Error> {
     cx.shared
         .retry_budget
         .lock()
-        .expect("no panic inside")
+        .expect("lock not poisoned")
         .request();
     let mut ran = Ran::No;
     loop {
@@ -128,20 +143,20 @@
             .await
             .map_err(|e| if ran == Ran::No { e } else { e.ran(ran) })?;
         let (kind, why) = match attempt(cx, req, service, false).await {
-            End::Answered(reply) => return Ok(reply),
-            End::NotRun(why) => (Kind::NoUpstream, why),
-            End::Unknown(why) => {
+            CallEnd::Responded(response) => return Ok(response),
+            CallEnd::NotRun(why) => (Kind::NoUpstream, why),
+            CallEnd::Unknown(why) => {
                 ran = Ran::Unknown;
                 (Kind::UpstreamError, why)
             }
         };
-        let again = cx.attempts < ATTEMPTS && cx.remaining_ms() > 0;
-        if !again
+        let may_retry = cx.attempts < MAX_ATTEMPTS && cx.remaining_ms() > 0;
+        if !may_retry
             || !cx
                 .shared
                 .retry_budget
                 .lock()
-                .expect("no panic inside")
+                .expect("lock not poisoned")
                 .take()
         {
             let kind = if cx.remaining_ms() == 0 {
@@ -154,24 +169,24 @@
     }
 }
 
-async fn attempt(cx: &mut RequestContext, req: &Req, service: &str, once: bool) -> End {
+async fn attempt(cx: &mut RequestContext, req: &Req, service: &str, at_most_once: bool) -> CallEnd {
     cx.attempts += 1;
     cx.shared.metrics.attempts.inc();
-    let end = send(cx, req, service, once).await;
-    let ok = matches!(end, End::Answered(_));
+    let end = send(cx, req, service, at_most_once).await;
+    let ok = matches!(end, CallEnd::Responded(_));
     let what = match &end {
-        End::Answered(reply) => format!("answered with {}", reply.status),
-        End::NotRun(why) => format!("did not run: {why}"),
-        End::Unknown(why) => format!("outcome unknown: {why}"),
+        CallEnd::Responded(response) => format!("responded with status {}", response.status),
+        CallEnd::NotRun(why) => format!("did not run: {why}"),
+        CallEnd::Unknown(why) => format!("outcome unknown: {why}"),
     };
     cx.record_step(format!("attempt {}: {what}", cx.attempts));
     choose::finish_attempt(cx, SERVICE, service, ok);
     end
 }
 
-async fn send(cx: &RequestContext, req: &Req, service: &str, once: bool) -> End {
+async fn send(cx: &RequestContext, req: &Req, service: &str, at_most_once: bool) -> CallEnd {
     let Some(upstream) = &cx.upstream else {
-        return End::NotRun("no upstream".to_string());
+        return CallEnd::NotRun("no upstream was chosen".to_string());
     };
     let prefix = format!("/v1/services/{service}");
     let rest = req.path.strip_prefix(&prefix).unwrap_or("/");
@@ -180,68 +195,70 @@
     } else {
         format!("?{}", req.query)
     };
-    // A kept connection may be closed by the service just as the request is written, which looks
-    // like an unknown outcome, or makes a client repeat it: a new one can only fail to open.
-    let http = if once {
-        &cx.shared.http_once
+    // The service may close a pooled connection just as the request is written. The outcome would then
+    // be unknown, or the client would repeat the request. A new connection can only fail to open.
+    let http = if at_most_once {
+        &cx.shared.http_no_reuse
     } else {
         &cx.shared.http
     };
     let url = format!("{}{rest}{query}", upstream.url);
-    let mut call = http
+    let mut request = http
         .request(web::method(&req.method), url)
         .header("x-request-id", &cx.id)
         .header("x-customer", &cx.customer)
         .timeout(Duration::from_millis(cx.remaining_ms().max(1)))
         .body(req.body.clone());
-    for name in FORWARDED {
+    for name in FORWARDED_HEADERS {
         if let Some(value) = req.header(name) {
-            call = call.header(name, value);
+            request = request.header(name, value);
         }
     }
-    let res = match call.send().await {
+    let res = match request.send().await {
         Ok(res) => res,
-        Err(e) if e.is_connect() => return End::NotRun(e.to_string()),
-        Err(e) => return End::Unknown(e.to_string()),
+        Err(e) if e.is_connect() => return CallEnd::NotRun(e.to_string()),
+        Err(e) => return CallEnd::Unknown(e.to_string()),
     };
     if res.headers().contains_key("x-not-run") {
-        return End::NotRun(format!("refused with {}", res.status()));
+        return CallEnd::NotRun(format!("refused with status {}", res.status()));
     }
     let status = res.status().as_u16();
-    let media = res.headers().get("content-type");
-    let media = media
+    let content_type = res.headers().get("content-type");
+    let content_type = content_type
         .and_then(|v| v.to_str().ok())
         .unwrap_or("application/octet-stream");
-    let media = media.to_string();
+    let content_type = content_type.to_string();
     match res.bytes().await {
-        Ok(body) => End::Answered(Reply {
+        Ok(body) => CallEnd::Responded(ServiceResponse {
             status,
-            media,
+            content_type,
             body,
         }),
-        Err(e) => End::Unknown(e.to_string()),
+        Err(e) => CallEnd::Unknown(e.to_string()),
     }
 }
 
-async fn finish(cx: &RequestContext, held: OwnedClaim, reply: &Reply) {
-    let fits = reply.body.len() <= STORED_MOST;
-    let answer = StoredResponse {
-        status: reply.status,
-        media: reply.media.clone(),
-        body: fits.then(|| BASE64_STANDARD.encode(&reply.body)),
+/// Stores the response of a claimed call.
+async fn finish(cx: &RequestContext, owned: OwnedClaim, response: &ServiceResponse) {
+    let fits = response.body.len() <= MAX_STORED_BYTES;
+    let stored = StoredResponse {
+        status: response.status,
+        media: response.content_type.clone(),
+        body: fits.then(|| BASE64_STANDARD.encode(&response.body)),
     };
-    claims::finish(&cx.shared, held, State::Done(answer)).await;
+    claims::finish(&cx.shared, owned, State::Done(stored)).await;
 }
 
-fn stored(answer: StoredResponse) -> Result<Reply, Error> {
-    let body = answer.body.and_then(|b| BASE64_STANDARD.decode(b).ok());
+/// Returns the stored response of a call that has already run.
+fn replay(stored: StoredResponse) -> Result<ServiceResponse, Error> {
+    let body = stored.body.and_then(|b| BASE64_STANDARD.decode(b).ok());
     let Some(body) = body else {
-        let message = "the request ran, and its answer was too large to keep";
+        let message = "the request ran, but its response was too large to be stored";
         return Err(Error::new(Kind::AnswerGone, message));
     };
-    Ok(Reply {
-        status: answer.status,
-        media: answer.media,
+    Ok(ServiceResponse {
+        status: stored.status,
+        content_type: stored.media,
         body: body.into(),
     })
 }
--- a/crates/entry/src/pipeline/sse.rs
+++ b/crates/entry/src/pipeline/sse.rs
@@ -1,32 +1,32 @@
-//! Reads an engine's stream of server-sent events.
+//! Reader of the server-sent events in an engine's response.
 
 use bytes::Bytes;
 use futures_util::stream::BoxStream;
 use futures_util::StreamExt;
 use serde_json::Value;
 
-/// Longest event; a longer one is a fault of the engine.
-const EVENT_MOST: usize = 1 << 20;
+/// Maximum size of an event: limits the memory that a faulty engine can use.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// One event of a stream.
+/// An item of a stream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SseItem {
     /// A JSON event.
     Data(Value),
-    /// The mark of the end.
+    /// The `[DONE]` marker.
     Done,
-    /// The stream broke off, or holds what is no event.
+    /// The stream ended early, or contained an invalid event.
     Failed(String),
 }
 
-/// A stream that is being read.
+/// Reads the events of a response.
 pub struct SseReader {
     bytes: BoxStream<'static, reqwest::Result<Bytes>>,
     buf: Vec<u8>,
 }
 
 impl SseReader {
-    /// Starts to read an answer.
+    /// Creates a reader of a response body.
     pub fn new(res: reqwest::Response) -> SseReader {
         SseReader {
             bytes: res.bytes_stream().boxed(),
@@ -34,22 +34,22 @@
         }
     }
 
-    /// Returns the next event.
+    /// Returns the next item.
     pub async fn next(&mut self) -> SseItem {
         loop {
             if let Some(line) = self.take_line() {
-                match parse(&line) {
+                match parse_line(&line) {
                     Some(item) => return item,
                     None => continue,
                 }
             }
-            if self.buf.len() > EVENT_MOST {
-                return SseItem::Failed("an event is too long".to_string());
+            if self.buf.len() > MAX_EVENT_BYTES {
+                return SseItem::Failed(format!("an event exceeds {MAX_EVENT_BYTES} bytes"));
             }
             match self.bytes.next().await {
                 Some(Ok(bytes)) => self.buf.extend_from_slice(&bytes),
                 Some(Err(e)) => return SseItem::Failed(e.to_string()),
-                None => return SseItem::Failed("the stream ended early".to_string()),
+                None => return SseItem::Failed("the stream ended before [DONE]".to_string()),
             }
         }
     }
@@ -63,7 +63,7 @@
     }
 }
 
-fn parse(line: &[u8]) -> Option<SseItem> {
+fn parse_line(line: &[u8]) -> Option<SseItem> {
     let data = line.strip_prefix(b"data:")?;
     let data = data.trim_ascii();
     if data == b"[DONE]" {
@@ -71,6 +71,6 @@
     }
     match serde_json::from_slice(data) {
         Ok(value) => Some(SseItem::Data(value)),
-        Err(e) => Some(SseItem::Failed(format!("an event is not JSON: {e}"))),
+        Err(e) => Some(SseItem::Failed(format!("invalid JSON in an event: {e}"))),
     }
 }
--- a/crates/entry/src/pipeline/stream.rs
+++ b/crates/entry/src/pipeline/stream.rs
@@ -1,4 +1,6 @@
-//! Relays one attempt at an engine to the caller: in order, without gaps, from this request only.
+//! Relays the response of an engine to the caller.
+//!
+//! Tokens are forwarded in order and without gaps, and only if they belong to the attempt.
 
 use std::time::Duration;
 
@@ -15,61 +17,65 @@
 use crate::clock::wall_ms;
 use crate::event::Event;
 
-/// How often a cut link is taken up again at the same upstream.
-const RESUMES: u32 = 5;
-/// First pause before a link is taken up again; doubles each time.
-const RESUME_PAUSE: Duration = Duration::from_millis(30);
-/// Longest pause before an upstream's headers.
-const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of times that an attempt is resumed at its upstream after a lost connection.
+const MAX_RESUMES: u32 = 5;
+/// Delay before the first resumption; it doubles each time.
+const RESUME_BACKOFF: Duration = Duration::from_millis(30);
+/// Time in which an upstream must send the headers of its response.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The caller's side of an answer.
+/// The response to the caller.
 pub struct CallerResponse {
+    /// Receives the head of the response or an error; taken once it is sent.
     head: Option<oneshot::Sender<Result<Res, Error>>>,
-    parts: Option<mpsc::Sender<Bytes>>,
+    /// Receives the events of a streamed response once its head is sent.
+    body: Option<mpsc::Sender<Bytes>>,
+    /// The content of a response that is not streamed.
     text: String,
     streamed: bool,
-    /// Tokens passed on so far; the next one has this position.
+    /// Number of tokens received so far, which is the position of the next one.
     pub position: u64,
     usage: Option<Value>,
-    finish: Option<String>,
+    finish_reason: Option<String>,
 }
 
 impl CallerResponse {
-    /// Opens the caller's side; the answer's head, or an error, goes to `head`.
+    /// Creates a response; its head, or an error, is sent to `head`.
     pub fn new(head: oneshot::Sender<Result<Res, Error>>, streamed: bool) -> CallerResponse {
         CallerResponse {
             head: Some(head),
-            parts: None,
+            body: None,
             text: String::new(),
             streamed,
             position: 0,
             usage: None,
-            finish: None,
+            finish_reason: None,
         }
     }
 
-    /// Waits until the caller has left.
-    async fn left(&mut self) {
-        match (&mut self.head, &self.parts) {
+    /// Waits until the caller has disconnected.
+    async fn disconnected(&mut self) {
+        match (&mut self.head, &self.body) {
             (Some(head), _) => head.closed().await,
-            (None, Some(parts)) => parts.closed().await,
+            (None, Some(body)) => body.closed().await,
             (None, None) => std::future::pending().await,
         }
     }
 
-    /// Sends a part of a streamed answer; a caller that left is noticed by `left`.
-    async fn send(&mut self, cx: &RequestContext, part: Bytes) {
+    /// Sends an event of a streamed response. Send errors are ignored: [`Self::disconnected`] notices
+    /// a caller that has disconnected.
+    async fn send_event(&mut self, cx: &RequestContext, event: Bytes) {
         if let Some(head) = self.head.take() {
             let (tx, res) = Res::events();
-            self.parts = Some(tx);
+            self.body = Some(tx);
             let _ = head.send(Ok(add_headers(cx, res)));
         }
-        if let Some(parts) = &self.parts {
-            let _ = parts.send(part).await;
+        if let Some(body) = &self.body {
+            let _ = body.send(event).await;
         }
     }
 
-    /// Ends the answer.
+    /// Completes the response.
     pub async fn finish(mut self, cx: &RequestContext, chat: &ChatRequest) {
         if self.streamed {
             if chat.include_usage {
@@ -77,12 +83,12 @@
                     "id": format!("chatcmpl-{}", cx.id), "object": "chat.completion.chunk",
                     "model": chat.model, "choices": [], "usage": self.usage,
                 });
-                self.send(cx, web::event(&usage)).await;
+                self.send_event(cx, web::event(&usage)).await;
             }
-            self.send(cx, "data: [DONE]\n\n".into()).await;
+            self.send_event(cx, "data: [DONE]\n\n".into()).await;
             return;
         }
-        let whole = json!({
+        let completion = json!({
             "id": format!("chatcmpl-{}", cx.id),
             "object": "chat.completion",
             "created": wall_ms() / 1000,
@@ -90,29 +96,30 @@
             "choices": [{
                 "index": 0,
                 "message": {"role": "assistant", "content": self.text},
-                "finish_reason": self.finish.as_deref().unwrap_or("stop"),
+                "finish_reason": self.finish_reason.as_deref().unwrap_or("stop"),
             }],
             "usage": self.usage,
         });
         if let Some(head) = self.head.take() {
-            let _ = head.send(Ok(add_headers(cx, Res::json(200, &whole))));
+            let _ = head.send(Ok(add_headers(cx, Res::json(200, &completion))));
         }
     }
 
-    /// Ends with an error: as an answer of its own, or as the last event of a broken stream.
+    /// Ends the response with an error: as the whole response, or as the last event of a stream that
+    /// has started.
     pub async fn fail(mut self, error: Error) {
         if let Some(head) = self.head.take() {
             let _ = head.send(Err(error));
             return;
         }
-        if let Some(parts) = &self.parts {
-            let text = format!("event: error\ndata: {}\n\n", error.body());
-            let _ = parts.send(text.into()).await;
+        if let Some(body) = &self.body {
+            let event = format!("event: error\ndata: {}\n\n", error.body());
+            let _ = body.send(event.into()).await;
         }
     }
 }
 
-/// Adds the headers that every answer has.
+/// Adds the headers that every successful response has.
 pub fn add_headers(cx: &RequestContext, res: Res) -> Res {
     res.with("x-request-id", cx.id.clone())
         .with("x-oriolehitch-instance", cx.shared.own_id.clone())
@@ -120,65 +127,78 @@
 }
 
 /// How an attempt ended.
+///
+/// The names of the variants are written to the request journal.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// The answer is whole; the upstream counted these tokens.
+    /// The response is complete; the upstream counted these tokens.
     Whole(u64),
-    /// Nothing ran.
+    /// The upstream did not run the request.
     NotRun(String),
-    /// It broke off and can't be taken up again.
+    /// The response was aborted and could not be resumed.
     Broken(String),
-    /// The upstream has forgotten it, or cancelled it.
+    /// The upstream no longer knows the attempt, or has cancelled it.
     Gone,
-    /// The caller has left, for good as far as known.
+    /// The caller disconnected and has not come back.
     CallerLeft,
-    /// More came than was asked for.
+    /// The upstream sent more tokens than requested.
     Overrun,
-    /// The caller's time is over.
+    /// The deadline passed.
     Late,
 }
 
-enum Link {
-    Up(SseReader),
+/// The result of connecting to an upstream.
+enum Connection {
+    Open(SseReader),
     NotRun(String),
-    Down(String),
+    Failed(String),
     Gone,
 }
 
-/// Relays one attempt, and takes it up again where a link was cut.
+/// Relays an attempt, and resumes it where the connection was lost.
+///
+/// `joined` means that the attempt was started by an earlier request with the same id.
 pub async fn relay_attempt(
     cx: &RequestContext,
     chat: &ChatRequest,
-    out: &mut CallerResponse,
+    response: &mut CallerResponse,
     joined: bool,
 ) -> AttemptEnd {
     let mut resumes = 0;
-    let mut grace = None;
+    let mut give_up_at = None;
     loop {
-        let fresh = resumes == 0 && !joined;
-        // Boxed: its state is large, and would be kept for as long as the stream lasts.
-        let end = match Box::pin(connect(cx, chat, out.position, fresh)).await {
-            Link::Up(events) => read(cx, chat, out, events, &mut grace).await,
-            Link::NotRun(why) => return AttemptEnd::NotRun(why),
-            Link::Gone => return AttemptEnd::Gone,
-            Link::Down(why) => AttemptEnd::Broken(why),
+        let is_first = resumes == 0 && !joined;
+        // Boxed: otherwise this future would hold memory for its large state while the stream lasts.
+        let end = match Box::pin(connect(cx, chat, response.position, is_first)).await {
+            Connection::Open(events) => {
+                read_stream(cx, chat, response, events, &mut give_up_at).await
+            }
+            Connection::NotRun(why) => return AttemptEnd::NotRun(why),
+            Connection::Gone => return AttemptEnd::Gone,
+            Connection::Failed(why) => AttemptEnd::Broken(why),
         };
         let AttemptEnd::Broken(why) = end else {
             return end;
         };
-        cx.record_step(format!("cut at token {}: {why}", out.position));
-        if resumes >= RESUMES || cx.remaining_ms() == 0 {
+        cx.record_step(format!("interrupted at token {}: {why}", response.position));
+        if resumes >= MAX_RESUMES || cx.remaining_ms() == 0 {
             return AttemptEnd::Broken(why);
         }
-        sleep(RESUME_PAUSE * (1 << resumes)).await;
+        sleep(RESUME_BACKOFF * (1 << resumes)).await;
         resumes += 1;
         cx.shared.metrics.resumes.inc();
     }
 }
 
-async fn connect(cx: &RequestContext, chat: &ChatRequest, position: u64, fresh: bool) -> Link {
+/// Starts an attempt, or resumes it from a position.
+async fn connect(
+    cx: &RequestContext,
+    chat: &ChatRequest,
+    position: u64,
+    is_first: bool,
+) -> Connection {
     let Some(upstream) = &cx.upstream else {
-        return Link::NotRun("no upstream".to_string());
+        return Connection::NotRun("no upstream was chosen".to_string());
     };
     let mut req = cx
         .shared
@@ -188,143 +208,152 @@
         .header("x-customer", &cx.customer)
         .header("x-priority", cx.policy.priority.to_string())
         .json(&chat.engine_body);
-    if !fresh {
+    if !is_first {
         req = req.header("x-resume-from", position.to_string());
     }
-    let sent = tokio::time::timeout(HEAD_TIMEOUT, req.send()).await;
+    let sent = tokio::time::timeout(RESPONSE_HEAD_TIMEOUT, req.send()).await;
     let res = match sent {
         Ok(Ok(res)) => res,
-        Ok(Err(e)) if e.is_connect() && fresh => return Link::NotRun(e.to_string()),
-        Ok(Err(e)) => return Link::Down(e.to_string()),
-        Err(_) => return Link::Down("no headers in time".to_string()),
+        Ok(Err(e)) if e.is_connect() && is_first => return Connection::NotRun(e.to_string()),
+        Ok(Err(e)) => return Connection::Failed(e.to_string()),
+        Err(_) => return Connection::Failed("no response headers in time".to_string()),
     };
     let status = res.status();
     if status.is_success() {
-        return Link::Up(SseReader::new(res));
+        return Connection::Open(SseReader::new(res));
     }
     let not_run = res.headers().contains_key("x-not-run");
-    match (status.as_u16(), fresh) {
-        (404 | 410, false) => Link::Gone,
-        _ if not_run && fresh => {
-            note_leaving(cx, status.as_u16());
-            Link::NotRun(format!("status {status}"))
+    match (status.as_u16(), is_first) {
+        (404 | 410, false) => Connection::Gone,
+        _ if not_run && is_first => {
+            mark_if_draining(cx, status.as_u16());
+            Connection::NotRun(format!("status {status}"))
         }
-        _ => Link::Down(format!("status {status}")),
+        _ => Connection::Failed(format!("status {status}")),
     }
 }
 
-/// A draining upstream says so itself: it gets nothing more from here.
-fn note_leaving(cx: &RequestContext, status: u16) {
+/// Marks the upstream as leaving if it refused the request with status 503, by which a draining
+/// upstream announces itself.
+fn mark_if_draining(cx: &RequestContext, status: u16) {
     let Some(upstream) = cx.upstream.as_ref().filter(|_| status == 503) else {
         return;
     };
-    let mut pool = cx.shared.pool.lock().expect("no panic inside");
-    let news = pool.set_leaving(&upstream.id);
+    let mut pool = cx.shared.pool.lock().expect("lock not poisoned");
+    let is_new = pool.set_leaving(&upstream.id);
     drop(pool);
-    if news {
-        let detail = format!("{}, by its own answer", upstream.id);
+    if is_new {
+        let detail = format!("{}, according to its response", upstream.id);
         cx.shared.log(Event::UpstreamLeaving, detail);
     }
 }
 
-/// Reads one link to its end. `grace` is when a caller that left is given up.
-async fn read(
+/// Relays the events of a connection until it ends.
+///
+/// `give_up_at` is set once the caller has disconnected: if it may send the request again, the attempt
+/// continues until that time.
+async fn read_stream(
     cx: &RequestContext,
     chat: &ChatRequest,
-    out: &mut CallerResponse,
+    response: &mut CallerResponse,
     mut events: SseReader,
-    grace: &mut Option<u64>,
+    give_up_at: &mut Option<u64>,
 ) -> AttemptEnd {
     let clock = cx.shared.clock;
     loop {
-        let until = grace.unwrap_or(cx.deadline).min(cx.deadline);
-        let gone = grace.is_some();
+        let wake_at = give_up_at.unwrap_or(cx.deadline).min(cx.deadline);
+        let caller_gone = give_up_at.is_some();
         tokio::select! {
             biased;
-            () = out.left(), if !gone => {
+            () = response.disconnected(), if !caller_gone => {
                 if !cx.has_caller_id {
                     return AttemptEnd::CallerLeft;
                 }
-                // It chose the id, so it may come back for the answer.
-                cx.record_step("caller left; waits for it to come back");
-                *grace = Some(clock.now() + cx.shared.settings.orphan_grace_ms());
+                // The caller chose the id, so it may send the request again to get the response.
+                cx.record_step("caller disconnected; continuing in case it comes back");
+                *give_up_at = Some(clock.now() + cx.shared.settings.orphan_grace_ms());
             }
             item = events.next() => {
-                if let Some(end) = take(cx, chat, out, item).await {
+                if let Some(end) = handle_item(cx, chat, response, item).await {
                     return end;
                 }
             }
-            () = sleep_until(clock.at(until)) => {
-                return if gone { AttemptEnd::CallerLeft } else { AttemptEnd::Late };
+            () = sleep_until(clock.at(wake_at)) => {
+                return if caller_gone { AttemptEnd::CallerLeft } else { AttemptEnd::Late };
             }
         }
     }
 }
 
-/// Takes one event; returns the end if it is one.
-async fn take(
+/// Handles an item of the stream; returns the end of the attempt if the item causes it.
+async fn handle_item(
     cx: &RequestContext,
     chat: &ChatRequest,
-    out: &mut CallerResponse,
+    response: &mut CallerResponse,
     item: SseItem,
 ) -> Option<AttemptEnd> {
     let mut event = match item {
         SseItem::Data(event) => event,
         SseItem::Failed(why) => return Some(AttemptEnd::Broken(why)),
-        SseItem::Done => return Some(whole(out)),
+        SseItem::Done => return Some(completed(response)),
     };
     if event["id"].as_str() != Some(cx.attempt_id.as_str()) {
-        // Passed on, this would be another caller's answer.
+        // Forwarding this event would show a caller the response to another request.
         cx.shared.log(
             Event::ResponseMismatch,
             format!("{}: {}", cx.attempt_id, event["id"]),
         );
         return Some(AttemptEnd::Broken(
-            "an answer to another request".to_string(),
+            "received a response to another request".to_string(),
         ));
     }
     if !event["usage"].is_null() {
-        out.usage = Some(event["usage"].take());
+        response.usage = Some(event["usage"].take());
         return None;
     }
     let choice = &event["choices"][0];
     if let Some(finish) = choice["finish_reason"].as_str() {
-        out.finish = Some(finish.to_string());
+        response.finish_reason = Some(finish.to_string());
     }
     match event["position"].as_u64() {
-        Some(at) if at < out.position => return None,
-        Some(at) if at > out.position => {
-            return Some(AttemptEnd::Broken(format!("token {at} came early")))
+        Some(at) if at < response.position => return None,
+        Some(at) if at > response.position => {
+            return Some(AttemptEnd::Broken(format!(
+                "received token {at} before token {}",
+                response.position
+            )))
         }
-        Some(_) if out.position >= chat.max_tokens => return Some(AttemptEnd::Overrun),
-        Some(_) => first_token(cx, out),
+        Some(_) if response.position >= chat.max_tokens => return Some(AttemptEnd::Overrun),
+        Some(_) => count_token(cx, response),
         None => {}
     }
-    pass_on(cx, chat, out, event).await;
+    forward_event(cx, chat, response, event).await;
     None
 }
 
-fn first_token(cx: &RequestContext, out: &mut CallerResponse) {
-    if out.position == 0 {
-        let took = cx.shared.clock.now_us() - cx.arrived_us;
+/// Counts a token, and measures the time to the first one.
+fn count_token(cx: &RequestContext, response: &mut CallerResponse) {
+    if response.position == 0 {
+        let elapsed_us = cx.shared.clock.now_us() - cx.arrived_us;
         cx.shared
             .metrics
             .first_token_seconds
-            .observe(took as f64 / 1e6);
+            .observe(elapsed_us as f64 / 1e6);
     }
-    out.position += 1;
+    response.position += 1;
     cx.shared.metrics.delivered_tokens.inc();
 }
 
-async fn pass_on(
+/// Sends an event to the caller, or collects its content if the response is not streamed.
+async fn forward_event(
     cx: &RequestContext,
     chat: &ChatRequest,
-    out: &mut CallerResponse,
+    response: &mut CallerResponse,
     mut event: Value,
 ) {
-    if !out.streamed {
+    if !response.streamed {
         let content = event["choices"][0]["delta"]["content"].as_str();
-        out.text.push_str(content.unwrap_or_default());
+        response.text.push_str(content.unwrap_or_default());
         return;
     }
     if let Some(fields) = event.as_object_mut() {
@@ -332,20 +361,21 @@
         fields.insert("id".to_string(), format!("chatcmpl-{}", cx.id).into());
         fields.insert("model".to_string(), chat.model.clone().into());
     }
-    out.send(cx, web::event(&event)).await;
+    response.send_event(cx, web::event(&event)).await;
 }
 
-/// An end mark counts only when every token that the upstream billed has come.
-fn whole(out: &CallerResponse) -> AttemptEnd {
-    let Some(usage) = &out.usage else {
-        return AttemptEnd::Broken("an end without a usage".to_string());
+/// Returns the end of the attempt after the `[DONE]` marker. The response is complete only if all
+/// tokens that the upstream counted were received.
+fn completed(response: &CallerResponse) -> AttemptEnd {
+    let Some(usage) = &response.usage else {
+        return AttemptEnd::Broken("the response ended without its usage".to_string());
     };
     let produced = usage["completion_tokens"].as_u64();
     match usage["total_tokens"].as_u64() {
-        Some(total) if produced == Some(out.position) => AttemptEnd::Whole(total),
+        Some(total) if produced == Some(response.position) => AttemptEnd::Whole(total),
         _ => AttemptEnd::Broken(format!(
-            "an end after {} of {produced:?} tokens",
-            out.position
+            "the response ended after {} of {produced:?} tokens",
+            response.position
         )),
     }
 }
--- a/crates/entry/src/shared_state.rs
+++ b/crates/entry/src/shared_state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one instance share.
+//! The state that the tasks of an instance share.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, RwLock};
@@ -18,23 +18,23 @@
 use crate::peer_clients::PeerClients;
 use crate::wait_queues::WaitQueues;
 
-/// A configuration in force.
+/// The active configuration.
 #[derive(Debug)]
 pub struct ActiveConfig {
-    /// As the platform keeps it.
+    /// The configuration as it is stored.
     pub bundle: Bundle,
-    /// Joined.
+    /// The configuration, joined from the chunks of the bundle.
     pub config: Config,
-    /// Customers by the hash of their keys.
+    /// Names of the customers, by the hashes of their API keys.
     pub customer_by_key_hash: BTreeMap<String, String>,
 }
 
 impl ActiveConfig {
-    /// Joins a whole bundle.
+    /// Joins the chunks of a complete bundle.
     ///
     /// # Errors
     ///
-    /// Returns what is missing or broken.
+    /// Returns which chunk is missing or invalid.
     pub fn from_bundle(bundle: Bundle) -> Result<ActiveConfig, String> {
         let config = bundle.config()?;
         let mut customer_by_key_hash = BTreeMap::new();
@@ -51,47 +51,47 @@
     }
 }
 
-/// What all tasks of one instance share.
+/// The state that the tasks of an instance share.
 pub struct SharedState {
     /// The settings.
     pub settings: Settings,
-    /// This incarnation.
+    /// Id of this incarnation.
     pub own_id: String,
     /// The clock.
     pub clock: Clock,
-    /// The platform.
+    /// Client of the platform's key-value store.
     pub kv: kv::Client,
-    /// The client towards upstreams.
+    /// HTTP client for upstreams.
     pub http: reqwest::Client,
-    /// The client for requests that may not be repeated: a new connection for each.
-    pub http_once: reqwest::Client,
-    /// Budgets.
+    /// HTTP client for requests that must not be repeated: it opens a new connection for each.
+    pub http_no_reuse: reqwest::Client,
+    /// Handle to the budget task.
     pub budgets: budget_handle::BudgetHandle,
-    /// The configuration in force.
+    /// The active configuration; none until one was received.
     pub config: RwLock<Option<Arc<ActiveConfig>>>,
-    /// Upstreams.
+    /// The upstreams.
     pub pool: Mutex<Pool>,
     /// Requests that wait for upstreams.
     pub wait_queues: Mutex<WaitQueues>,
-    /// Retries in store.
+    /// The retries that are currently allowed.
     pub retry_budget: Mutex<RetryBudget>,
-    /// Instances.
+    /// The known instances of all regions.
     pub members: Mutex<Members>,
     /// Clients of other instances.
     pub peers: PeerClients,
     /// Metrics.
     pub metrics: Metrics,
-    /// The latest requests.
+    /// Journal of the latest requests.
     pub journal: RequestJournal,
-    /// Attempts at requests that may not be repeated, as this holder knows them.
+    /// Status of this instance's attempts at claimed requests, by attempt id.
     pub claim_attempts: Mutex<BTreeMap<String, AttemptStatus>>,
-    /// Requests, bills and claims under way.
+    /// Number of requests, bills and claims in flight.
     pub in_flight: watch::Sender<u64>,
-    /// The platform lease that this instance's claims are bound to, with the end of its use.
+    /// The lease that new claims are bound to, and the time until which it is used.
     pub claim_lease: tokio::sync::Mutex<Option<(i64, u64)>>,
 }
 
-/// Counts one thing under way, until it is dropped.
+/// Counts a request, bill or claim as in flight until it is dropped.
 pub struct InFlightGuard(Arc<SharedState>);
 
 impl Drop for InFlightGuard {
@@ -102,56 +102,60 @@
 }
 
 impl SharedState {
-    /// Counts one thing under way.
+    /// Counts a request, bill or claim as in flight.
     pub fn track_in_flight(self: &Arc<Self>) -> InFlightGuard {
         self.in_flight.send_modify(|n| *n += 1);
         self.metrics.in_flight.inc();
         InFlightGuard(Arc::clone(self))
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn active_config(&self) -> Option<Arc<ActiveConfig>> {
-        self.config.read().expect("no panic inside").clone()
+        self.config.read().expect("lock not poisoned").clone()
     }
 
-    /// Returns the revision in force; 0 for none.
+    /// Returns the revision of the active configuration; 0 if there is none.
     pub fn config_revision(&self) -> u64 {
         self.active_config().map_or(0, |a| a.bundle.head.revision)
     }
 
-    /// Returns what this instance says of itself.
+    /// Returns the standing that this instance announces.
     pub fn standing(&self) -> Standing {
-        self.members.lock().expect("no panic inside").me().standing
+        self.members
+            .lock()
+            .expect("lock not poisoned")
+            .me()
+            .standing
     }
 
-    /// Returns whether new requests are taken.
+    /// Returns whether new requests are accepted.
     pub fn is_ready(&self) -> bool {
         self.standing() == Standing::Live && self.active_config().is_some()
     }
 
-    /// Returns the living instances.
+    /// Returns the live instances of all regions.
     pub fn live_instances(&self) -> Vec<Member> {
-        let members = self.members.lock().expect("no panic inside");
+        let members = self.members.lock().expect("lock not poisoned");
         members.live(self.clock.now())
     }
 
-    /// Returns the living instances of the own region, which may be homes.
+    /// Returns the live instances of this region, which may be homes of budgets.
     pub fn home_candidates(&self) -> Vec<Candidate> {
-        let own = |m: &Member| m.region == self.settings.region;
-        let candidate = |m: Member| Candidate {
+        let is_local = |m: &Member| m.region == self.settings.region;
+        let to_candidate = |m: Member| Candidate {
             id: m.id,
             zone: m.zone,
         };
         self.live_instances()
             .into_iter()
-            .filter(own)
-            .map(candidate)
+            .filter(is_local)
+            .map(to_candidate)
             .collect()
     }
 
-    /// Returns where an instance listens for its peers.
+    /// Returns the address on which an instance listens for its peers.
     pub fn peer_addr(&self, id: &str) -> Option<String> {
-        let members = self.members.lock().expect("no panic inside");
+        let members = self.members.lock().expect("lock not poisoned");
         members.get(id).map(|m| m.peer_addr.clone())
     }
 
@@ -160,8 +164,8 @@
         event.log(&self.own_id, detail);
     }
 
-    /// Adds a step to a request's journal.
-    pub fn record_step(&self, request: &str, what: impl Into<String>) {
-        self.journal.record(self.clock.now(), request, what);
+    /// Records a step of a request in the journal.
+    pub fn record_step(&self, request: &str, description: impl Into<String>) {
+        self.journal.record(self.clock.now(), request, description);
     }
 }
--- a/crates/entry/src/wait_queues.rs
+++ b/crates/entry/src/wait_queues.rs
@@ -1,4 +1,4 @@
-//! Who waits for which upstreams.
+//! The queues of requests that wait for upstreams.
 
 use std::collections::BTreeMap;
 
@@ -6,33 +6,34 @@
 use route::upstream;
 use tokio::sync::oneshot;
 
-/// What a request waits for: a kind of upstream, and the model or service.
-pub(crate) type Pool = (upstream::Kind, String);
+/// Key of a queue: the kind of upstream, and the model or service that requests wait for.
+pub(crate) type QueueKey = (upstream::Kind, String);
 
-/// Who waits for one pool.
+/// The requests that wait for a model or service, and the channels that wake them.
 #[derive(Default)]
-pub(crate) struct Line {
+pub(crate) struct WaitQueue {
     pub(crate) queue: Queue,
     pub(crate) waiters: BTreeMap<Ticket, oneshot::Sender<bool>>,
 }
 
-impl Line {
-    pub(crate) fn tell(&mut self, ticket: Ticket, go: bool) {
+impl WaitQueue {
+    /// Wakes a waiting request and tells it whether it is admitted.
+    pub(crate) fn notify(&mut self, ticket: Ticket, admitted: bool) {
         if let Some(tx) = self.waiters.remove(&ticket) {
-            // A caller that left meanwhile has dropped its end.
-            let _ = tx.send(go);
+            // The request may have stopped waiting.
+            let _ = tx.send(admitted);
         }
     }
 }
 
-/// The queues of one instance, by what upstreams serve.
+/// The queues of an instance, by what upstreams serve.
 #[derive(Default)]
-pub struct WaitQueues(pub(crate) BTreeMap<Pool, Line>);
+pub struct WaitQueues(pub(crate) BTreeMap<QueueKey, WaitQueue>);
 
 impl WaitQueues {
-    /// Returns how many wait, by what they wait for.
+    /// Returns the number of waiting requests by model or service.
     pub fn lengths(&self) -> BTreeMap<String, usize> {
-        let row = |(k, l): (&Pool, &Line)| (k.1.clone(), l.queue.len());
-        self.0.iter().map(row).collect()
+        let count = |(k, l): (&QueueKey, &WaitQueue)| (k.1.clone(), l.queue.len());
+        self.0.iter().map(count).collect()
     }
 }
