--- a/crates/entry/src/budget_handle.rs
+++ b/crates/entry/src/budget_handle.rs
@@ -1,4 +1,4 @@
-//! A handle on the task that owns the decisions on budgets.
+//! Handle to the budget task.
 
 use budget::msg::ReserveRequest;
 use budget::placement::Candidate;
@@ -10,7 +10,7 @@
     DetachMsg, ExtendMsg, OpenStepMsg, RecallMsg, SettleMsg, StoreCopyMsg, VoidMsg,
 };
 
-/// What the task that owns the decisions is asked for.
+/// A command to the budget task, with the sender of its reply if it has one.
 pub(crate) enum Command {
     Reserve(ReserveRequest, u64, oneshot::Sender<ReserveReply>),
     Extend(ExtendMsg, oneshot::Sender<ReserveReply>),
@@ -30,14 +30,14 @@
     Dump(oneshot::Sender<Value>),
 }
 
-/// A handle on the running decisions; clones share them.
+/// A handle to the budget task; clones refer to the same task.
 #[derive(Clone)]
 pub struct BudgetHandle(mpsc::UnboundedSender<Command>);
 
-/// The receiving end, until the task is spawned.
+/// The receiver of the commands, to be passed to the budget task.
 pub struct CommandReceiver(pub(crate) mpsc::UnboundedReceiver<Command>);
 
-/// Opens a handle whose commands wait until the task is spawned.
+/// Creates a handle. Its commands are queued until the task is spawned.
 pub fn channel() -> (BudgetHandle, CommandReceiver) {
     let (tx, rx) = mpsc::unbounded_channel();
     (BudgetHandle(tx), CommandReceiver(rx))
@@ -45,101 +45,102 @@
 
 impl BudgetHandle {
     pub(crate) fn send(&self, cmd: Command) {
-        // After the task's end there is nobody left to serve; replies are dropped with it.
+        // If the task has ended, the command is dropped with its reply sender, and the caller gets
+        // `None`.
         let _ = self.0.send(cmd);
     }
 
-    /// Holds tokens back.
+    /// Reserves tokens for a request; waits for at most `wait_ms` milliseconds.
     pub async fn reserve(&self, req: ReserveRequest, wait_ms: u64) -> Option<ReserveReply> {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Reserve(req, wait_ms, tx));
         rx.await.ok()
     }
 
-    /// Widens a hold.
+    /// Adds tokens to a hold.
     pub async fn extend(&self, msg: ExtendMsg) -> Option<ReserveReply> {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Extend(msg, tx));
         rx.await.ok()
     }
 
-    /// Gives up a reservation whose answer came too late.
+    /// Voids the reservation of an entry instance that has stopped waiting for the reply.
     pub fn void(&self, msg: VoidMsg) {
         self.send(Command::Void(msg));
     }
 
-    /// Takes an entry off a request; returns whether others still serve it.
+    /// Removes an entry instance from a hold; returns whether others still serve the request.
     pub async fn detach(&self, msg: DetachMsg) -> Option<bool> {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Detach(msg, tx));
         rx.await.ok()
     }
 
-    /// Settles a hold; returns when the bill is durable.
+    /// Settles a hold; returns once the bill is durable.
     pub async fn settle(&self, msg: SettleMsg) -> Option<Durability> {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Settle(msg, tx));
         rx.await.ok()
     }
 
-    /// Keeps a copy of another holder's settlement.
+    /// Stores a copy of another holder's settlement.
     pub fn store_copy(&self, msg: StoreCopyMsg) {
         self.send(Command::StoreCopy(msg));
     }
 
-    /// Hands over unspent tokens; returns all that were ever handed to the asker.
+    /// Transfers unspent tokens to another holder; returns the total ever transferred to it.
     pub async fn recall(&self, msg: RecallMsg) -> Option<u64> {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Recall(msg, tx));
         rx.await.ok()
     }
 
-    /// Gives this witness' word for a step of a joint grant.
+    /// Approves a step of a joint grant as its witness; returns the total of opened tokens.
     pub async fn open_step(&self, msg: OpenStepMsg) -> Option<u64> {
         let (tx, rx) = oneshot::channel();
         self.send(Command::OpenStep(msg, tx));
         rx.await.ok()
     }
 
-    /// Carries out an operator's act.
+    /// Runs an operator's command on a customer's budget.
     pub async fn run_operator_command(
         &self,
         account: &str,
-        act: OperatorCommand,
+        command: OperatorCommand,
     ) -> Option<OperatorReply> {
         let (tx, rx) = oneshot::channel();
-        self.send(Command::Operator(account.to_string(), act, tx));
+        self.send(Command::Operator(account.to_string(), command, tx));
         rx.await.ok()
     }
 
-    /// Sets the living instances of the region.
+    /// Sets the live instances of the region, which may be homes.
     pub fn set_members(&self, members: Vec<Candidate>) {
         self.send(Command::SetMembers(members));
     }
 
-    /// Tells that entries are gone.
-    pub fn report_unresponsive(&self, entries: Vec<String>) {
-        self.send(Command::ReportUnresponsive(entries));
+    /// Reports instances as unresponsive.
+    pub fn report_unresponsive(&self, instances: Vec<String>) {
+        self.send(Command::ReportUnresponsive(instances));
     }
 
-    /// Tells which holders are present, and which have left as planned.
+    /// Sets which holders are present, and which have left in a planned stop.
     pub fn set_presence(&self, present: Vec<String>, left: Vec<String>) {
         self.send(Command::SetPresence(present, left));
     }
 
-    /// Hands everything back, for a planned stop.
+    /// Returns all unspent tokens to the stored records, for a planned stop.
     pub fn release_all(&self) {
         self.send(Command::ReleaseAll);
     }
 
-    /// Returns whether nothing is left to settle or hand back.
+    /// Returns whether nothing is left to be settled or returned.
     pub async fn is_drained(&self) -> bool {
         let (tx, rx) = oneshot::channel();
         self.send(Command::IsDrained(tx));
         rx.await.unwrap_or(true)
     }
 
-    /// Returns the state as JSON.
+    /// Returns the state of the budgets as JSON.
     pub async fn dump(&self) -> Value {
         let (tx, rx) = oneshot::channel();
         self.send(Command::Dump(tx));
--- a/crates/entry/src/budget_io.rs
+++ b/crates/entry/src/budget_io.rs
@@ -1,4 +1,4 @@
-//! The platform calls and messages that the decisions on budgets ask for.
+//! Store calls and messages to other instances and upstreams, on behalf of the budget task.
 
 use std::time::Duration;
 
@@ -10,14 +10,15 @@
 use crate::messages::{method, OpenStepMsg, RecallMsg, StoreCopyMsg};
 use crate::shared_state::SharedState;
 
-const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of a call that cancels an attempt at an upstream.
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Returns the key of a shard's record.
+/// Returns the store key of a shard's record.
 pub fn record_key(shard: u32) -> String {
     format!("/oriolehitch/budget/{shard:04}")
 }
 
-/// Returns the key of a segment of older bills.
+/// Returns the store key of a segment with older bills.
 pub fn segment_key(shard: u32, name: &str) -> String {
     format!("/oriolehitch/bill/{shard:04}/{name}")
 }
@@ -31,25 +32,29 @@
     Ok(Some(RecordSnapshot { revision, record }))
 }
 
-pub(crate) async fn read_record(cx: &SharedState, shard: u32) -> Event {
-    let got = cx.kv.get(&record_key(shard)).await;
-    match got.map(parse_snapshot) {
-        Ok(Ok(stored)) => Event::RecordRead(stored),
+pub(crate) async fn read_record(shared: &SharedState, shard: u32) -> Event {
+    let found = shared.kv.get(&record_key(shard)).await;
+    match found.map(parse_snapshot) {
+        Ok(Ok(snapshot)) => Event::RecordRead(snapshot),
         Ok(Err(_)) | Err(_) => Event::ReadFailed,
     }
 }
 
 pub(crate) async fn write_record(
-    cx: &SharedState,
+    shared: &SharedState,
     shard: u32,
-    base: i64,
+    base_revision: i64,
     record: &ShardRecord,
 ) -> Event {
-    let text = serde_json::to_vec(record).expect("a record is JSON");
-    match cx.kv.swap(&record_key(shard), base, &text, 0).await {
+    let value = serde_json::to_vec(record).expect("a record serializes");
+    match shared
+        .kv
+        .swap(&record_key(shard), base_revision, &value, 0)
+        .await
+    {
         Ok(Swap::Done(revision)) => Event::WriteCommitted { revision },
         Ok(Swap::Lost(found)) => match parse_snapshot(found) {
-            Ok(stored) => Event::WriteConflict(stored),
+            Ok(snapshot) => Event::WriteConflict(snapshot),
             Err(_) => Event::WriteRefused,
         },
         Err(Failure::Refused(_)) => Event::WriteRefused,
@@ -58,76 +63,83 @@
 }
 
 pub(crate) async fn recall_tokens(
-    cx: &SharedState,
+    shared: &SharedState,
     account: &str,
     from: &str,
     tokens: u64,
 ) -> Option<u64> {
-    let addr = cx.peer_addr(from)?;
+    let addr = shared.peer_addr(from)?;
     let msg = RecallMsg {
         account: account.to_string(),
-        to: cx.own_id.clone(),
+        to: shared.own_id.clone(),
         tokens,
     };
-    let reply = cx
+    let reply = shared
         .peers
-        .call(&cx.metrics, &addr, method::RECALL, &msg)
+        .call(&shared.metrics, &addr, method::RECALL, &msg)
         .await;
     reply.unwrap_or(None)
 }
 
 pub(crate) async fn request_step(
-    cx: &SharedState,
+    shared: &SharedState,
     account: &str,
     witness: &str,
     key: &str,
     up_to: u64,
 ) -> Option<u64> {
-    let addr = cx.peer_addr(witness)?;
+    let addr = shared.peer_addr(witness)?;
     let msg = OpenStepMsg {
         account: account.to_string(),
         key: key.to_string(),
         up_to,
     };
-    let reply = cx
+    let reply = shared
         .peers
-        .call(&cx.metrics, &addr, method::OPEN_STEP, &msg)
+        .call(&shared.metrics, &addr, method::OPEN_STEP, &msg)
         .await;
     reply.unwrap_or(None)
 }
 
-/// Gives a copy of a settlement to an instance in another availability zone.
-pub(crate) async fn send_copy(cx: &SharedState, account: &str, settlement: Settlement) -> bool {
+/// Stores a copy of a settlement at an instance in another availability zone; returns whether one
+/// confirmed it.
+pub(crate) async fn send_copy(shared: &SharedState, account: &str, settlement: Settlement) -> bool {
     let msg = StoreCopyMsg {
         account: account.to_string(),
         settlement,
     };
-    let zone = &cx.settings.zone;
-    for member in cx.live_instances().into_iter().filter(|m| m.zone != *zone) {
-        let kept = cx
+    let zone = &shared.settings.zone;
+    for member in shared
+        .live_instances()
+        .into_iter()
+        .filter(|m| m.zone != *zone)
+    {
+        let stored = shared
             .peers
-            .call::<_, bool>(&cx.metrics, &member.peer_addr, method::STORE_COPY, &msg)
+            .call::<_, bool>(&shared.metrics, &member.peer_addr, method::STORE_COPY, &msg)
             .await;
-        if kept == Ok(true) {
+        if stored == Ok(true) {
             return true;
         }
     }
     false
 }
 
-/// Cancels a request at its upstream and returns what it spent.
-pub(crate) async fn cancel_attempt(cx: &SharedState, at: &AttemptRef) -> Option<u64> {
+/// Cancels an attempt at its upstream; returns the tokens that it spent, or `None` if they could
+/// not be determined.
+pub(crate) async fn cancel_attempt(shared: &SharedState, attempt: &AttemptRef) -> Option<u64> {
     let url = {
-        let pool = cx.pool.lock().expect("no panic inside");
-        let key = pool.find(&at.upstream)?;
+        let pool = shared.pool.lock().expect("lock not poisoned");
+        let key = pool.find(&attempt.upstream)?;
         pool.get(key).spec.url.clone()
     };
-    let url = format!("{url}/v1/requests/{}/cancel", at.id);
-    let sent = cx.http.post(url).timeout(PROBE_TIMEOUT).send().await;
+    let url = format!("{url}/v1/requests/{}/cancel", attempt.id);
+    let sent = shared.http.post(url).timeout(CANCEL_TIMEOUT).send().await;
     let usage: Value = sent.ok()?.json().await.ok()?;
     match usage["known"].as_bool()? {
         true => usage["total_tokens"].as_u64(),
-        // The upstream will refuse it if it still comes, so it can have spent nothing.
+        // The upstream does not know the attempt and will refuse it if it still arrives, so it spends
+        // nothing.
         false => (usage["refused_from_now"] == true).then_some(0),
     }
 }
--- a/crates/entry/src/budget_task.rs
+++ b/crates/entry/src/budget_task.rs
@@ -1,4 +1,6 @@
-//! Runs the decisions on budgets: one task owns them, others send it events and wait for replies.
+//! The task that owns the state of all budgets of this instance.
+//!
+//! Other tasks send it commands through a [`BudgetHandle`] and wait for the replies.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
@@ -20,116 +22,118 @@
 use crate::messages::StoreCopyMsg;
 use crate::shared_state::SharedState;
 
-/// Ticks while something waits for time or for the platform.
+/// Tick interval while reservations, settlements, commands or platform calls are pending.
 const TICK_BUSY: Duration = Duration::from_millis(5);
-/// Ticks otherwise.
+/// Tick interval while nothing is pending.
 const TICK_IDLE: Duration = Duration::from_millis(250);
-/// The exit code after a failed invariant, as after a panic of the whole program.
-const EXIT_BROKEN: i32 = 101;
+/// Exit code after a failed invariant: the same as after a panic of the main thread.
+const EXIT_INVARIANT_FAILED: i32 = 101;
 
 /// Spawns the task.
-pub fn spawn(inbox: CommandReceiver, shared: &Arc<SharedState>) {
+pub fn spawn(commands: CommandReceiver, shared: &Arc<SharedState>) {
     let settings = &shared.settings;
     let params = Params {
         orphan_grace_ms: settings.orphan_grace_ms(),
         ..Params::default()
     };
     let clock = shared.clock;
-    let bank = ShardManager::new(
+    let shards = ShardManager::new(
         clock.now(),
         &shared.own_id,
         settings.shards(),
         settings.writes_per_sec(),
         params,
     );
-    let task = Task {
-        bank,
+    let task = BudgetTask {
+        shards,
         clock,
         shared: Arc::downgrade(shared),
         handle: shared.budgets.clone(),
-        next_ask: 1,
-        reserves: BTreeMap::new(),
-        drop_outs: BTreeMap::new(),
-        settles: BTreeMap::new(),
-        recalls: BTreeMap::new(),
-        acts: BTreeMap::new(),
+        last_reply_id: 1,
+        reserve_replies: BTreeMap::new(),
+        detach_replies: BTreeMap::new(),
+        settle_replies: BTreeMap::new(),
+        token_replies: BTreeMap::new(),
+        operator_replies: BTreeMap::new(),
     };
-    let me = shared.own_id.clone();
+    let own_id = shared.own_id.clone();
     tokio::spawn(async move {
-        let ended = tokio::spawn(task.run(inbox)).await;
-        if ended.is_err_and(|e| e.is_panic()) {
-            // Whatever it believes about money is wrong. Its grants stay charged in the record;
-            // going on without it would leave an instance that looks ready and serves nobody.
-            event::Event::InvariantFailed.log(&me, "the log above says which one");
-            std::process::exit(EXIT_BROKEN);
+        let result = tokio::spawn(task.run(commands)).await;
+        if result.is_err_and(|e| e.is_panic()) {
+            // The budget state in memory can't be trusted any more. The grants stay charged in the
+            // stored record. Without this task, the instance would look ready but refuse all
+            // requests.
+            event::Event::InvariantFailed.log(&own_id, "see the panic message above");
+            std::process::exit(EXIT_INVARIANT_FAILED);
         }
     });
 }
 
-struct Task {
-    bank: ShardManager,
+struct BudgetTask {
+    shards: ShardManager,
     clock: Clock,
     shared: Weak<SharedState>,
     handle: BudgetHandle,
-    next_ask: u64,
-    reserves: BTreeMap<u64, oneshot::Sender<ReserveReply>>,
-    drop_outs: BTreeMap<u64, oneshot::Sender<bool>>,
-    settles: BTreeMap<u64, oneshot::Sender<Durability>>,
-    recalls: BTreeMap<u64, oneshot::Sender<u64>>,
-    acts: BTreeMap<u64, oneshot::Sender<OperatorReply>>,
+    last_reply_id: u64,
+    /// Senders of the pending replies, by reply id.
+    reserve_replies: BTreeMap<u64, oneshot::Sender<ReserveReply>>,
+    detach_replies: BTreeMap<u64, oneshot::Sender<bool>>,
+    settle_replies: BTreeMap<u64, oneshot::Sender<Durability>>,
+    token_replies: BTreeMap<u64, oneshot::Sender<u64>>,
+    operator_replies: BTreeMap<u64, oneshot::Sender<OperatorReply>>,
 }
 
-impl Task {
-    async fn run(mut self, mut inbox: CommandReceiver) {
+impl BudgetTask {
+    async fn run(mut self, mut commands: CommandReceiver) {
         loop {
-            let wait = if self.bank.is_busy() {
+            let wait = if self.shards.is_busy() {
                 TICK_BUSY
             } else {
                 TICK_IDLE
             };
-            let cmd = tokio::time::timeout(wait, inbox.0.recv()).await;
+            let command = tokio::time::timeout(wait, commands.0.recv()).await;
             let now = self.clock.now();
-            let outputs = match cmd {
-                Err(_) => self.bank.step_all(now, &Event::Tick),
-                Ok(Some(cmd)) => self.take(now, cmd),
+            let actions = match command {
+                Err(_) => self.shards.step_all(now, &Event::Tick),
+                Ok(Some(command)) => self.handle(now, command),
                 Ok(None) => return,
             };
             let Some(shared) = self.shared.upgrade() else {
                 return;
             };
-            for output in outputs {
-                self.act(&shared, output);
+            for shard_action in actions {
+                self.perform(&shared, shard_action);
             }
         }
     }
 
-    fn ask(&mut self) -> u64 {
-        self.next_ask += 1;
-        self.next_ask
+    fn next_reply_id(&mut self) -> u64 {
+        self.last_reply_id += 1;
+        self.last_reply_id
     }
 
-    fn take(&mut self, now: u64, cmd: Command) -> Vec<ShardAction> {
-        let ask = self.ask();
-        match cmd {
+    fn handle(&mut self, now: u64, command: Command) -> Vec<ShardAction> {
+        let reply_to = self.next_reply_id();
+        match command {
             Command::Reserve(req, wait_ms, tx) => {
-                self.reserves.insert(ask, tx);
+                self.reserve_replies.insert(reply_to, tx);
                 let account = req.account.clone();
                 let deadline = now + wait_ms;
                 self.step(
                     now,
                     &account,
                     Event::Reserve {
-                        reply_to: ask,
+                        reply_to,
                         request: req,
                         deadline,
                     },
                 )
             }
             Command::Extend(m, tx) => {
-                self.reserves.insert(ask, tx);
+                self.reserve_replies.insert(reply_to, tx);
                 let account = m.account.clone();
                 let event = Event::Extend {
-                    reply_to: ask,
+                    reply_to,
                     account: m.account,
                     hold: m.hold,
                     attempt: m.attempt,
@@ -148,10 +152,10 @@
                 self.step(now, &account, event)
             }
             Command::Detach(m, tx) => {
-                self.drop_outs.insert(ask, tx);
+                self.detach_replies.insert(reply_to, tx);
                 let account = m.account.clone();
                 let event = Event::Detach {
-                    reply_to: ask,
+                    reply_to,
                     account: m.account,
                     hold: m.hold,
                     entry: m.entry,
@@ -159,10 +163,10 @@
                 self.step(now, &account, event)
             }
             Command::Settle(m, tx) => {
-                self.settles.insert(ask, tx);
+                self.settle_replies.insert(reply_to, tx);
                 let account = m.account.clone();
                 let event = Event::Settle {
-                    reply_to: Some(ask),
+                    reply_to: Some(reply_to),
                     account: m.account,
                     settlement: m.settlement,
                     unconfirmed: m.unconfirmed,
@@ -184,10 +188,10 @@
                 )
             }
             Command::Recall(m, tx) => {
-                self.recalls.insert(ask, tx);
+                self.token_replies.insert(reply_to, tx);
                 let account = m.account.clone();
                 let event = Event::Recall {
-                    reply_to: ask,
+                    reply_to,
                     account: m.account,
                     to: m.to,
                     tokens: m.tokens,
@@ -195,53 +199,53 @@
                 self.step(now, &account, event)
             }
             Command::OpenStep(m, tx) => {
-                // Answered like a recall: by a number of tokens.
-                self.recalls.insert(ask, tx);
-                let (key, upto) = (m.key, m.up_to);
+                // Like a recall, it is answered with a number of tokens.
+                self.token_replies.insert(reply_to, tx);
+                let (key, up_to) = (m.key, m.up_to);
                 self.step(
                     now,
                     &m.account,
                     Event::OpenStep {
-                        reply_to: ask,
+                        reply_to,
                         key,
-                        up_to: upto,
+                        up_to,
                     },
                 )
             }
-            Command::Operator(account, act, tx) => {
-                self.acts.insert(ask, tx);
+            Command::Operator(account, command, tx) => {
+                self.operator_replies.insert(reply_to, tx);
                 let name = account.clone();
                 self.step(
                     now,
                     &name,
                     Event::Operator {
-                        reply_to: ask,
+                        reply_to,
                         account,
-                        command: act,
+                        command,
                     },
                 )
             }
-            Command::Event(shard, event) => self.bank.step(now, shard, event),
+            Command::Event(shard, event) => self.shards.step(now, shard, event),
             Command::SetMembers(members) => {
-                self.bank.set_members(members);
+                self.shards.set_members(members);
                 Vec::new()
             }
-            Command::ReportUnresponsive(entries) => {
-                let gone = |entry| Event::InstanceUnresponsive { instance: entry };
-                let events: Vec<Event> = entries.into_iter().map(gone).collect();
-                let all = events.iter().flat_map(|e| self.bank.step_all(now, e));
-                all.collect()
+            Command::ReportUnresponsive(instances) => {
+                let unresponsive = |instance| Event::InstanceUnresponsive { instance };
+                let events: Vec<Event> = instances.into_iter().map(unresponsive).collect();
+                let actions = events.iter().flat_map(|e| self.shards.step_all(now, e));
+                actions.collect()
             }
             Command::SetPresence(present, left) => {
-                self.bank.set_presence(now, &present, &left);
+                self.shards.set_presence(now, &present, &left);
                 Vec::new()
             }
             Command::ReleaseAll => {
-                self.bank.leave();
-                self.bank.step_all(now, &Event::Tick)
+                self.shards.leave();
+                self.shards.step_all(now, &Event::Tick)
             }
             Command::IsDrained(tx) => {
-                let _ = tx.send(self.bank.is_drained());
+                let _ = tx.send(self.shards.is_drained());
                 Vec::new()
             }
             Command::Dump(tx) => {
@@ -252,124 +256,123 @@
     }
 
     fn step(&mut self, now: u64, account: &str, event: Event) -> Vec<ShardAction> {
-        let shard = self.bank.shard_of(account);
-        self.bank.step(now, shard, event)
+        let shard = self.shards.shard_of(account);
+        self.shards.step(now, shard, event)
     }
 
-    /// Carries out one action; what takes time goes on beside and comes back as an event.
-    fn act(&mut self, shared: &Arc<SharedState>, output: ShardAction) {
-        let shard = output.shard;
-        let cx = Arc::clone(shared);
+    /// Performs an action. I/O runs in a separate task, which sends its result back as an event.
+    fn perform(&mut self, shared: &Arc<SharedState>, shard_action: ShardAction) {
+        let shard = shard_action.shard;
+        let state = Arc::clone(shared);
         let handle = self.handle.clone();
-        match output.action {
+        match shard_action.action {
             Action::ReadRecord => {
                 tokio::spawn(async move {
-                    let event = read_record(&cx, shard).await;
+                    let event = read_record(&state, shard).await;
                     handle.send(Command::Event(shard, event));
                 });
             }
             Action::WriteRecord {
-                base_revision: base,
+                base_revision,
                 record,
             } => {
                 tokio::spawn(async move {
-                    let event = write_record(&cx, shard, base, &record).await;
+                    let event = write_record(&state, shard, base_revision, &record).await;
                     handle.send(Command::Event(shard, event));
                 });
             }
             Action::WriteSegment { name, segment } => {
                 tokio::spawn(async move {
-                    let text = serde_json::to_vec(&segment).expect("a segment is JSON");
+                    let value = serde_json::to_vec(&segment).expect("a segment serializes");
                     let key = segment_key(shard, &name);
-                    let swapped = cx.kv.swap(&key, 0, &text, 0).await;
-                    let done = matches!(swapped, Ok(Swap::Done(_)));
-                    handle.send(Command::Event(shard, Event::SegmentWritten(done)));
+                    let swapped = state.kv.swap(&key, 0, &value, 0).await;
+                    let written = matches!(swapped, Ok(Swap::Done(_)));
+                    handle.send(Command::Event(shard, Event::SegmentWritten(written)));
                 });
             }
             Action::ReadSegment { name } => {
                 tokio::spawn(async move {
-                    let found = cx.kv.get(&segment_key(shard, &name)).await;
+                    let found = state.kv.get(&segment_key(shard, &name)).await;
                     let found = found.ok().flatten();
                     let segment = found.and_then(|f| serde_json::from_slice(&f.value).ok());
                     handle.send(Command::Event(shard, Event::SegmentRead(segment)));
                 });
             }
-            Action::ReserveReply {
-                reply_to: ask,
-                reply,
-            } => reply_to(&mut self.reserves, ask, reply),
+            Action::ReserveReply { reply_to, reply } => {
+                send_reply(&mut self.reserve_replies, reply_to, reply)
+            }
             Action::SettleReply {
-                reply_to: ask,
-                durability: how,
-            } => reply_to(&mut self.settles, ask, how),
-            Action::OperatorReply {
-                reply_to: ask,
-                reply,
-            } => reply_to(&mut self.acts, ask, reply),
+                reply_to,
+                durability,
+            } => send_reply(&mut self.settle_replies, reply_to, durability),
+            Action::OperatorReply { reply_to, reply } => {
+                send_reply(&mut self.operator_replies, reply_to, reply)
+            }
             Action::RecallReply {
-                reply_to: ask,
-                total_sent: sent,
-            } => reply_to(&mut self.recalls, ask, sent),
+                reply_to,
+                total_sent,
+            } => send_reply(&mut self.token_replies, reply_to, total_sent),
             Action::Recall {
                 account,
                 from,
                 tokens,
             } => {
                 tokio::spawn(async move {
-                    let sent = recall_tokens(&cx, &account, &from, tokens).await;
+                    let total_sent = recall_tokens(&state, &account, &from, tokens).await;
                     let event = Event::RecallReply {
                         account,
                         from,
-                        total_sent: sent,
+                        total_sent,
                     };
                     handle.send(Command::Event(shard, event));
                 });
             }
             Action::StepReply {
-                reply_to: ask,
-                total_opened: opened,
-            } => reply_to(&mut self.recalls, ask, opened),
+                reply_to,
+                total_opened,
+            } => send_reply(&mut self.token_replies, reply_to, total_opened),
             Action::OpenStep {
                 account,
                 witness,
                 key,
-                up_to: upto,
+                up_to,
             } => {
                 tokio::spawn(async move {
-                    let opened = request_step(&cx, &account, &witness, &key, upto).await;
+                    let total_opened = request_step(&state, &account, &witness, &key, up_to).await;
                     let event = Event::StepReply {
                         account,
                         key,
-                        total_opened: opened,
+                        total_opened,
                     };
                     handle.send(Command::Event(shard, event));
                 });
             }
             Action::SendCopy {
                 account,
-                settlement: post,
+                settlement,
             } => {
                 tokio::spawn(async move {
-                    let hold = post.hold;
-                    if send_copy(&cx, &account, post).await {
+                    let hold = settlement.hold;
+                    if send_copy(&state, &account, settlement).await {
                         handle.send(Command::Event(shard, Event::CopyStored { account, hold }));
                     }
                 });
             }
             Action::DetachReply {
-                reply_to: ask,
-                others_remain: others,
-            } => reply_to(&mut self.drop_outs, ask, others),
+                reply_to,
+                others_remain,
+            } => send_reply(&mut self.detach_replies, reply_to, others_remain),
             Action::CancelAttempt {
                 account,
                 hold,
-                attempt: at,
+                attempt,
             } => {
                 tokio::spawn(async move {
-                    match cancel_attempt(&cx, &at).await {
+                    match cancel_attempt(&state, &attempt).await {
                         Some(tokens) => {
-                            let detail = format!("{} at {}: {tokens}", at.id, at.upstream);
-                            cx.log(event::Event::OrphanBilled, detail);
+                            let detail =
+                                format!("{} at {}: {tokens}", attempt.id, attempt.upstream);
+                            state.log(event::Event::OrphanBilled, detail);
                             let at_ms = wall_ms();
                             let event = Event::UsageReported {
                                 account,
@@ -380,8 +383,8 @@
                             handle.send(Command::Event(shard, event));
                         }
                         None => {
-                            let detail = format!("{} at {}", at.id, at.upstream);
-                            cx.log(event::Event::OrphanUnresolved, detail);
+                            let detail = format!("{} at {}", attempt.id, attempt.upstream);
+                            state.log(event::Event::OrphanUnresolved, detail);
                         }
                     }
                 });
@@ -394,22 +397,25 @@
             }
             Action::Warn(Warning::DuplicateBill {
                 account,
-                request_id: request,
+                request_id,
             }) => {
-                shared.log(event::Event::DuplicateBill, format!("{account}: {request}"));
+                shared.log(
+                    event::Event::DuplicateBill,
+                    format!("{account}: {request_id}"),
+                );
             }
         }
     }
 
     fn dump(&self) -> Value {
-        let mut shards = BTreeMap::new();
-        for (shard, home) in self.bank.shards() {
-            let locals: BTreeMap<_, _> = home
+        let mut rows = BTreeMap::new();
+        for (number, shard) in self.shards.shards() {
+            let accounts: BTreeMap<_, _> = shard
                 .local_accounts()
                 .iter()
                 .map(|(name, l)| {
                     let row = json!({
-                        "available": home.available(name),
+                        "available": shard.available(name),
                         "held": l.holds,
                         "pending": l.pending.len(),
                         "waiting": l.waiting.len(),
@@ -422,19 +428,19 @@
                 })
                 .collect();
             let row = json!({
-                "role": format!("{:?}", home.role()),
-                "cut_off": home.is_cut_off(),
-                "accounts": locals,
+                "role": format!("{:?}", shard.role()),
+                "cut_off": shard.is_cut_off(),
+                "accounts": accounts,
             });
-            shards.insert(shard.to_string(), row);
+            rows.insert(number.to_string(), row);
         }
-        json!(shards)
+        json!(rows)
     }
 }
 
-fn reply_to<T>(waiting: &mut BTreeMap<u64, oneshot::Sender<T>>, ask: u64, reply: T) {
-    if let Some(tx) = waiting.remove(&ask) {
-        // An asker that left is told by its own time-out what to do.
+fn send_reply<T>(pending: &mut BTreeMap<u64, oneshot::Sender<T>>, reply_to: u64, reply: T) {
+    if let Some(tx) = pending.remove(&reply_to) {
+        // The requester may have stopped waiting; its own timeout handles that case.
         let _ = tx.send(reply);
     }
 }
--- a/crates/entry/src/config_change.rs
+++ b/crates/entry/src/config_change.rs
@@ -1,4 +1,4 @@
-//! Accepts operators' changes of the configuration.
+//! Commits configuration changes by operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,51 +15,56 @@
 use crate::gossip;
 use crate::shared_state::SharedState;
 
-/// How often a write without an answer is tried again, or looked for.
-const LOOKS: u32 = 5;
-const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// How long the spread of a change is followed for its metric.
-const SPREAD_MOST: Duration = Duration::from_secs(60);
-const SPREAD_LOOK: Duration = Duration::from_millis(50);
+/// Maximum number of attempts to write a chunk, or to find out whether a change was committed.
+const MAX_ATTEMPTS: u32 = 5;
+/// Pause between these attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Propagation of a change is measured for at most this time; a slower one is not observed.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(60);
+const PROPAGATION_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A change that an operator wants.
+/// A configuration change that an operator requests.
 #[derive(Clone, Debug)]
 pub struct ChangeRequest {
-    /// The whole new configuration.
+    /// The complete new configuration.
     pub config: Config,
-    /// The revision that the operator has seen.
+    /// The revision that the change is based on.
     pub expected_revision: u64,
-    /// Names the change.
+    /// Id of the change: a repeated request with the same id is not committed twice.
     pub change_id: String,
-    /// Who wants it.
+    /// Name of the operator.
     pub operator: String,
-    /// What changes, in a line.
+    /// Summary of the change, in one line.
     pub summary: String,
 }
 
-/// Accepts a change, or tells why not; returns the new revision.
+/// Commits a change; returns its revision.
 ///
 /// # Errors
 ///
-/// Returns a conflict when the expected revision is not the current one, and an error with an
-/// unknown outcome when the platform's answer was lost and can't be found.
+/// Returns `Conflict` if the expected revision is not the current one, `PlatformDown` if the change
+/// was not written, and `OutcomeUnknown` if the response to the write was lost and the change is not
+/// found afterwards.
 pub async fn commit(shared: &Arc<SharedState>, request: ChangeRequest) -> Result<u64, Error> {
-    let down = |_| {
+    let unreachable = |_| {
         Error::new(
             Kind::PlatformDown,
-            "the platform's service can't be reached",
+            "the platform's key-value store is unreachable",
         )
     };
-    let (head, kv_revision) = read_head(shared).await.map_err(down)?.unwrap_or_default();
-    if let Some(done) = head
+    let (head, kv_revision) = read_head(shared)
+        .await
+        .map_err(unreachable)?
+        .unwrap_or_default();
+    if let Some(earlier) = head
         .history
         .iter()
         .find(|c| c.change_id == request.change_id)
     {
-        return Ok(done.revision);
+        return Ok(earlier.revision);
     }
     if head.revision != request.expected_revision {
-        return Err(conflict(head.revision));
+        return Err(conflict_error(head.revision));
     }
     let change = Change {
         revision: head.revision + 1,
@@ -71,93 +76,93 @@
     let bundle = Bundle::next(&head, &request.config, change);
     for (hash, text) in &bundle.chunks {
         if !head.chunks.contains(hash) {
-            // A chunk that is there already is the same: its key is its hash.
+            // If the key exists, it holds the same chunk, since the key is the hash of the value.
             let key = format!("{CHUNK_KEY_PREFIX}{hash}");
-            put_chunk(shared, &key, text).await.map_err(down)?;
+            put_chunk(shared, &key, text).await.map_err(unreachable)?;
         }
     }
-    let text = serde_json::to_vec(&bundle.head).expect("a head is JSON");
-    match shared.kv.swap(HEAD_KEY, kv_revision, &text, 0).await {
-        Ok(Swap::Done(_)) => Ok(accepted(shared, bundle)),
-        Ok(Swap::Lost(_)) => find_again(shared, &request.change_id, bundle, true).await,
+    let value = serde_json::to_vec(&bundle.head).expect("a head serializes");
+    match shared.kv.swap(HEAD_KEY, kv_revision, &value, 0).await {
+        Ok(Swap::Done(_)) => Ok(finish_commit(shared, bundle)),
+        Ok(Swap::Lost(_)) => find_committed(shared, &request.change_id, bundle, true).await,
         Err(Failure::Refused(_)) => Err(Error::new(
             Kind::PlatformDown,
-            "the platform's service refused the change",
+            "the platform's key-value store refused the change",
         )),
-        Err(Failure::Unknown(_)) => find_again(shared, &request.change_id, bundle, false).await,
+        Err(Failure::Unknown(_)) => find_committed(shared, &request.change_id, bundle, false).await,
     }
 }
 
-/// Writes a chunk, again where an answer is lost: its key is its hash, so that harms nothing.
+/// Writes a chunk, and retries failed writes: this is safe since the key is the hash of the value.
 async fn put_chunk(shared: &SharedState, key: &str, text: &str) -> Result<(), Failure> {
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         match shared.kv.swap(key, 0, text.as_bytes(), 0).await {
             Ok(_) => return Ok(()),
-            Err(failure) if tries >= LOOKS => return Err(failure),
-            Err(_) => tokio::time::sleep(LOOK_EVERY).await,
+            Err(failure) if attempts >= MAX_ATTEMPTS => return Err(failure),
+            Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
         }
     }
 }
 
-/// Looks for a change whose write had no answer, or lost a race.
-async fn find_again(
+/// Looks in the store for a change whose write got no response, or lost a race with another write.
+async fn find_committed(
     shared: &Arc<SharedState>,
     change_id: &str,
     bundle: Bundle,
-    lost: bool,
+    lost_race: bool,
 ) -> Result<u64, Error> {
-    for _ in 0..LOOKS {
+    for _ in 0..MAX_ATTEMPTS {
         if let Ok(Some((head, _))) = read_head(shared).await {
             if head.history.iter().any(|c| c.change_id == change_id) {
-                return Ok(accepted(shared, bundle));
+                return Ok(finish_commit(shared, bundle));
             }
-            if lost || head.revision >= bundle.head.revision {
-                return Err(conflict(head.revision));
+            if lost_race || head.revision >= bundle.head.revision {
+                return Err(conflict_error(head.revision));
             }
         }
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(RETRY_INTERVAL).await;
     }
     Err(Error::new(
         Kind::OutcomeUnknown,
-        "the platform did not say whether the change was accepted: send it again with the same change id",
+        "the platform did not confirm the change: send it again with the same change id",
     ))
 }
 
-fn conflict(current: u64) -> Error {
+fn conflict_error(current: u64) -> Error {
     Error::new(Kind::Conflict, format!("the current revision is {current}"))
 }
 
-fn accepted(shared: &Arc<SharedState>, bundle: Bundle) -> u64 {
+fn finish_commit(shared: &Arc<SharedState>, bundle: Bundle) -> u64 {
     let revision = bundle.head.revision;
     apply(shared, bundle);
     shared.log(Event::ConfigAccepted, format!("revision {revision}"));
-    let cx = Arc::clone(shared);
+    let shared = Arc::clone(shared);
     tokio::spawn(async move {
-        let began = cx.clock.now();
-        gossip::broadcast(&cx, None).await;
-        follow_spread(&cx, revision, began).await;
+        let started_at = shared.clock.now();
+        gossip::broadcast(&shared, None).await;
+        observe_propagation(&shared, revision, started_at).await;
     });
     revision
 }
 
-/// Measures when the last living instance has a revision in force.
-async fn follow_spread(shared: &SharedState, revision: u64, began: u64) {
-    let look = async {
+/// Measures the time until all live instances have applied a revision.
+async fn observe_propagation(shared: &SharedState, revision: u64, started_at: u64) {
+    let propagated = async {
         while shared
             .live_instances()
             .iter()
             .any(|m| m.revision < revision)
         {
-            tokio::time::sleep(SPREAD_LOOK).await;
+            tokio::time::sleep(PROPAGATION_POLL_INTERVAL).await;
         }
     };
-    if timeout(SPREAD_MOST, look).await.is_ok() {
-        let ms = shared.clock.now() - began;
+    if timeout(PROPAGATION_TIMEOUT, propagated).await.is_ok() {
+        let elapsed_ms = shared.clock.now() - started_at;
         shared
             .metrics
             .config_spread_seconds
-            .observe(ms as f64 / 1000.0);
+            .observe(elapsed_ms as f64 / 1000.0);
     }
 }
--- a/crates/entry/src/config_sync.rs
+++ b/crates/entry/src/config_sync.rs
@@ -1,4 +1,7 @@
-//! The configuration: accepted by a compare-and-swap of its head, spread by watch and by peers.
+//! Keeps the configuration up to date.
+//!
+//! A change is committed by a compare-and-swap of the head in the platform's key-value store. Other
+//! instances learn of it from a watch, from polling the head, and from peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,47 +15,50 @@
 use crate::messages::{method, PullConfigMsg, PullConfigReply};
 use crate::shared_state::{ActiveConfig, SharedState};
 
-/// Key of the head.
+/// Store key of the head.
 pub(crate) const HEAD_KEY: &str = "/oriolehitch/config/head";
-/// Keys of the chunks that a head names.
+/// Prefix of the store keys of the chunks, before their hash.
 pub(crate) const CHUNK_KEY_PREFIX: &str = "/oriolehitch/config/chunk/";
-/// The head is read at least this often: a watch can stall without a sign.
-const POLL_EVERY: Duration = Duration::from_secs(10);
-const WATCH_RETRY: Duration = Duration::from_secs(1);
+/// Interval in which the head is read in any case, since a watch can stall without an error.
+const POLL_INTERVAL: Duration = Duration::from_secs(10);
+/// Delay before a failed watch is started again.
+const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Spawns the tasks.
+/// Spawns the tasks. A configuration is also fetched from the peers in the settings, since the
+/// platform may be down.
 pub fn spawn(shared: &Arc<SharedState>) {
-    tokio::spawn(follow(Arc::clone(shared)));
+    tokio::spawn(watch_head(Arc::clone(shared)));
     for addr in shared.settings.peers.clone().unwrap_or_default() {
         spawn_pull(Arc::clone(shared), addr.to_string());
     }
 }
 
-async fn follow(shared: Arc<SharedState>) {
+async fn watch_head(shared: Arc<SharedState>) {
     loop {
         let mut watch = shared.kv.watch(HEAD_KEY).await.ok();
         loop {
-            read(&shared).await;
+            refresh(&shared).await;
             let Some(rx) = watch.as_mut() else {
                 break;
             };
-            if timeout(POLL_EVERY, rx.recv()).await == Ok(None) {
+            if timeout(POLL_INTERVAL, rx.recv()).await == Ok(None) {
                 watch = None;
             }
         }
-        tokio::time::sleep(WATCH_RETRY).await;
+        tokio::time::sleep(WATCH_RETRY_DELAY).await;
     }
 }
 
-/// Reads the head, and what it names that is not here.
-async fn read(shared: &Arc<SharedState>) {
+/// Reads the head and the missing chunks from the store, and applies the configuration if it is
+/// newer.
+async fn refresh(shared: &Arc<SharedState>) {
     let Ok(Some((head, _))) = read_head(shared).await else {
         return;
     };
     if head.revision <= shared.config_revision() {
         return;
     }
-    let mut bundle = start(shared, head);
+    let mut bundle = bundle_with_known_chunks(shared, head);
     for hash in bundle.missing() {
         match shared.kv.get(&format!("{CHUNK_KEY_PREFIX}{hash}")).await {
             Ok(Some(found)) => {
@@ -65,8 +71,8 @@
     apply(shared, bundle);
 }
 
-/// Starts a bundle with the chunks that are here already.
-fn start(shared: &SharedState, head: Head) -> Bundle {
+/// Creates a bundle for a head, with those of its chunks that the active configuration has.
+fn bundle_with_known_chunks(shared: &SharedState, head: Head) -> Bundle {
     let mut bundle = Bundle {
         head,
         chunks: Default::default(),
@@ -94,7 +100,7 @@
     }
 }
 
-/// Puts a whole bundle in force, unless a newer one is.
+/// Applies a complete bundle, unless the active configuration is as new or newer.
 pub(crate) fn apply(shared: &Arc<SharedState>, bundle: Bundle) {
     let active = match ActiveConfig::from_bundle(bundle) {
         Ok(active) => Arc::new(active),
@@ -106,30 +112,33 @@
     let revision = active.bundle.head.revision;
     let at_ms = active.bundle.head.history.last().map_or(0, |c| c.at_ms);
     {
-        let mut config = shared.config.write().expect("no panic inside");
-        // Checked under the lock: a slow pull may come after a newer one.
+        let mut config = shared.config.write().expect("lock not poisoned");
+        // Checked under the lock, since a slow pull may finish after a newer one was applied.
         let current = config.as_ref().map_or(0, |a| a.bundle.head.revision);
         if revision <= current {
             return;
         }
         *config = Some(active);
-        assert!(revision > current, "a configuration never goes back");
+        assert!(
+            revision > current,
+            "the revision of the active configuration only increases"
+        );
     }
-    let lag = wall_ms().saturating_sub(at_ms);
+    let lag_ms = wall_ms().saturating_sub(at_ms);
     shared
         .metrics
         .config_lag_seconds
-        .observe(lag as f64 / 1000.0);
-    let mut members = shared.members.lock().expect("no panic inside");
+        .observe(lag_ms as f64 / 1000.0);
+    let mut members = shared.members.lock().expect("lock not poisoned");
     members.set_revision(revision);
     drop(members);
     shared.log(
         Event::ConfigApplied,
-        format!("revision {revision} after {lag} ms"),
+        format!("revision {revision} after {lag_ms} ms"),
     );
 }
 
-/// Answers a peer that asks for the configuration.
+/// Returns the active configuration to a peer, without the chunks that the peer has.
 pub fn handle_pull(shared: &SharedState, msg: &PullConfigMsg) -> PullConfigReply {
     let Some(active) = shared.active_config() else {
         return PullConfigReply {
@@ -137,28 +146,28 @@
             chunks: Vec::new(),
         };
     };
-    let lacks = active
+    let missing = active
         .bundle
         .chunks
         .iter()
         .filter(|(h, _)| !msg.chunk_hashes.contains(h));
-    let chunk = |(hash, text): (&String, &String)| Chunk {
+    let to_chunk = |(hash, text): (&String, &String)| Chunk {
         hash: hash.clone(),
         text: text.clone(),
     };
     PullConfigReply {
         head: Some(active.bundle.head.clone()),
-        chunks: lacks.map(chunk).collect(),
+        chunks: missing.map(to_chunk).collect(),
     }
 }
 
-/// Fetches a peer's configuration in a task of its own.
+/// Fetches the configuration of a peer in a separate task, and applies it if it is newer.
 pub fn spawn_pull(shared: Arc<SharedState>, addr: String) {
     tokio::spawn(async move {
         let active = shared.active_config();
-        let have = active.map(|a| a.bundle.chunks.keys().cloned().collect());
+        let chunk_hashes = active.map(|a| a.bundle.chunks.keys().cloned().collect());
         let msg = PullConfigMsg {
-            chunk_hashes: have.unwrap_or_default(),
+            chunk_hashes: chunk_hashes.unwrap_or_default(),
         };
         let reply = shared
             .peers
@@ -174,7 +183,7 @@
         if head.revision <= shared.config_revision() {
             return;
         }
-        let mut bundle = start(&shared, head);
+        let mut bundle = bundle_with_known_chunks(&shared, head);
         for chunk in chunks {
             bundle.add(chunk);
         }
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,66 +1,66 @@
-//! Numbered log events; docs/EVENTS.md is their catalogue.
+//! The numbered log events, which docs/EVENTS.md lists.
 
 use std::fmt::Display;
 
 use catalogue::{row, Row};
 use tracing::Level;
 
-/// What happened.
+/// A log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The instance serves.
+    /// The instance has started to serve.
     Started,
-    /// A planned stop has begun.
+    /// A planned stop began.
     Stopping,
-    /// A planned stop has ended.
+    /// A planned stop finished.
     Stopped,
-    /// A planned stop was cut short.
+    /// A planned stop was aborted, or ran out of time.
     StopAborted,
-    /// An invariant of the budgets failed: the process ends at once.
+    /// An invariant of the budgets failed; the process exits.
     InvariantFailed,
-    /// Another configuration is in force.
+    /// A newer configuration was applied.
     ConfigApplied,
-    /// A configuration in the platform is broken.
+    /// A configuration is invalid or incomplete.
     ConfigInvalid,
-    /// A change of configuration was accepted here.
+    /// A configuration change was committed through this instance.
     ConfigAccepted,
-    /// The platform does not answer.
+    /// The platform does not respond.
     PlatformUnavailable,
-    /// The platform answers again.
+    /// The platform responds again.
     PlatformRecovered,
-    /// An instance is new, or changed its standing.
+    /// An instance is new, or its standing changed.
     MembershipChanged,
-    /// An instance fell silent.
+    /// An instance became unresponsive, or has left.
     InstanceUnresponsive,
     /// An upstream is leaving.
     UpstreamLeaving,
-    /// A bill waits longer than its answer should.
+    /// The holder of a hold did not confirm its settlement; other instances are asked to record it.
     BillDelayed,
-    /// A bill had only one copy when its answer ended.
+    /// A response ended before its bill was durable.
     BillNotDurable,
-    /// An upstream served more than was asked for.
+    /// An upstream served more tokens than requested.
     TokensExceeded,
-    /// A request was billed before under the same id.
+    /// A request with the same id was already billed.
     DuplicateBill,
-    /// An orphaned request was cancelled and billed by its upstream's word.
+    /// An orphaned request was cancelled and billed for the tokens that its upstream reported.
     OrphanBilled,
-    /// An orphaned request's upstream does not answer: its tokens stay held.
+    /// The upstream of an orphaned request did not report its usage; the tokens stay held.
     OrphanUnresolved,
     /// An operator released stranded tokens.
     TokensReleased,
     /// An operator topped up a budget.
     BudgetToppedUp,
-    /// An answer broke off.
+    /// A response was aborted.
     ResponseAborted,
-    /// An upstream's answer was not for this request.
+    /// An upstream sent part of the response to another request.
     ResponseMismatch,
-    /// A claim's end could not be stored.
+    /// The result of a claimed request could not be stored yet.
     ClaimNotStored,
-    /// An upstream was ordered to serve a version.
+    /// An upstream accepted the order to serve a model version.
     VersionOrdered,
 }
 
-/// The catalogue.
+/// Number, level and text of each event.
 pub const EVENTS: &[Row<Event>] = &[
     row(Event::Started, 1001, Level::INFO, "instance serves"),
     row(Event::Stopping, 1002, Level::INFO, "planned stop begun"),
@@ -190,11 +190,11 @@
 ];
 
 impl Event {
-    /// Returns the event's row of the catalogue.
+    /// Returns the event's row in the catalogue.
     ///
     /// # Panics
     ///
-    /// Panics when the catalogue lacks the event; a test holds them together.
+    /// Panics if the catalogue has no row for the event.
     pub fn row(self) -> &'static Row<Event> {
         catalogue::find(EVENTS, self)
     }
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats to random partners, and what follows when instances come, go or fall silent.
+//! Gossip with random peers, and the reactions when instances join, leave or become unresponsive.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::messages::{method, GossipMsg};
 use crate::shared_state::SharedState;
 
-const EVERY: Duration = Duration::from_millis(1_000);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_000);
 
 /// Spawns the task.
 pub fn spawn(shared: Arc<SharedState>) {
@@ -22,95 +22,108 @@
 
 async fn run(shared: Arc<SharedState>) {
     let mut rng = StdRng::from_os_rng();
-    let mut every = tokio::time::interval(EVERY);
-    let mut silent = BTreeSet::new();
+    let mut interval = tokio::time::interval(HEARTBEAT_INTERVAL);
+    let mut known_unresponsive = BTreeSet::new();
     loop {
-        every.tick().await;
+        interval.tick().await;
         let now = shared.clock.now();
-        let partner = {
-            let mut members = shared.members.lock().expect("no panic inside");
+        let next = {
+            let mut members = shared.members.lock().expect("lock not poisoned");
             members.beat(now, &mut rng)
         };
-        settle_members(&shared, &mut silent);
-        let Some((partner, told)) = partner else {
+        update_members(&shared, &mut known_unresponsive);
+        let Some((peer, update)) = next else {
             continue;
         };
-        tokio::spawn(talk(Arc::clone(&shared), partner, told));
+        tokio::spawn(exchange(Arc::clone(&shared), peer, update));
     }
 }
 
-/// Takes over who lives, who fell silent and who came back.
-fn settle_members(shared: &Arc<SharedState>, silent: &mut BTreeSet<String>) {
+/// Passes the live instances to the budgets and the pool, and reports those that have become
+/// unresponsive or have left since the last call.
+fn update_members(shared: &Arc<SharedState>, known_unresponsive: &mut BTreeSet<String>) {
     shared.budgets.set_members(shared.home_candidates());
     let live = shared.live_instances().len();
     shared
         .pool
         .lock()
-        .expect("no panic inside")
+        .expect("lock not poisoned")
         .set_sharers(live);
     let now = shared.clock.now();
-    let quiet = shared.members.lock().expect("no panic inside").silent(now);
-    let quiet: BTreeSet<String> = quiet.into_iter().collect();
-    let news: Vec<String> = quiet.difference(silent).cloned().collect();
-    for id in &news {
+    let unresponsive = shared
+        .members
+        .lock()
+        .expect("lock not poisoned")
+        .silent(now);
+    let unresponsive: BTreeSet<String> = unresponsive.into_iter().collect();
+    let newly_unresponsive: Vec<String> = unresponsive
+        .difference(known_unresponsive)
+        .cloned()
+        .collect();
+    for id in &newly_unresponsive {
         shared.log(Event::InstanceUnresponsive, id);
     }
-    if !news.is_empty() {
-        shared.budgets.report_unresponsive(news);
+    if !newly_unresponsive.is_empty() {
+        shared.budgets.report_unresponsive(newly_unresponsive);
     }
-    *silent = quiet;
+    *known_unresponsive = unresponsive;
 }
 
-async fn talk(shared: Arc<SharedState>, partner: Member, told: Told) {
-    let msg = message(&shared, told);
-    let addr = &partner.peer_addr;
+/// Sends an update to a peer and applies its reply.
+async fn exchange(shared: Arc<SharedState>, peer: Member, update: Told) {
+    let msg = build_message(&shared, update);
+    let addr = &peer.peer_addr;
     let reply = shared
         .peers
         .call::<_, GossipMsg>(&shared.metrics, addr, method::GOSSIP, &msg)
         .await;
     if let Ok(reply) = reply {
-        take(&shared, reply, addr);
+        apply_message(&shared, reply, addr);
     }
 }
 
-fn message(shared: &SharedState, told: Told) -> GossipMsg {
+fn build_message(shared: &SharedState, update: Told) -> GossipMsg {
     GossipMsg {
-        membership: told,
+        membership: update,
         revision: shared.config_revision(),
-        leaving_upstreams: shared.pool.lock().expect("no panic inside").leaving(),
+        leaving_upstreams: shared.pool.lock().expect("lock not poisoned").leaving(),
     }
 }
 
-/// Answers a partner.
+/// Applies the message of a peer and returns the reply.
 pub fn handle_message(shared: &Arc<SharedState>, msg: GossipMsg) -> GossipMsg {
     let addr = msg.membership.members.first().map(|m| m.peer_addr.clone());
-    take(shared, msg, &addr.unwrap_or_default());
+    apply_message(shared, msg, &addr.unwrap_or_default());
     let now = shared.clock.now();
     let mut rng = StdRng::from_os_rng();
-    let told = {
-        let members = shared.members.lock().expect("no panic inside");
+    let update = {
+        let members = shared.members.lock().expect("lock not poisoned");
         members.tell(now, &mut rng)
     };
-    message(shared, told)
+    build_message(shared, update)
 }
 
-fn take(shared: &Arc<SharedState>, msg: GossipMsg, addr: &str) {
+fn apply_message(shared: &Arc<SharedState>, msg: GossipMsg, addr: &str) {
     let now = shared.clock.now();
-    let news = {
-        let mut members = shared.members.lock().expect("no panic inside");
+    let changed = {
+        let mut members = shared.members.lock().expect("lock not poisoned");
         members.hear(now, msg.membership)
     };
-    for member in &news {
+    for member in &changed {
         let detail = format!("{} {:?}", member.id, member.standing);
         shared.log(Event::MembershipChanged, detail);
     }
-    if !news.is_empty() {
+    if !changed.is_empty() {
         shared.budgets.set_members(shared.home_candidates());
     }
     for id in &msg.leaving_upstreams {
-        let known = shared.pool.lock().expect("no panic inside").set_leaving(id);
-        if known {
-            shared.log(Event::UpstreamLeaving, format!("{id}, by a peer"));
+        let is_new = shared
+            .pool
+            .lock()
+            .expect("lock not poisoned")
+            .set_leaving(id);
+        if is_new {
+            shared.log(Event::UpstreamLeaving, format!("{id}, reported by a peer"));
         }
     }
     if msg.revision > shared.config_revision() {
@@ -118,18 +131,19 @@
     }
 }
 
-/// Tells every living instance at once, for news that must not wait.
+/// Sends this instance's state, with a new standing if one is given, to up to 16 live instances at
+/// once; others learn of it by gossip.
 pub async fn broadcast(shared: &Arc<SharedState>, standing: Option<Standing>) {
     let (me, live) = {
-        let mut members = shared.members.lock().expect("no panic inside");
+        let mut members = shared.members.lock().expect("lock not poisoned");
         if let Some(standing) = standing {
             members.set_standing(standing);
         }
         (members.me().clone(), members.live(shared.clock.now()))
     };
-    let mut talks = Vec::new();
+    let mut exchanges = Vec::new();
     for member in live.into_iter().filter(|m| m.id != shared.own_id).take(16) {
-        let talk = talk(
+        let exchange = exchange(
             Arc::clone(shared),
             member,
             Told {
@@ -137,10 +151,10 @@
                 beats: Vec::new(),
             },
         );
-        talks.push(tokio::spawn(talk));
+        exchanges.push(tokio::spawn(exchange));
     }
-    for talk in talks {
-        // A partner that does not answer hears it from another.
-        let _ = talk.await;
+    for exchange in exchanges {
+        // A peer that did not respond learns of the change by gossip.
+        let _ = exchange.await;
     }
 }
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,4 +1,4 @@
-//! One running instance: listeners, filters of a request, and the tasks around the decisions.
+//! A router instance: its listeners, the processing of requests, and the background tasks.
 
 pub mod admin;
 pub mod admission;
--- a/crates/entry/src/load_reports.rs
+++ b/crates/entry/src/load_reports.rs
@@ -1,4 +1,4 @@
-//! Asks upstreams for their load: those in use often, the others now and then.
+//! Polls the load reports of upstreams: those in use in every round, the others in turn.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,9 +10,11 @@
 use crate::event::Event;
 use crate::shared_state::SharedState;
 
-const EVERY: Duration = Duration::from_millis(250);
-/// Rounds after which one unused upstream is asked.
-const IDLE_ROUNDS: u64 = 8;
+/// Interval between two rounds.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Once in this many rounds, one more upstream is polled, in turn.
+const IDLE_POLL_ROUNDS: u64 = 8;
+/// Timeout of a poll.
 const TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Spawns the task.
@@ -21,45 +23,49 @@
 }
 
 async fn run(shared: Arc<SharedState>) {
-    let mut every = tokio::time::interval(EVERY);
+    let mut interval = tokio::time::interval(POLL_INTERVAL);
     let mut round = 0;
     loop {
-        every.tick().await;
+        interval.tick().await;
         round += 1;
-        for (key, url) in due(&shared, round) {
+        for (key, url) in due_upstreams(&shared, round) {
             tokio::spawn(fetch_report(Arc::clone(&shared), key, url));
         }
         crate::admission::admit_waiting(&shared);
     }
 }
 
-fn due(shared: &SharedState, round: u64) -> Vec<(Key, String)> {
+/// Returns the upstreams to poll in a round, with their URLs.
+fn due_upstreams(shared: &SharedState, round: u64) -> Vec<(Key, String)> {
     let active = shared.active_config();
-    let wanted = active
+    let configured = active
         .map(|a| a.config.versions.clone())
         .unwrap_or_default();
-    let pool = shared.pool.lock().expect("no panic inside");
+    let pool = shared.pool.lock().expect("lock not poisoned");
     let all: Vec<_> = pool.all().filter(|(_, u)| !u.leaving).collect();
     if all.is_empty() {
         return Vec::new();
     }
-    let turn = (round / IDLE_ROUNDS) as usize % all.len();
-    let idle_turn = round % IDLE_ROUNDS == 0;
+    let idle_index = (round / IDLE_POLL_ROUNDS) as usize % all.len();
+    let is_idle_round = round % IDLE_POLL_ROUNDS == 0;
     let mut due = Vec::new();
-    for (i, (key, up)) in all.iter().enumerate() {
-        // One that does not report the wanted version yet gets no requests until it does.
-        let changing = wanted.iter().any(|(model, version)| {
-            up.spec.serves.contains(model) && up.versions.get(model) != Some(version)
+    for (i, (key, upstream)) in all.iter().enumerate() {
+        // No requests are sent to an upstream until it reports the configured version.
+        let is_switching = configured.iter().any(|(model, version)| {
+            upstream.spec.serves.contains(model) && upstream.versions.get(model) != Some(version)
         });
-        let used = up.inflight > 0 || up.since_report > 0 || up.load_at.is_none() || changing;
-        if used || (idle_turn && i == turn) {
-            due.push((*key, up.spec.url.clone()));
+        let is_used = upstream.inflight > 0
+            || upstream.since_report > 0
+            || upstream.load_at.is_none()
+            || is_switching;
+        if is_used || (is_idle_round && i == idle_index) {
+            due.push((*key, upstream.spec.url.clone()));
         }
     }
     due
 }
 
-/// Asks one upstream.
+/// Fetches the load report of an upstream and passes it to the pool.
 pub async fn fetch_report(shared: Arc<SharedState>, key: Key, url: String) {
     let sent = shared
         .http
@@ -73,24 +79,27 @@
         return;
     };
     let load = Load {
-        slots: number(&value["slots"]),
-        running: number(&value["running"]),
-        waiting: number(&value["waiting"]),
+        slots: parse_count(&value["slots"]),
+        running: parse_count(&value["running"]),
+        waiting: parse_count(&value["waiting"]),
         draining: value["draining"] == true,
     };
     let now = shared.clock.now();
-    let mut pool = shared.pool.lock().expect("no panic inside");
-    let left = pool.get(key).leaving;
+    let mut pool = shared.pool.lock().expect("lock not poisoned");
+    let was_leaving = pool.get(key).leaving;
     pool.report(now, key, load);
-    pool.get_mut(key).versions = versions(&value["versions"]);
+    pool.get_mut(key).versions = parse_versions(&value["versions"]);
     let id = pool.get(key).spec.id.clone();
     drop(pool);
-    if load.draining && !left {
-        shared.log(Event::UpstreamLeaving, format!("{id}, by its load report"));
+    if load.draining && !was_leaving {
+        shared.log(
+            Event::UpstreamLeaving,
+            format!("{id}, according to its load report"),
+        );
     }
 }
 
-fn versions(value: &Value) -> BTreeMap<String, String> {
+fn parse_versions(value: &Value) -> BTreeMap<String, String> {
     let row = |(model, v): (&String, &Value)| {
         let version = v["version"].as_str()?;
         Some((model.clone(), version.to_string()))
@@ -103,6 +112,6 @@
         .collect()
 }
 
-fn number(value: &Value) -> u32 {
+fn parse_count(value: &Value) -> u32 {
     value.as_u64().unwrap_or_default() as u32
 }
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -1,4 +1,6 @@
-//! What instances say to each other: typed messages, and the names of the methods that take them.
+//! The messages between instances, and the names of the RPC methods that receive them.
+//!
+//! The entry instance of a request is the one that received it from the caller.
 
 use budget::msg::{AttemptRef, ReserveRequest, UnconfirmedUsage};
 use budget::Settlement;
@@ -6,33 +8,33 @@
 use peer::Told;
 use serde::{Deserialize, Serialize};
 
-/// A reservation, as one instance asks another.
+/// A request to a home to reserve tokens.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReserveMsg {
-    /// The request.
+    /// The reservation.
     #[serde(rename = "req")]
     pub request: ReserveRequest,
-    /// How long the asker waits, in milliseconds.
+    /// How long the requester waits, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// A widening of a hold.
+/// A request to a holder to add tokens to a hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ExtendMsg {
     /// The customer.
     pub account: String,
     /// The hold.
     pub hold: u64,
-    /// Where the entry will send the request.
+    /// The attempt for which the tokens are added.
     #[serde(rename = "at")]
     pub attempt: AttemptRef,
-    /// Tokens more.
+    /// Additional tokens.
     pub tokens: u64,
-    /// How long the asker waits, in milliseconds.
+    /// How long the requester waits, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// The end of a reservation that nobody will use.
+/// Voids a reservation that will not be used.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct VoidMsg {
     /// The customer.
@@ -40,22 +42,22 @@
     /// The request's id.
     #[serde(rename = "request")]
     pub request_id: String,
-    /// The entry's incarnation.
+    /// Incarnation of the entry instance.
     pub entry: String,
 }
 
-/// The word of an entry whose caller left.
+/// Removes an entry instance from a hold after its caller disconnected.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct DetachMsg {
     /// The customer.
     pub account: String,
     /// The hold.
     pub hold: u64,
-    /// The entry's incarnation.
+    /// Incarnation of the entry instance.
     pub entry: String,
 }
 
-/// A settlement.
+/// Settles a hold.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SettleMsg {
     /// The customer.
@@ -63,12 +65,12 @@
     /// The settlement.
     #[serde(rename = "post")]
     pub settlement: Settlement,
-    /// What may have been spent besides.
+    /// Tokens that may have been spent in addition.
     #[serde(rename = "doubts")]
     pub unconfirmed: Vec<UnconfirmedUsage>,
 }
 
-/// A copy of a settlement, to be kept until it is recorded.
+/// Stores a copy of a settlement until the settlement is recorded.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StoreCopyMsg {
     /// The customer.
@@ -78,81 +80,81 @@
     pub settlement: Settlement,
 }
 
-/// A call for unspent tokens.
+/// Requests unspent tokens from another holder.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecallMsg {
     /// The customer.
     pub account: String,
-    /// The holder that lacks them.
+    /// The holder that needs the tokens.
     pub to: String,
-    /// Tokens.
+    /// Number of tokens that it needs.
     pub tokens: u64,
 }
 
-/// A step of a joint grant.
+/// Requests a step of a joint grant from its witness.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OpenStepMsg {
     /// The customer.
     pub account: String,
     /// The joint grant's key.
     pub key: String,
-    /// Tokens opened after the step, cumulative.
+    /// Total of opened tokens after the step.
     #[serde(rename = "upto")]
     pub up_to: u64,
 }
 
-/// What two instances tell each other again and again.
+/// A gossip message or the reply to one.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GossipMsg {
-    /// What the sender knows of instances, itself first.
+    /// What the sender knows about the instances; the first one is the sender.
     #[serde(rename = "told")]
     pub membership: Told,
-    /// The revision of the sender's configuration.
+    /// The revision of the sender's active configuration.
     pub revision: u64,
-    /// Upstreams that are leaving.
+    /// Ids of the upstreams that are leaving.
     #[serde(rename = "leaving")]
     pub leaving_upstreams: Vec<String>,
 }
 
-/// A call for a configuration.
+/// Requests the active configuration.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PullConfigMsg {
-    /// Hashes of chunks that the asker has.
+    /// Hashes of the chunks that the requester has.
     #[serde(rename = "have")]
     pub chunk_hashes: Vec<String>,
 }
 
-/// A configuration, less the chunks that the asker has.
+/// A configuration without the chunks that the requester has.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PullConfigReply {
-    /// The head; none while the instance has no configuration.
+    /// The head; none if the instance has no configuration yet.
     pub head: Option<Head>,
-    /// Chunks.
+    /// The other chunks.
     pub chunks: Vec<Chunk>,
 }
 
-/// Names of the methods.
+/// Names of the RPC methods.
 pub mod method {
-    /// Holds tokens back.
+    /// Reserves tokens for a request.
     pub const RESERVE: &str = "reserve";
-    /// Widens a hold.
+    /// Adds tokens to a hold.
     pub const EXTEND: &str = "extend";
-    /// Gives up a reservation.
+    /// Voids a reservation.
     pub const VOID: &str = "void";
-    /// Serves a request no more.
+    /// Removes an entry instance from a hold.
     pub const DETACH: &str = "drop_out";
     /// Settles a hold.
     pub const SETTLE: &str = "settle";
-    /// Keeps a copy of a settlement.
+    /// Stores a copy of a settlement.
     pub const STORE_COPY: &str = "keep";
-    /// Hands over unspent tokens.
+    /// Transfers unspent tokens.
     pub const RECALL: &str = "recall";
-    /// Opens a step of a joint grant.
+    /// Approves a step of a joint grant.
     pub const OPEN_STEP: &str = "open";
-    /// Exchanges what is known of instances.
+    /// Exchanges gossip.
     pub const GOSSIP: &str = "gossip";
-    /// Fetches a configuration.
+    /// Returns the active configuration.
     pub const PULL_CONFIG: &str = "pull";
-    /// Tells how far an attempt is.
+    /// Returns the status of an attempt at a claimed request.
     pub const ATTEMPT_STATUS: &str = "attempt";
 }
--- a/crates/entry/src/model_versions.rs
+++ b/crates/entry/src/model_versions.rs
@@ -1,8 +1,9 @@
-//! Orders to engines: they follow from the configuration, whose revision is the fencing number.
+//! Orders engines to serve the model versions that the configuration names.
 //!
-//! Level-triggered: what an engine reports is compared with what the configuration wants, again and
-//! again. So an order that was lost is sent again, and an engine that ignores fencing numbers and
-//! obeyed a paused, older issuer is put right when it reports so.
+//! The revision of the configuration is the fencing number of an order. Orders are level-triggered:
+//! the versions that engines report are compared with the configuration at regular intervals. A lost
+//! order is therefore sent again, and an engine that ignores fencing numbers and obeyed an instance
+//! with an outdated configuration, such as one that was paused, is corrected after its next report.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,50 +16,54 @@
 use crate::event::Event;
 use crate::shared_state::{ActiveConfig, SharedState};
 
-/// One order at a time: the weight store is rate-limited.
-const EVERY: Duration = Duration::from_millis(500);
+/// Interval between orders. They are sent one at a time, since the store that engines load weights
+/// from is rate-limited.
+const ORDER_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of an order.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An order that an engine needs.
-struct Order {
+/// An order to an engine to serve a version of a model.
+struct VersionOrder {
     key: Key,
     url: String,
     model: String,
     version: String,
+    /// Fencing number.
     fence: u64,
 }
 
 /// Spawns the task.
 pub fn spawn(shared: Arc<SharedState>) {
     tokio::spawn(async move {
-        let mut every = tokio::time::interval(EVERY);
+        let mut interval = tokio::time::interval(ORDER_INTERVAL);
         loop {
-            every.tick().await;
+            interval.tick().await;
             let Some(active) = shared.active_config() else {
                 continue;
             };
-            if let Some(order) = next(&shared, &active) {
-                send(&shared, order).await;
+            if let Some(order) = next_order(&shared, &active) {
+                send_order(&shared, order).await;
             }
         }
     });
 }
 
-/// Returns the first order that this instance has to give.
-fn next(shared: &SharedState, active: &ActiveConfig) -> Option<Order> {
+/// Returns the first order that this instance has to send, if there is one.
+fn next_order(shared: &SharedState, active: &ActiveConfig) -> Option<VersionOrder> {
     let candidates = shared.home_candidates();
-    let pool = shared.pool.lock().expect("no panic inside");
-    for (key, up) in pool.all() {
-        let mine = issuer(&up.spec.id, &candidates) == Some(shared.own_id.as_str());
-        if up.spec.kind != Kind::Engine || up.leaving || !mine {
+    let pool = shared.pool.lock().expect("lock not poisoned");
+    for (key, upstream) in pool.all() {
+        let is_issuer = issuer(&upstream.spec.id, &candidates) == Some(shared.own_id.as_str());
+        if upstream.spec.kind != Kind::Engine || upstream.leaving || !is_issuer {
             continue;
         }
         for (model, version) in &active.config.versions {
-            let serves = up.spec.serves.contains(model);
-            if serves && up.load_at.is_some() && up.versions.get(model) != Some(version) {
-                return Some(Order {
+            let serves = upstream.spec.serves.contains(model);
+            if serves && upstream.load_at.is_some() && upstream.versions.get(model) != Some(version)
+            {
+                return Some(VersionOrder {
                     key,
-                    url: up.spec.url.clone(),
+                    url: upstream.spec.url.clone(),
                     model: model.clone(),
                     version: version.clone(),
                     fence: active.bundle.head.revision,
@@ -69,13 +74,14 @@
     None
 }
 
-/// Returns the instance that gives an upstream its orders: two may think so, and both are fenced.
-fn issuer<'a>(upstream: &str, candidates: &'a [Candidate]) -> Option<&'a str> {
-    let rank = |c: &&Candidate| xxh3_64(format!("{upstream}/{}", c.id).as_bytes());
+/// Returns the instance that sends an upstream its orders. If instances disagree about it, several
+/// may send orders; the fencing numbers then decide.
+fn issuer<'a>(upstream_id: &str, candidates: &'a [Candidate]) -> Option<&'a str> {
+    let rank = |c: &&Candidate| xxh3_64(format!("{upstream_id}/{}", c.id).as_bytes());
     candidates.iter().max_by_key(rank).map(|c| c.id.as_str())
 }
 
-async fn send(shared: &Arc<SharedState>, order: Order) {
+async fn send_order(shared: &Arc<SharedState>, order: VersionOrder) {
     let body = json!({
         "model": order.model, "version": order.version, "fence": order.fence,
     });
@@ -87,14 +93,14 @@
         .timeout(TIMEOUT)
         .send()
         .await;
-    let done = sent.is_ok_and(|r| r.status().is_success());
-    if done {
+    let accepted = sent.is_ok_and(|r| r.status().is_success());
+    if accepted {
         let detail = format!(
-            "{} {} by revision {}",
+            "{} {}, configuration revision {}",
             order.model, order.version, order.fence
         );
         shared.log(Event::VersionOrdered, detail);
     }
-    // What it reports counts, not what it answered.
+    // The order counts as carried out only once the engine reports the version.
     crate::load_reports::fetch_report(Arc::clone(shared), order.key, order.url).await;
 }
--- a/crates/entry/src/peer_clients.rs
+++ b/crates/entry/src/peer_clients.rs
@@ -1,4 +1,4 @@
-//! Calls other instances, over jsonrpsee.
+//! JSON-RPC clients of the other instances.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -13,21 +13,23 @@
 
 use crate::metrics::Metrics;
 
-/// Longer than a home lets an entry wait for tokens.
+/// Timeout of a call: longer than a home waits for tokens before it replies to a reservation.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Largest message either way, in bytes.
+/// Maximum size of a message or reply, in bytes.
 pub(crate) const MAX_MESSAGE_BYTES: u32 = 8 << 20;
 
-/// Clients of other instances, by address.
+/// The clients of the other instances.
 #[derive(Default)]
 pub struct PeerClients {
+    /// Clients by address.
     clients: Mutex<BTreeMap<String, HttpClient>>,
-    cut: Mutex<Vec<String>>,
+    /// Addresses to which calls fail, for tests.
+    blocked: Mutex<Vec<String>>,
 }
 
 impl PeerClients {
     fn client(&self, addr: &str) -> Result<HttpClient, String> {
-        let mut clients = self.clients.lock().expect("no panic inside");
+        let mut clients = self.clients.lock().expect("lock not poisoned");
         if let Some(client) = clients.get(addr) {
             return Ok(client.clone());
         }
@@ -41,41 +43,41 @@
         Ok(client)
     }
 
-    /// Cuts the links to some addresses, for tests; replaces an earlier cut.
+    /// Makes calls to these addresses fail, for tests; replaces the previous list.
     pub fn set_blocked(&self, addrs: Vec<String>) {
-        *self.cut.lock().expect("no panic inside") = addrs;
+        *self.blocked.lock().expect("lock not poisoned") = addrs;
     }
 
-    fn is_cut(&self, addr: &str) -> bool {
-        let cut = self.cut.lock().expect("no panic inside");
-        cut.iter().any(|a| a == addr)
+    fn is_blocked(&self, addr: &str) -> bool {
+        let blocked = self.blocked.lock().expect("lock not poisoned");
+        blocked.iter().any(|a| a == addr)
     }
 
     /// Calls a method of another instance.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; the call may have been carried out.
+    /// Returns why there is no reply; the call may have been executed.
     pub async fn call<P: Serialize, R: DeserializeOwned>(
         &self,
         metrics: &Metrics,
         addr: &str,
-        name: &str,
+        method: &str,
         msg: &P,
     ) -> Result<R, String> {
-        if self.is_cut(addr) {
-            return Err("the link is cut".to_string());
+        if self.is_blocked(addr) {
+            return Err("calls to this address are blocked".to_string());
         }
         let client = self.client(addr)?;
-        // As raw texts, so that their bytes are counted without writing them a second time.
-        let text = to_raw_value(msg).map_err(|e| e.to_string())?;
-        let sent = text.get().len();
+        // Raw values, so that their bytes can be counted without serializing twice.
+        let value = to_raw_value(msg).map_err(|e| e.to_string())?;
+        let sent = value.get().len();
         let mut params = ArrayParams::new();
-        params.insert(text).map_err(|e| e.to_string())?;
-        let called = client.request(name, params).await;
+        params.insert(value).map_err(|e| e.to_string())?;
+        let called = client.request(method, params).await;
         let reply: Box<RawValue> = called.map_err(|e| e.to_string())?;
-        let got = reply.get().len();
-        metrics.count_peer_message(name, (sent + got) as u64);
+        let received = reply.get().len();
+        metrics.count_peer_message(method, (sent + received) as u64);
         serde_json::from_str(reply.get()).map_err(|e| e.to_string())
     }
 }
--- a/crates/entry/src/peer_server.rs
+++ b/crates/entry/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers other instances, over jsonrpsee.
+//! JSON-RPC server for the other instances.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,8 @@
 use crate::peer_clients::MAX_MESSAGE_BYTES;
 use crate::shared_state::SharedState;
 
-const CONNECTIONS: u32 = 4096;
+/// Maximum number of open connections.
+const MAX_CONNECTIONS: u32 = 4096;
 
 /// Binds the listener for other instances.
 ///
@@ -27,7 +28,7 @@
 pub async fn bind(addr: SocketAddr) -> Result<(jsonrpsee_server::Server, SocketAddr), String> {
     let config = ServerConfig::builder()
         .http_only()
-        .max_connections(CONNECTIONS)
+        .max_connections(MAX_CONNECTIONS)
         .max_request_body_size(MAX_MESSAGE_BYTES)
         .max_response_body_size(MAX_MESSAGE_BYTES)
         .build();
@@ -37,90 +38,109 @@
     Ok((server, addr))
 }
 
-/// Starts to answer other instances.
+/// Starts to serve the other instances.
 ///
 /// # Panics
 ///
-/// Panics when two methods have one name.
+/// Panics if two methods have the same name.
 pub fn serve(server: jsonrpsee_server::Server, shared: Arc<SharedState>) -> ServerHandle {
     let mut module = RpcModule::from_arc(shared);
-    add(
+    register(
         &mut module,
         method::RESERVE,
-        |cx, m: ReserveMsg| async move {
-            let reply = cx.budgets.reserve(m.request, m.wait_ms).await;
+        |shared, m: ReserveMsg| async move {
+            let reply = shared.budgets.reserve(m.request, m.wait_ms).await;
             reply.unwrap_or(ReserveReply::OutOfReach { retry_ms: 1_000 })
         },
     );
-    add(&mut module, method::EXTEND, |cx, m: ExtendMsg| async move {
-        let reply = cx.budgets.extend(m).await;
-        reply.unwrap_or(ReserveReply::OutOfReach { retry_ms: 1_000 })
-    });
-    add(&mut module, method::VOID, |cx, m: VoidMsg| async move {
-        cx.budgets.void(m);
+    register(
+        &mut module,
+        method::EXTEND,
+        |shared, m: ExtendMsg| async move {
+            let reply = shared.budgets.extend(m).await;
+            reply.unwrap_or(ReserveReply::OutOfReach { retry_ms: 1_000 })
+        },
+    );
+    register(&mut module, method::VOID, |shared, m: VoidMsg| async move {
+        shared.budgets.void(m);
         true
     });
-    add(&mut module, method::DETACH, |cx, m: DetachMsg| async move {
-        // Without an answer nobody may cancel: the home will, when no entry is left.
-        cx.budgets.detach(m).await.unwrap_or(true)
-    });
-    add(&mut module, method::SETTLE, |cx, m: SettleMsg| async move {
-        let how: Option<Durability> = cx.budgets.settle(m).await;
-        how
-    });
-    add(
+    register(
+        &mut module,
+        method::DETACH,
+        |shared, m: DetachMsg| async move {
+            // If the outcome is unknown, the entry instance must not cancel the attempt: the holder
+            // does so once no entry instance is left.
+            shared.budgets.detach(m).await.unwrap_or(true)
+        },
+    );
+    register(
+        &mut module,
+        method::SETTLE,
+        |shared, m: SettleMsg| async move {
+            let durability: Option<Durability> = shared.budgets.settle(m).await;
+            durability
+        },
+    );
+    register(
         &mut module,
         method::STORE_COPY,
-        |cx, m: StoreCopyMsg| async move {
-            cx.budgets.store_copy(m);
+        |shared, m: StoreCopyMsg| async move {
+            shared.budgets.store_copy(m);
             true
         },
     );
-    add(&mut module, method::RECALL, |cx, m: RecallMsg| async move {
-        let sent: Option<u64> = cx.budgets.recall(m).await;
-        sent
-    });
-    add(
+    register(
+        &mut module,
+        method::RECALL,
+        |shared, m: RecallMsg| async move {
+            let sent: Option<u64> = shared.budgets.recall(m).await;
+            sent
+        },
+    );
+    register(
         &mut module,
         method::OPEN_STEP,
-        |cx, m: OpenStepMsg| async move {
-            let opened: Option<u64> = cx.budgets.open_step(m).await;
+        |shared, m: OpenStepMsg| async move {
+            let opened: Option<u64> = shared.budgets.open_step(m).await;
             opened
         },
     );
-    add(&mut module, method::GOSSIP, |cx, m: GossipMsg| async move {
-        crate::gossip::handle_message(&cx, m)
-    });
-    add(
+    register(
+        &mut module,
+        method::GOSSIP,
+        |shared, m: GossipMsg| async move { crate::gossip::handle_message(&shared, m) },
+    );
+    register(
         &mut module,
         method::PULL_CONFIG,
-        |cx, m: PullConfigMsg| async move { crate::config_sync::handle_pull(&cx, &m) },
+        |shared, m: PullConfigMsg| async move { crate::config_sync::handle_pull(&shared, &m) },
     );
-    add(
+    register(
         &mut module,
         method::ATTEMPT_STATUS,
-        |cx, m: String| async move {
-            let attempts = cx.claim_attempts.lock().expect("no panic inside");
+        |shared, m: String| async move {
+            let attempts = shared.claim_attempts.lock().expect("lock not poisoned");
             attempts.get(&m).copied().unwrap_or(AttemptStatus::Unknown)
         },
     );
     server.start(module)
 }
 
-/// Adds a method that takes one typed message and returns one.
-fn add<M, R, F, Fut>(module: &mut RpcModule<SharedState>, name: &'static str, answer: F)
+/// Registers a method that takes a typed message and returns a typed reply.
+fn register<M, R, F, Fut>(module: &mut RpcModule<SharedState>, name: &'static str, handler: F)
 where
     M: DeserializeOwned + Send + 'static,
     R: Serialize + Clone + Send + 'static,
     F: Fn(Arc<SharedState>, M) -> Fut + Clone + Send + Sync + 'static,
     Fut: std::future::Future<Output = R> + Send,
 {
-    let added = module.register_async_method(name, move |params, cx, _| {
-        let answer = answer.clone();
+    let registered = module.register_async_method(name, move |params, shared, _| {
+        let handler = handler.clone();
         async move {
             let msg: M = params.one()?;
-            RpcResult::Ok(answer(cx, msg).await)
+            RpcResult::Ok(handler(shared, msg).await)
         }
     });
-    added.expect("each method has its own name");
+    registered.expect("method names are unique");
 }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -1,4 +1,5 @@
-//! The instance list: this instance's entry in it, and what it says of instances and upstreams.
+//! The instance list in the platform's key-value store: it holds an entry of each instance and each
+//! upstream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,116 +12,133 @@
 use crate::event::Event;
 use crate::shared_state::SharedState;
 
-const PREFIX: &str = "/instances/";
-const TTL_SECS: u64 = 12;
-const RENEW_EVERY: Duration = Duration::from_secs(4);
-/// The list is read at least this often: a watch can stall without a sign.
-const POLL_EVERY: Duration = Duration::from_secs(5);
-const WATCH_RETRY: Duration = Duration::from_secs(1);
-/// Changes that come close together are read at once.
-const SETTLE: Duration = Duration::from_millis(50);
+/// Prefix of the store keys of all entries.
+const KEY_PREFIX: &str = "/instances/";
+/// Lifetime of this instance's entry without a renewal, in seconds.
+const LEASE_TTL_SECS: u64 = 12;
+const RENEW_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval in which the list is read in any case, since a watch can stall without an error.
+const POLL_INTERVAL: Duration = Duration::from_secs(5);
+/// Delay before a failed watch is started again.
+const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Delay of a read after a change, so that changes in quick succession are read together.
+const DEBOUNCE: Duration = Duration::from_millis(50);
 
 /// Spawns the tasks.
 pub fn spawn(shared: &Arc<SharedState>) {
-    tokio::spawn(enlist(Arc::clone(shared)));
-    tokio::spawn(follow(Arc::clone(shared)));
+    tokio::spawn(maintain_entry(Arc::clone(shared)));
+    tokio::spawn(watch_list(Arc::clone(shared)));
 }
 
-fn key(me: &str) -> String {
-    format!("{PREFIX}router/{me}")
+/// Returns the store key of an instance's entry.
+fn entry_key(id: &str) -> String {
+    format!("{KEY_PREFIX}router/{id}")
 }
 
-/// Keeps this instance's own entry.
-async fn enlist(shared: Arc<SharedState>) {
+/// Writes this instance's entry, renews its lease, and updates it when the standing changes.
+async fn maintain_entry(shared: Arc<SharedState>) {
     let mut lease = None;
     let mut written = None;
     loop {
-        let me = shared.members.lock().expect("no panic inside").me().clone();
+        let me = shared
+            .members
+            .lock()
+            .expect("lock not poisoned")
+            .me()
+            .clone();
         if me.standing == Standing::Left {
             return;
         }
-        let alive = match lease {
+        let is_valid = match lease {
             Some(id) => shared.kv.keep_alive(id).await.unwrap_or(true),
             None => false,
         };
-        if !alive {
-            lease = shared.kv.lease(TTL_SECS).await.ok();
+        if !is_valid {
+            lease = shared.kv.lease(LEASE_TTL_SECS).await.ok();
             written = None;
         }
         if let (Some(id), true) = (lease, written != Some(me.standing)) {
-            if put(&shared.kv, &me, id).await {
+            if put_entry(&shared.kv, &me, id).await {
                 written = Some(me.standing);
             }
         }
-        tokio::time::sleep(RENEW_EVERY).await;
+        tokio::time::sleep(RENEW_INTERVAL).await;
     }
 }
 
-async fn put(kv: &Client, me: &Member, lease: i64) -> bool {
-    let key = key(&me.id);
+/// Writes this instance's entry; returns whether that succeeded.
+async fn put_entry(kv: &Client, me: &Member, lease: i64) -> bool {
+    let key = entry_key(&me.id);
     let Ok(found) = kv.get(&key).await else {
         return false;
     };
     let revision = found.map_or(0, |f| f.revision);
-    let text = serde_json::to_vec(me).expect("a member is JSON");
-    let swapped = kv.swap(&key, revision, &text, lease).await;
+    let value = serde_json::to_vec(me).expect("a member serializes");
+    let swapped = kv.swap(&key, revision, &value, lease).await;
     matches!(swapped, Ok(Swap::Done(_)))
 }
 
-/// Follows the list by a watch, and reads it now and then besides.
-async fn follow(shared: Arc<SharedState>) {
-    let mut lost = false;
+/// Reads the list after each change that the watch shows, and at regular intervals.
+async fn watch_list(shared: Arc<SharedState>) {
+    let mut unavailable = false;
     loop {
-        let mut watch = shared.kv.watch(PREFIX).await.ok();
+        let mut watch = shared.kv.watch(KEY_PREFIX).await.ok();
         loop {
-            let listed = shared.kv.list(PREFIX).await;
-            note_platform(&shared, &mut lost, listed.is_ok());
+            let listed = shared.kv.list(KEY_PREFIX).await;
+            log_platform_change(&shared, &mut unavailable, listed.is_ok());
             if let Ok((found, _)) = listed {
-                take(&shared, &found);
+                apply_list(&shared, &found);
             }
             let Some(rx) = watch.as_mut() else {
                 break;
             };
-            match timeout(POLL_EVERY, rx.recv()).await {
-                Ok(Some(())) => tokio::time::sleep(SETTLE).await,
+            match timeout(POLL_INTERVAL, rx.recv()).await {
+                Ok(Some(())) => tokio::time::sleep(DEBOUNCE).await,
                 Ok(None) => watch = None,
                 Err(_) => {}
             }
         }
-        tokio::time::sleep(WATCH_RETRY).await;
+        tokio::time::sleep(WATCH_RETRY_DELAY).await;
     }
 }
 
-fn note_platform(shared: &SharedState, lost: &mut bool, answered: bool) {
-    if answered == *lost {
-        let event = if answered {
+/// Logs when the platform becomes unavailable or available again.
+fn log_platform_change(shared: &SharedState, unavailable: &mut bool, responded: bool) {
+    if responded == *unavailable {
+        let event = if responded {
             Event::PlatformRecovered
         } else {
             Event::PlatformUnavailable
         };
         shared.log(event, &shared.settings.platform);
     }
-    *lost = !answered;
+    *unavailable = !responded;
 }
 
-fn take(shared: &Arc<SharedState>, found: &[Found]) {
-    let router = format!("{PREFIX}router/");
+/// Passes the entries of the list to the membership table, the budgets and the pool.
+fn apply_list(shared: &Arc<SharedState>, found: &[Found]) {
+    let router = format!("{KEY_PREFIX}router/");
     let (routers, others): (Vec<_>, Vec<_>) =
         found.iter().partition(|f| f.key.starts_with(&router));
-    let members: Vec<Member> = routers.into_iter().filter_map(parse).collect();
-    let specs: Vec<Spec> = others.into_iter().filter_map(parse).collect();
+    let members: Vec<Member> = routers.into_iter().filter_map(parse_entry).collect();
+    let specs: Vec<Spec> = others.into_iter().filter_map(parse_entry).collect();
     let now = shared.clock.now();
     let (present, left) = {
-        let mut table = shared.members.lock().expect("no panic inside");
+        let mut table = shared.members.lock().expect("lock not poisoned");
         table.introduce(now, members.clone());
         presence(&table.all(now), &members)
     };
     shared.budgets.set_presence(present, left);
-    shared.pool.lock().expect("no panic inside").set_list(specs);
+    shared
+        .pool
+        .lock()
+        .expect("lock not poisoned")
+        .set_list(specs);
     shared.budgets.set_members(shared.home_candidates());
 }
 
-/// Returns the holders that are present by anyone's word, and those that have left by their own.
+/// Returns the ids of the instances that are present according to gossip or the list, and of those
+/// that have announced that they left.
 fn presence(known: &[(Member, u64)], listed: &[Member]) -> (Vec<String>, Vec<String>) {
     let has_left = |m: &&Member| m.standing == Standing::Left;
     let all = known.iter().map(|(m, _)| m).chain(listed);
@@ -129,21 +147,26 @@
     (ids(present), ids(left))
 }
 
-fn parse<T: serde::de::DeserializeOwned>(found: &Found) -> Option<T> {
+fn parse_entry<T: serde::de::DeserializeOwned>(found: &Found) -> Option<T> {
     serde_json::from_slice(&found.value).ok()
 }
 
-/// Returns whether the list shows a holder, or can't be read.
+/// Returns whether the list has an entry of a holder, or can't be read.
 pub async fn may_be_alive(shared: &SharedState, holder: &str) -> bool {
-    let listed = shared.kv.get(&key(holder)).await;
+    let listed = shared.kv.get(&entry_key(holder)).await;
     !matches!(listed, Ok(None))
 }
 
-/// Takes this instance's entry out of the list, by ending its word.
+/// Removes this instance's entry from the list, by moving it to a lease of one second.
 pub async fn remove_entry(shared: &SharedState) {
-    let me = shared.members.lock().expect("no panic inside").me().clone();
+    let me = shared
+        .members
+        .lock()
+        .expect("lock not poisoned")
+        .me()
+        .clone();
     if let Ok(lease) = shared.kv.lease(1).await {
-        // The entry then ends with the short lease; if this fails, with the old one.
-        put(&shared.kv, &me, lease).await;
+        // If the write fails, the entry expires with its previous lease.
+        put_entry(&shared.kv, &me, lease).await;
     }
 }
