--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -14,8 +14,8 @@
 ///
 /// # Errors
 ///
-/// Returns `Overloaded` without waiting if the queue is full or the expected wait is too long for the
-/// deadline, and `DeadlinePassed` if the deadline passes in the queue.
+/// Returns `Overloaded` without waiting if the queue is full or the expected wait is too long for
+/// the deadline, and `DeadlinePassed` if the deadline passes in the queue.
 pub async fn admit(
     shared: &Arc<SharedState>,
     kind: upstream::Kind,
--- a/crates/entry/src/budget_io.rs
+++ b/crates/entry/src/budget_io.rs
@@ -138,8 +138,8 @@
     let usage: Value = sent.ok()?.json().await.ok()?;
     match usage["known"].as_bool()? {
         true => usage["total_tokens"].as_u64(),
-        // The upstream does not know the attempt and will refuse it if it still arrives, so it spends
-        // nothing.
+        // The upstream does not know the attempt and will refuse it if it still arrives, so it
+        // spends nothing.
         false => (usage["refused_from_now"] == true).then_some(0),
     }
 }
--- a/crates/entry/src/config_change.rs
+++ b/crates/entry/src/config_change.rs
@@ -43,8 +43,8 @@
 /// # Errors
 ///
 /// Returns `Conflict` if the expected revision is not the current one, `PlatformDown` if the change
-/// was not written, and `OutcomeUnknown` if the response to the write was lost and the change is not
-/// found afterwards.
+/// was not written, and `OutcomeUnknown` if the response to the write was lost and the change is
+/// not found afterwards.
 pub async fn commit(shared: &Arc<SharedState>, request: ChangeRequest) -> Result<u64, Error> {
     let unreachable = |_| {
         Error::new(
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -108,11 +108,11 @@
         self.shared.is_ready()
     }
 
-    /// Performs a planned stop: refuses new requests, finishes those in flight, settles them, returns
-    /// the unspent tokens, and deregisters.
+    /// Performs a planned stop: refuses new requests, finishes those in flight, settles them,
+    /// returns the unspent tokens, and deregisters.
     ///
-    /// Returns whether everything was finished. The stop ends early when `abort` completes, or after
-    /// the time in the settings.
+    /// Returns whether everything was finished. The stop ends early when `abort` completes, or
+    /// after the time in the settings.
     pub async fn stop(self, abort: impl std::future::Future<Output = ()>) -> bool {
         let shared = &self.shared;
         shared.log(
--- a/crates/entry/src/model_versions.rs
+++ b/crates/entry/src/model_versions.rs
@@ -1,9 +1,10 @@
 //! Orders engines to serve the model versions that the configuration names.
 //!
 //! The revision of the configuration is the fencing number of an order. Orders are level-triggered:
-//! the versions that engines report are compared with the configuration at regular intervals. A lost
-//! order is therefore sent again, and an engine that ignores fencing numbers and obeyed an instance
-//! with an outdated configuration, such as one that was paused, is corrected after its next report.
+//! the versions that engines report are compared with the configuration at regular intervals. A
+//! lost order is therefore sent again, and an engine that ignores fencing numbers and obeyed an
+//! instance with an outdated configuration, such as one that was paused, is corrected after its
+//! next report.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/entry/src/pipeline/chat.rs
+++ b/crates/entry/src/pipeline/chat.rs
@@ -261,8 +261,8 @@
     }
 }
 
-/// Removes this instance from the hold; returns whether other entry instances still serve the request
-/// or may do so, in which case the attempt must not be cancelled.
+/// Removes this instance from the hold; returns whether other entry instances still serve the
+/// request or may do so, in which case the attempt must not be cancelled.
 async fn detach(cx: &RequestContext) -> bool {
     let Some(Hold { holder, number, .. }) = cx.hold.clone() else {
         return false;
--- a/crates/entry/src/pipeline/claims.rs
+++ b/crates/entry/src/pipeline/claims.rs
@@ -263,7 +263,8 @@
         match swapped {
             Ok(Swap::Done(_)) => break,
             Ok(Swap::Lost(Some(found))) if found.value == value => break,
-            // Another attempt replaced the claim, since it was reported as not run, or the key expired.
+            // Another attempt replaced the claim, since it was reported as not run, or the key
+            // expired.
             Ok(Swap::Lost(_)) => break,
             Err(_) => {}
         }
--- a/crates/entry/src/pipeline/context.rs
+++ b/crates/entry/src/pipeline/context.rs
@@ -39,7 +39,8 @@
     pub active: Arc<ActiveConfig>,
     /// Time of arrival, in microseconds.
     pub arrived_us: u64,
-    /// Whether the caller chose the id and may therefore send the request again to get the response.
+    /// Whether the caller chose the id and may therefore send the request again to get the
+    /// response.
     pub has_caller_id: bool,
     /// Deadline of the response, in milliseconds.
     pub deadline: u64,
@@ -66,8 +67,8 @@
     /// Generates a unique id for the next attempt.
     ///
     /// By this id, late events of another attempt are recognized. Each home that is asked for a
-    /// reservation gets its own id: a home that did not respond in time may later cancel the attempt
-    /// that it knows, and must not hit the one that another home's hold pays for.
+    /// reservation gets its own id: a home that did not respond in time may later cancel the
+    /// attempt that it knows, and must not hit the one that another home's hold pays for.
     pub fn new_attempt_id(&mut self) {
         self.attempt_id = format!("{}~{:08x}", self.id, rand::random::<u32>());
     }
--- a/crates/entry/src/pipeline/reservation.rs
+++ b/crates/entry/src/pipeline/reservation.rs
@@ -152,8 +152,8 @@
     }
 }
 
-/// Returns the instances to ask for tokens of a budget, in this order: the home, the standby of this
-/// instance's zone, the other standbys.
+/// Returns the instances to ask for tokens of a budget, in this order: the home, the standby of
+/// this instance's zone, the other standbys.
 pub fn home_order(shared: &SharedState, account: &str) -> Vec<String> {
     let candidates = shared.home_candidates();
     let shard = placement::shard_of(account, shared.settings.shards());
--- a/crates/entry/src/pipeline/service_call.rs
+++ b/crates/entry/src/pipeline/service_call.rs
@@ -195,8 +195,9 @@
     } else {
         format!("?{}", req.query)
     };
-    // The service may close a pooled connection just as the request is written. The outcome would then
-    // be unknown, or the client would repeat the request. A new connection can only fail to open.
+    // The service may close a pooled connection just as the request is written. The outcome would
+    // then be unknown, or the client would repeat the request. A new connection can only fail to
+    // open.
     let http = if at_most_once {
         &cx.shared.http_no_reuse
     } else {
--- a/crates/entry/src/pipeline/settlement.rs
+++ b/crates/entry/src/pipeline/settlement.rs
@@ -35,8 +35,9 @@
 
 /// Settles the request's hold and waits until its bill is durable.
 ///
-/// The bill is delivered by a separate task, so that it is lost neither if the caller disconnects nor
-/// in a planned stop. The wait is limited: the response is complete, and the delivery continues.
+/// The bill is delivered by a separate task, so that it is lost neither if the caller disconnects
+/// nor in a planned stop. The wait is limited: the response is complete, and the delivery
+/// continues.
 pub async fn settle(cx: &RequestContext, usage: Usage) {
     let Some(hold) = cx.hold.clone() else {
         return;
--- a/crates/entry/src/pipeline/stream.rs
+++ b/crates/entry/src/pipeline/stream.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Sends an event of a streamed response. Send errors are ignored: [`Self::disconnected`] notices
-    /// a caller that has disconnected.
+    /// Sends an event of a streamed response. Send errors are ignored: [`Self::disconnected`]
+    /// notices a caller that has disconnected.
     async fn send_event(&mut self, cx: &RequestContext, event: Bytes) {
         if let Some(head) = self.head.take() {
             let (tx, res) = Res::events();
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Ends the response with an error: as the whole response, or as the last event of a stream that
-    /// has started.
+    /// Ends the response with an error: as the whole response, or as the last event of a stream
+    /// that has started.
     pub async fn fail(mut self, error: Error) {
         if let Some(head) = self.head.take() {
             let _ = head.send(Err(error));
@@ -168,7 +168,8 @@
     let mut give_up_at = None;
     loop {
         let is_first = resumes == 0 && !joined;
-        // Boxed: otherwise this future would hold memory for its large state while the stream lasts.
+        // Boxed: otherwise this future would hold memory for its large state while the stream
+        // lasts.
         let end = match Box::pin(connect(cx, chat, response.position, is_first)).await {
             Connection::Open(events) => {
                 read_stream(cx, chat, response, events, &mut give_up_at).await
@@ -250,8 +251,8 @@
 
 /// Relays the events of a connection until it ends.
 ///
-/// `give_up_at` is set once the caller has disconnected: if it may send the request again, the attempt
-/// continues until that time.
+/// `give_up_at` is set once the caller has disconnected: if it may send the request again, the
+/// attempt continues until that time.
 async fn read_stream(
     cx: &RequestContext,
     chat: &ChatRequest,
--- a/crates/entry/tests/dump.rs
+++ b/crates/entry/tests/dump.rs
@@ -1,4 +1,5 @@
-//! What operators' tools read of an instance: the names in its dump stay.
+//! The names of the fields in an instance's dump: operators' tools read them, so they must not
+//! change.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -9,11 +10,12 @@
 use serde_json::{json, Value};
 use stub::platform::Platform;
 
-/// Longest wait for anything: generous, since the machine may be busy.
-const PATIENCE: Duration = Duration::from_secs(20);
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+/// Time limit of the test; long, since the machine may be busy.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Interval in which the dump is read.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Collects the paths of all names in a value; `*` stands for any place in a list.
+/// Collects the paths of all field names in a value; `*` stands for any index of an array.
 fn collect(value: &Value, path: &str, names: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
@@ -33,22 +35,22 @@
 }
 
 #[tokio::test]
-async fn names_of_the_dump_stay() {
-    let any_port = "127.0.0.1:0".parse().expect("an address");
+async fn dump_keeps_its_field_names() {
+    let any_port = "127.0.0.1:0".parse().expect("a valid address");
     let platform = Platform::bind(any_port).await.expect("a free port");
     let platform = format!("http://{}", platform.addr());
     let spec =
         r#"{"id":"e1","kind":"engine","url":"http://127.0.0.1:9","zone":"z","serves":["m"]}"#;
     let store = Client::open(&platform);
     let written = store.swap("/instances/engine/e1", 0, spec.as_bytes(), 0);
-    written.await.expect("a stand-in that answers");
+    written.await.expect("the stub responds");
     let settings =
         json!({"name": "r1", "region": "r", "zone": "z", "platform": platform, "shards": 1});
-    let settings = Settings::parse(&settings.to_string()).expect("settings without a fault");
+    let settings = Settings::parse(&settings.to_string()).expect("valid settings");
     let instance = Instance::spawn(settings).await.expect("free ports");
-    let at = format!("http://{}", instance.admin_addr());
+    let admin = format!("http://{}", instance.admin_addr());
     let http = reqwest::Client::builder().no_proxy().build();
-    let http = http.expect("a plain client");
+    let http = http.expect("an HTTP client");
     let config = json!({
         "config": {
             "templates": {"base": {"models": ["m"]}},
@@ -56,23 +58,27 @@
         },
         "change_id": "c-1", "who": "ann", "what": "a line",
     });
-    let put = http.put(format!("{at}/admin/v1/config")).json(&config);
-    let put = put.header("if-match", "0").send().await.expect("an answer");
+    let put = http.put(format!("{admin}/admin/v1/config")).json(&config);
+    let put = put
+        .header("if-match", "0")
+        .send()
+        .await
+        .expect("a response");
     assert_eq!(put.status(), 200);
-    let topup = http.post(format!("{at}/admin/v1/budgets/alpha/topups"));
+    let topup = http.post(format!("{admin}/admin/v1/budgets/alpha/topups"));
     let topup = topup.json(&json!({"id": "t-1", "tokens": 1000}));
-    assert_eq!(topup.send().await.expect("an answer").status(), 200);
-    let until = Instant::now() + PATIENCE;
+    assert_eq!(topup.send().await.expect("a response").status(), 200);
+    let deadline = Instant::now() + TIMEOUT;
     let dump = loop {
-        let res = http.get(format!("{at}/dump")).send().await;
-        let dump: Value = res.expect("an answer").json().await.expect("JSON");
+        let res = http.get(format!("{admin}/dump")).send().await;
+        let dump: Value = res.expect("a response").json().await.expect("JSON");
         let accounts = &dump["budgets"]["0"]["accounts"]["alpha"];
         let listed = !dump["upstreams"][0].is_null();
         if listed && accounts.is_object() && dump["config"].is_object() {
             break dump;
         }
-        assert!(Instant::now() < until, "not in time: {dump}");
-        tokio::time::sleep(LOOK_EVERY).await;
+        assert!(Instant::now() < deadline, "incomplete dump: {dump}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     };
     let mut names = BTreeSet::new();
     collect(&dump, "", &mut names);
--- a/crates/entry/tests/encoding.rs
+++ b/crates/entry/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Instances of other versions and operators read these: their encoding stays.
+//! Encodings that instances of other versions or operators read, compared with recorded samples.
 
 use entry::journal::RequestJournal;
 use entry::messages::{
@@ -12,23 +12,23 @@
 use serde_json::value::RawValue;
 
 #[test]
-fn instance_messages_keep_their_encoding() {
-    assert_kept::<ReserveMsg>(include_str!("data/outer/reserve_msgs.json"));
-    assert_kept::<ExtendMsg>(include_str!("data/outer/extend_msgs.json"));
-    assert_kept::<VoidMsg>(include_str!("data/outer/void_msgs.json"));
-    assert_kept::<DetachMsg>(include_str!("data/outer/drop_out_msgs.json"));
-    assert_kept::<SettleMsg>(include_str!("data/outer/settle_msgs.json"));
-    assert_kept::<StoreCopyMsg>(include_str!("data/outer/keep_msgs.json"));
-    assert_kept::<RecallMsg>(include_str!("data/outer/recall_msgs.json"));
-    assert_kept::<OpenStepMsg>(include_str!("data/outer/open_msgs.json"));
-    assert_kept::<GossipMsg>(include_str!("data/outer/gossip_msgs.json"));
-    assert_kept::<PullConfigMsg>(include_str!("data/outer/pull_msgs.json"));
-    assert_kept::<PullConfigReply>(include_str!("data/outer/pull_replies.json"));
+fn messages_keep_their_encoding() {
+    assert_unchanged::<ReserveMsg>(include_str!("data/outer/reserve_msgs.json"));
+    assert_unchanged::<ExtendMsg>(include_str!("data/outer/extend_msgs.json"));
+    assert_unchanged::<VoidMsg>(include_str!("data/outer/void_msgs.json"));
+    assert_unchanged::<DetachMsg>(include_str!("data/outer/drop_out_msgs.json"));
+    assert_unchanged::<SettleMsg>(include_str!("data/outer/settle_msgs.json"));
+    assert_unchanged::<StoreCopyMsg>(include_str!("data/outer/keep_msgs.json"));
+    assert_unchanged::<RecallMsg>(include_str!("data/outer/recall_msgs.json"));
+    assert_unchanged::<OpenStepMsg>(include_str!("data/outer/open_msgs.json"));
+    assert_unchanged::<GossipMsg>(include_str!("data/outer/gossip_msgs.json"));
+    assert_unchanged::<PullConfigMsg>(include_str!("data/outer/pull_msgs.json"));
+    assert_unchanged::<PullConfigReply>(include_str!("data/outer/pull_replies.json"));
 }
 
-/// These are written only, to operators.
+/// Steps are only serialized, for operators.
 #[test]
-fn steps_of_requests_keep_their_encoding() {
+fn journal_steps_keep_their_encoding() {
     let journal = RequestJournal::default();
     journal.record(12, "q-1", "asked");
     let sample = r#"[{"at":12,"what":"asked"}]"#;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn ends_of_attempts_keep_their_texts() {
+fn attempt_ends_keep_their_debug_output() {
     let text = |end: AttemptEnd| format!("{end:?}");
     let why = || "reset".to_string();
     assert_eq!(text(AttemptEnd::Whole(30)), "Whole(30)");
@@ -51,7 +51,7 @@
     assert_eq!(text(AttemptEnd::Late), "Late");
 }
 
-/// Guards names that monitoring reads.
+/// Monitoring depends on the names and labels of the metrics.
 #[test]
 fn metrics_keep_their_names_and_labels() {
     let metrics = Metrics::create();
@@ -59,7 +59,7 @@
     metrics.count_peer_message("settle", 5);
     metrics.set_platform_calls("read", 7);
     let text = metrics.encode_text();
-    // Without their values, which follow the last space.
+    // Lines without the values, which follow the last space.
     let line = |l: &str| match l.rsplit_once(' ') {
         Some((name, _)) if !l.starts_with('#') => name.to_string(),
         _ => l.to_string(),
@@ -69,14 +69,14 @@
     assert_eq!(lines, sample.lines().collect::<Vec<_>>());
 }
 
-/// Reads each sample and writes it again.
-fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+/// Deserializes each sample, serializes it again and compares the texts.
+fn assert_unchanged<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
     for sample in samples {
         let value: serde_json::Result<T> = serde_json::from_str(sample.get());
         let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
-        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        let written = serde_json::to_string(&value).expect("the value serializes");
         assert_eq!(written, sample.get());
     }
 }
