--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -1,85 +1,90 @@
-//! Numbered log events; docs/EVENTS.md is their catalogue.
+//! The numbered log events, which docs/EVENTS.md lists.
 
 use std::fmt::Display;
 
 use catalogue::{row, Row};
 use tracing::Level;
 
-/// What happened.
+/// A log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The instance serves.
+    /// The instance has started to serve.
     Started,
-    /// A planned stop has begun.
+    /// A planned stop began.
     Stopping,
-    /// A planned stop has ended.
+    /// A planned stop finished.
     Stopped,
-    /// A planned stop was cut short.
-    Cut,
-    /// An invariant of the budgets failed: the process ends at once.
-    Broken,
-    /// Another configuration is in force.
-    ConfigInForce,
-    /// A configuration in the platform is broken.
-    ConfigBroken,
-    /// A change of configuration was accepted here.
+    /// A planned stop was aborted, or ran out of time.
+    StopAborted,
+    /// An invariant of the budgets failed; the process exits.
+    InvariantFailed,
+    /// A newer configuration was applied.
+    ConfigApplied,
+    /// A configuration is invalid or incomplete.
+    ConfigInvalid,
+    /// A configuration change was committed through this instance.
     ConfigAccepted,
-    /// The platform does not answer.
-    PlatformLost,
-    /// The platform answers again.
-    PlatformBack,
-    /// An instance is new, or changed its standing.
-    Member,
-    /// An instance fell silent.
-    MemberSilent,
+    /// The platform does not respond.
+    PlatformUnavailable,
+    /// The platform responds again.
+    PlatformRecovered,
+    /// An instance is new, or its standing changed.
+    MembershipChanged,
+    /// An instance became unresponsive, or has left.
+    InstanceUnresponsive,
     /// An upstream is leaving.
     UpstreamLeaving,
-    /// A bill waits longer than its answer should.
-    BillLate,
-    /// A bill had only one copy when its answer ended.
-    BillSingle,
-    /// An upstream served more than was asked for.
-    Excess,
-    /// A request was billed before under the same id.
-    BillDuplicate,
-    /// An orphaned request was cancelled and billed by its upstream's word.
+    /// The holder of a hold did not confirm its settlement; other instances are asked to record it.
+    BillDelayed,
+    /// A response ended before its bill was durable.
+    BillNotDurable,
+    /// An upstream served more tokens than requested.
+    TokensExceeded,
+    /// A request with the same id was already billed.
+    DuplicateBill,
+    /// An orphaned request was cancelled and billed for the tokens that its upstream reported.
     OrphanBilled,
-    /// An orphaned request's upstream does not answer: its tokens stay held.
-    OrphanHeld,
+    /// The upstream of an orphaned request did not report its usage; the tokens stay held.
+    OrphanUnresolved,
     /// An operator released stranded tokens.
-    Released,
+    TokensReleased,
     /// An operator topped up a budget.
-    ToppedUp,
-    /// An answer broke off.
-    Incomplete,
-    /// An upstream's answer was not for this request.
-    Mixed,
-    /// A claim's end could not be stored.
-    ClaimLate,
-    /// An upstream was ordered to serve a version.
-    Ordered,
+    BudgetToppedUp,
+    /// A response was aborted.
+    ResponseAborted,
+    /// An upstream sent part of the response to another request.
+    ResponseMismatch,
+    /// The result of a claimed request could not be stored yet.
+    ClaimNotStored,
+    /// An upstream accepted the order to serve a model version.
+    VersionOrdered,
 }
 
-/// The catalogue.
+/// Number, level and text of each event.
 pub const EVENTS: &[Row<Event>] = &[
     row(Event::Started, 1001, Level::INFO, "instance serves"),
     row(Event::Stopping, 1002, Level::INFO, "planned stop begun"),
     row(Event::Stopped, 1003, Level::INFO, "planned stop ended"),
-    row(Event::Cut, 1004, Level::WARN, "planned stop cut short"),
     row(
-        Event::Broken,
+        Event::StopAborted,
+        1004,
+        Level::WARN,
+        "planned stop cut short",
+    ),
+    row(
+        Event::InvariantFailed,
         1005,
         Level::ERROR,
         "invariant of the budgets failed, process ends",
     ),
     row(
-        Event::ConfigInForce,
+        Event::ConfigApplied,
         1101,
         Level::INFO,
         "configuration in force",
     ),
     row(
-        Event::ConfigBroken,
+        Event::ConfigInvalid,
         1102,
         Level::ERROR,
         "configuration broken",
@@ -91,19 +96,29 @@
         "configuration accepted",
     ),
     row(
-        Event::PlatformLost,
+        Event::PlatformUnavailable,
         1201,
         Level::WARN,
         "platform does not answer",
     ),
     row(
-        Event::PlatformBack,
+        Event::PlatformRecovered,
         1202,
         Level::INFO,
         "platform answers again",
     ),
-    row(Event::Member, 1301, Level::INFO, "instance new or changed"),
-    row(Event::MemberSilent, 1302, Level::WARN, "instance silent"),
+    row(
+        Event::MembershipChanged,
+        1301,
+        Level::INFO,
+        "instance new or changed",
+    ),
+    row(
+        Event::InstanceUnresponsive,
+        1302,
+        Level::WARN,
+        "instance silent",
+    ),
     row(
         Event::UpstreamLeaving,
         1401,
@@ -111,26 +126,26 @@
         "upstream leaving",
     ),
     row(
-        Event::Ordered,
+        Event::VersionOrdered,
         1402,
         Level::INFO,
         "upstream ordered to serve a version",
     ),
-    row(Event::BillLate, 1501, Level::WARN, "bill late"),
+    row(Event::BillDelayed, 1501, Level::WARN, "bill late"),
     row(
-        Event::BillSingle,
+        Event::BillNotDurable,
         1502,
         Level::WARN,
         "answer ended with one copy of its bill",
     ),
     row(
-        Event::Excess,
+        Event::TokensExceeded,
         1503,
         Level::WARN,
         "upstream served more than asked for",
     ),
     row(
-        Event::BillDuplicate,
+        Event::DuplicateBill,
         1504,
         Level::WARN,
         "request billed before",
@@ -142,27 +157,32 @@
         "orphaned request billed",
     ),
     row(
-        Event::OrphanHeld,
+        Event::OrphanUnresolved,
         1506,
         Level::WARN,
         "orphaned request's tokens stay held",
     ),
     row(
-        Event::Released,
+        Event::TokensReleased,
         1507,
         Level::WARN,
         "stranded tokens released",
     ),
-    row(Event::ToppedUp, 1508, Level::INFO, "budget topped up"),
-    row(Event::Incomplete, 1601, Level::WARN, "answer broke off"),
+    row(Event::BudgetToppedUp, 1508, Level::INFO, "budget topped up"),
+    row(
+        Event::ResponseAborted,
+        1601,
+        Level::WARN,
+        "answer broke off",
+    ),
     row(
-        Event::Mixed,
+        Event::ResponseMismatch,
         1602,
         Level::ERROR,
         "upstream answered another request",
     ),
     row(
-        Event::ClaimLate,
+        Event::ClaimNotStored,
         1603,
         Level::WARN,
         "end of a claim not stored",
@@ -170,11 +190,11 @@
 ];
 
 impl Event {
-    /// Returns the event's row of the catalogue.
+    /// Returns the event's row in the catalogue.
     ///
     /// # Panics
     ///
-    /// Panics when the catalogue lacks the event; a test holds them together.
+    /// Panics if the catalogue has no row for the event.
     pub fn row(self) -> &'static Row<Event> {
         catalogue::find(EVENTS, self)
     }
