--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -12,8 +12,8 @@
 use peer::{Member, Members, Standing, Told};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
-use route::pool::Ask;
-use route::{Kind, Pool, Spec};
+use route::pool::Criteria;
+use route::{Pool, Spec, UpstreamKind};
 
 const ROUNDS: u32 = 50;
 /// A time at which members heard of at the start are no news, in milliseconds.
@@ -227,10 +227,10 @@
                 "m",
             )
         };
-        pool.set_list((0..count).map(spec).collect());
-        let ask = Ask {
-            kind: Kind::Engine,
-            serves: "m",
+        pool.apply_list((0..count).map(spec).collect());
+        let ask = Criteria {
+            kind: UpstreamKind::Engine,
+            target: "m",
             version: None,
             prefix: Some(7),
             zone: "zone-1",
@@ -238,7 +238,7 @@
             random: 12_345,
         };
         let choice = time(|| pool.choose(1, &ask));
-        let room = time(|| pool.rooms(1, Kind::Engine, "m"));
+        let room = time(|| pool.capacity(1, UpstreamKind::Engine, "m"));
         println!("| {count} | {choice:.0} | {room:.0} |");
     }
 }
--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -169,7 +169,7 @@
         };
         json!({"upstream": u, "occupancy": u.occupancy(now), "why_not": why_not})
     };
-    pool.all().map(row).collect()
+    pool.iter().map(row).collect()
 }
 
 fn upstreams(shared: &Shared) -> Res {
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use err::{Error, Kind};
-use route::queue::{Ticket, Verdict};
-use route::{upstream, Rooms};
+use route::queue::{AdmissionDecision, WaiterId};
+use route::{upstream, Capacity};
 use tokio::sync::oneshot;
 
 use crate::lines::Pool;
@@ -18,7 +18,7 @@
 /// `DeadlinePassed` when the time has passed nevertheless.
 pub async fn admit(
     shared: &Arc<Shared>,
-    kind: upstream::Kind,
+    kind: upstream::UpstreamKind,
     serves: &str,
     priority: u8,
     deadline: u64,
@@ -29,15 +29,15 @@
     let (ticket, rx) = {
         let mut admission = shared.admission.lock().expect("no panic inside");
         let line = admission.0.entry(pool.clone()).or_default();
-        match line.queue.arrive(now, &rooms, priority, deadline) {
-            Verdict::Go => return Ok(()),
-            Verdict::Refuse { retry_ms } => {
+        match line.queue.admit(now, &rooms, priority, deadline) {
+            AdmissionDecision::Admit => return Ok(()),
+            AdmissionDecision::Refuse { retry_ms } => {
                 let message =
                     format!("the backlog of {serves} is longer than this request can wait");
                 let secs = retry_ms.div_ceil(1000) as u32;
                 return Err(Error::new(Kind::Overloaded, message).retry_after(secs));
             }
-            Verdict::Wait(ticket) => {
+            AdmissionDecision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 line.waiters.insert(ticket, tx);
                 (ticket, rx)
@@ -62,33 +62,33 @@
 struct Left {
     shared: Arc<Shared>,
     pool: Pool,
-    ticket: Ticket,
+    ticket: WaiterId,
 }
 
 impl Drop for Left {
     fn drop(&mut self) {
         let mut admission = self.shared.admission.lock().expect("no panic inside");
         if let Some(line) = admission.0.get_mut(&self.pool) {
-            line.queue.leave(self.ticket);
+            line.queue.remove(self.ticket);
             line.waiters.remove(&self.ticket);
         }
     }
 }
 
-fn rooms(shared: &Shared, (kind, serves): &Pool) -> Rooms {
+fn rooms(shared: &Shared, (kind, serves): &Pool) -> Capacity {
     let now = shared.clock.now();
     let pool = shared.pool.lock().expect("no panic inside");
-    pool.rooms(now, *kind, serves)
+    pool.capacity(now, *kind, serves)
 }
 
 /// Counts the end of a request and lets in who waits.
-pub fn finished(shared: &Shared, kind: upstream::Kind, serves: &str) {
+pub fn finished(shared: &Shared, kind: upstream::UpstreamKind, serves: &str) {
     let now = shared.clock.now();
     let pool = (kind, serves.to_string());
     {
         let mut admission = shared.admission.lock().expect("no panic inside");
         if let Some(line) = admission.0.get_mut(&pool) {
-            line.queue.finished(now);
+            line.queue.record_finish(now);
         }
     }
     wake(shared);
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -47,7 +47,7 @@
         .pool
         .lock()
         .expect("no panic inside")
-        .set_sharers(live);
+        .set_instance_count(live);
     let now = shared.clock.now();
     let quiet = shared.members.lock().expect("no panic inside").silent(now);
     let quiet: BTreeSet<String> = quiet.into_iter().collect();
@@ -77,7 +77,7 @@
     GossipMsg {
         told,
         revision: shared.revision(),
-        leaving: shared.pool.lock().expect("no panic inside").leaving(),
+        leaving: shared.pool.lock().expect("no panic inside").leaving_ids(),
     }
 }
 
@@ -108,7 +108,11 @@
         shared.bank.set_members(shared.candidates());
     }
     for id in &msg.leaving {
-        let known = shared.pool.lock().expect("no panic inside").set_leaving(id);
+        let known = shared
+            .pool
+            .lock()
+            .expect("no panic inside")
+            .mark_leaving(id);
         if known {
             shared.log(Event::UpstreamLeaving, format!("{id}, by a peer"));
         }
--- a/crates/entry/src/lines.rs
+++ b/crates/entry/src/lines.rs
@@ -2,22 +2,22 @@
 
 use std::collections::BTreeMap;
 
-use route::queue::{Queue, Ticket};
+use route::queue::{Queue, WaiterId};
 use route::upstream;
 use tokio::sync::oneshot;
 
 /// What a request waits for: a kind of upstream, and the model or service.
-pub(crate) type Pool = (upstream::Kind, String);
+pub(crate) type Pool = (upstream::UpstreamKind, String);
 
 /// Who waits for one pool.
 #[derive(Default)]
 pub(crate) struct Line {
     pub(crate) queue: Queue,
-    pub(crate) waiters: BTreeMap<Ticket, oneshot::Sender<bool>>,
+    pub(crate) waiters: BTreeMap<WaiterId, oneshot::Sender<bool>>,
 }
 
 impl Line {
-    pub(crate) fn tell(&mut self, ticket: Ticket, go: bool) {
+    pub(crate) fn tell(&mut self, ticket: WaiterId, go: bool) {
         if let Some(tx) = self.waiters.remove(&ticket) {
             // A caller that left meanwhile has dropped its end.
             let _ = tx.send(go);
--- a/crates/entry/src/loads.rs
+++ b/crates/entry/src/loads.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use route::{Key, Load};
+use route::{Load, UpstreamKey};
 use serde_json::Value;
 
 use crate::event::Event;
@@ -33,13 +33,13 @@
     }
 }
 
-fn due(shared: &Shared, round: u64) -> Vec<(Key, String)> {
+fn due(shared: &Shared, round: u64) -> Vec<(UpstreamKey, String)> {
     let active = shared.active();
     let wanted = active
         .map(|a| a.config.versions.clone())
         .unwrap_or_default();
     let pool = shared.pool.lock().expect("no panic inside");
-    let all: Vec<_> = pool.all().filter(|(_, u)| !u.leaving).collect();
+    let all: Vec<_> = pool.iter().filter(|(_, u)| !u.leaving).collect();
     if all.is_empty() {
         return Vec::new();
     }
@@ -60,7 +60,7 @@
 }
 
 /// Asks one upstream.
-pub async fn ask(shared: Arc<Shared>, key: Key, url: String) {
+pub async fn ask(shared: Arc<Shared>, key: UpstreamKey, url: String) {
     let sent = shared
         .http
         .get(format!("{url}/load"))
@@ -81,7 +81,7 @@
     let now = shared.clock.now();
     let mut pool = shared.pool.lock().expect("no panic inside");
     let left = pool.get(key).leaving;
-    pool.report(now, key, load);
+    pool.record_load(now, key, load);
     pool.get_mut(key).versions = versions(&value["versions"]);
     let id = pool.get(key).spec.id.clone();
     drop(pool);
--- a/crates/entry/src/orders.rs
+++ b/crates/entry/src/orders.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use budget::placement::Candidate;
-use route::{Key, Kind};
+use route::{UpstreamKey, UpstreamKind};
 use serde_json::json;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -21,7 +21,7 @@
 
 /// An order that an engine needs.
 struct Order {
-    key: Key,
+    key: UpstreamKey,
     url: String,
     model: String,
     version: String,
@@ -48,9 +48,9 @@
 fn next(shared: &Shared, active: &Active) -> Option<Order> {
     let candidates = shared.candidates();
     let pool = shared.pool.lock().expect("no panic inside");
-    for (key, up) in pool.all() {
+    for (key, up) in pool.iter() {
         let mine = issuer(&up.spec.id, &candidates) == Some(shared.me.as_str());
-        if up.spec.kind != Kind::Engine || up.leaving || !mine {
+        if up.spec.kind != UpstreamKind::Engine || up.leaving || !mine {
             continue;
         }
         for (model, version) in &active.config.versions {
--- a/crates/entry/src/pipe/chat.rs
+++ b/crates/entry/src/pipe/chat.rs
@@ -18,7 +18,7 @@
 use crate::msg::{method, DropOutMsg};
 use crate::shared::Shared;
 
-const ENGINE: upstream::Kind = upstream::Kind::Engine;
+const ENGINE: upstream::UpstreamKind = upstream::UpstreamKind::Engine;
 /// Attempts at different upstreams.
 const ATTEMPTS: u32 = 3;
 
@@ -36,7 +36,11 @@
 
 async fn run(mut cx: Cx, chat: Chat, mut out: Out) {
     let busy = cx.shared.begin();
-    cx.shared.retry.lock().expect("no panic inside").request();
+    cx.shared
+        .retry
+        .lock()
+        .expect("no panic inside")
+        .record_request();
     let code = match attempts(&mut cx, &chat, &mut out).await {
         Ok(()) => {
             out.finish(&cx, &chat).await;
@@ -199,7 +203,12 @@
 
 fn may_retry(cx: &Cx) -> bool {
     let left = cx.attempts < ATTEMPTS && cx.left_ms() > 0;
-    left && cx.shared.retry.lock().expect("no panic inside").take()
+    left && cx
+        .shared
+        .retry
+        .lock()
+        .expect("no panic inside")
+        .try_acquire()
 }
 
 /// Cancels the current attempt and adds what it spent, or may have spent.
--- a/crates/entry/src/pipe/choose.rs
+++ b/crates/entry/src/pipe/choose.rs
@@ -3,7 +3,7 @@
 use budget::msg::AttemptRef;
 use err::{Error, Kind};
 use rand::random;
-use route::pool::{Ask, Choice, Why};
+use route::pool::{Choice, ChoiceReason, Criteria};
 use route::upstream;
 
 use super::cx::Cx;
@@ -19,14 +19,14 @@
 /// Returns `Overloaded`, `DeadlinePassed` or `NoUpstream`; nothing has run then.
 pub async fn choose(
     cx: &mut Cx,
-    kind: upstream::Kind,
+    kind: upstream::UpstreamKind,
     serves: &str,
     prefix: Option<u64>,
 ) -> Result<(), Error> {
     let shared = cx.shared.clone();
     let known = {
         let pool = shared.pool.lock().expect("no panic inside");
-        pool.serves(kind, serves)
+        pool.is_served(kind, serves)
     };
     if !known {
         return Err(none(serves));
@@ -38,9 +38,9 @@
     let mut pool = shared.pool.lock().expect("no panic inside");
     let choice = pool.choose(
         now,
-        &Ask {
+        &Criteria {
             kind,
-            serves,
+            target: serves,
             version: cx.active.config.versions.get(serves).map(String::as_str),
             prefix,
             zone: &shared.settings.zone,
@@ -49,11 +49,11 @@
         },
     );
     let choice = choice.ok_or_else(|| none(serves))?;
-    pool.get_mut(choice.key).begin();
+    pool.get_mut(choice.key).record_start();
     drop(pool);
     cx.tried.push(choice.key);
     cx.name_run();
-    cx.step(format!("chose {} ({:?})", choice.id, choice.why));
+    cx.step(format!("chose {} ({:?})", choice.id, choice.reason));
     cx.upstream = Some(choice);
     Ok(())
 }
@@ -75,12 +75,12 @@
         Error::new(Kind::OutcomeUnknown, message)
     })?;
     let up = pool.get_mut(key);
-    up.begin();
+    up.record_start();
     let choice = Choice {
         key,
         id: up.spec.id.clone(),
         url: up.spec.url.clone(),
-        why: Why::Joined,
+        reason: ChoiceReason::Joined,
     };
     drop(pool);
     cx.run = at.id.clone();
@@ -89,14 +89,14 @@
 }
 
 /// Counts the end of an attempt at the chosen upstream.
-pub fn done(cx: &mut Cx, kind: upstream::Kind, serves: &str, ok: bool) {
+pub fn done(cx: &mut Cx, kind: upstream::UpstreamKind, serves: &str, ok: bool) {
     let Some(choice) = cx.upstream.take() else {
         return;
     };
     let now = cx.shared.clock.now();
     {
         let mut pool = cx.shared.pool.lock().expect("no panic inside");
-        pool.get_mut(choice.key).end(now, ok, random());
+        pool.get_mut(choice.key).record_end(now, ok, random());
     }
     admission::finished(&cx.shared, kind, serves);
 }
--- a/crates/entry/src/pipe/cx.rs
+++ b/crates/entry/src/pipe/cx.rs
@@ -5,7 +5,7 @@
 use budget::msg::AttemptRef;
 use bytes::Bytes;
 use conf::Policy;
-use route::{Choice, Key};
+use route::{Choice, UpstreamKey};
 use smallvec::SmallVec;
 
 use crate::shared::{Active, Shared};
@@ -50,7 +50,7 @@
     /// The name of the current attempt at the upstream.
     pub run: String,
     /// Upstreams that were tried.
-    pub tried: SmallVec<[Key; 4]>,
+    pub tried: SmallVec<[UpstreamKey; 4]>,
     /// Attempts so far.
     pub attempts: u32,
     /// The tokens held for it.
--- a/crates/entry/src/pipe/forward.rs
+++ b/crates/entry/src/pipe/forward.rs
@@ -17,7 +17,7 @@
 use super::{auth, choose};
 use crate::shared::Shared;
 
-const SERVICE: upstream::Kind = upstream::Kind::Service;
+const SERVICE: upstream::UpstreamKind = upstream::UpstreamKind::Service;
 /// Attempts at different upstreams.
 const ATTEMPTS: u32 = 3;
 /// Largest answer that is stored for a retry, in bytes.
@@ -117,7 +117,11 @@
 }
 
 async fn run_repeatable(cx: &mut Cx, req: &Req, service: &str) -> Result<Reply, Error> {
-    cx.shared.retry.lock().expect("no panic inside").request();
+    cx.shared
+        .retry
+        .lock()
+        .expect("no panic inside")
+        .record_request();
     let mut ran = Ran::No;
     loop {
         choose::choose(cx, SERVICE, service, None)
@@ -132,7 +136,14 @@
             }
         };
         let again = cx.attempts < ATTEMPTS && cx.left_ms() > 0;
-        if !again || !cx.shared.retry.lock().expect("no panic inside").take() {
+        if !again
+            || !cx
+                .shared
+                .retry
+                .lock()
+                .expect("no panic inside")
+                .try_acquire()
+        {
             let kind = if cx.left_ms() == 0 {
                 Kind::DeadlinePassed
             } else {
--- a/crates/entry/src/pipe/relay.rs
+++ b/crates/entry/src/pipe/relay.rs
@@ -214,7 +214,7 @@
         return;
     };
     let mut pool = cx.shared.pool.lock().expect("no panic inside");
-    let news = pool.set_leaving(&upstream.id);
+    let news = pool.mark_leaving(&upstream.id);
     drop(pool);
     if news {
         let detail = format!("{}, by its own answer", upstream.id);
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -116,7 +116,11 @@
         presence(&table.all(now), &members)
     };
     shared.bank.set_presence(present, left);
-    shared.pool.lock().expect("no panic inside").set_list(specs);
+    shared
+        .pool
+        .lock()
+        .expect("no panic inside")
+        .apply_list(specs);
     shared.bank.set_members(shared.candidates());
 }
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -5,7 +5,7 @@
 pub mod retry;
 pub mod upstream;
 
-pub use pool::{Choice, Pool, Rooms, Why};
-pub use queue::{Queue, Ticket, Verdict};
+pub use pool::{Capacity, Choice, ChoiceReason, Pool};
+pub use queue::{AdmissionDecision, Queue, WaiterId};
 pub use retry::RetryBudget;
-pub use upstream::{Key, Kind, Load, Spec, Upstream};
+pub use upstream::{Load, Spec, Upstream, UpstreamKey, UpstreamKind};
--- a/crates/route/src/pool.rs
+++ b/crates/route/src/pool.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::upstream::{Key, Kind, Load, Spec, Upstream};
+use crate::upstream::{Load, Spec, Upstream, UpstreamKey, UpstreamKind};
 use serde::Serialize;
 use smallvec::SmallVec;
 use xxhash_rust::xxh3::xxh3_64;
@@ -23,16 +23,16 @@
 
 /// How many more requests of each priority some upstreams can take.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Rooms([u32; 10]);
+pub struct Capacity([u32; 10]);
 
-impl Rooms {
+impl Capacity {
     /// Makes rooms that are the same for every priority.
-    pub fn all(room: u32) -> Rooms {
-        Rooms([room; 10])
+    pub fn uniform(room: u32) -> Capacity {
+        Capacity([room; 10])
     }
 
     /// Returns the room for a priority.
-    pub fn at(&self, priority: u8) -> u32 {
+    pub fn for_priority(&self, priority: u8) -> u32 {
         self.0[priority.min(9) as usize]
     }
 }
@@ -40,7 +40,7 @@
 /// Why an upstream was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Why {
+pub enum ChoiceReason {
     /// It probably caches the prompt's prefix.
     Prefix,
     /// It had the least load of two, in the own zone.
@@ -55,22 +55,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Choice {
     /// Its key.
-    pub key: Key,
+    pub key: UpstreamKey,
     /// Its name.
     pub id: String,
     /// Its address.
     pub url: String,
     /// Why it was chosen.
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: ChoiceReason,
 }
 
 /// What a choice is made for.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct Criteria<'a> {
     /// What kind of upstream.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     /// The model or service.
-    pub serves: &'a str,
+    pub target: &'a str,
     /// The version of the model, where the configuration names one.
     pub version: Option<&'a str>,
     /// Hash of the prompt's prefix.
@@ -78,7 +79,7 @@
     /// The own availability zone.
     pub zone: &'a str,
     /// Upstreams that were tried already.
-    pub tried: &'a [Key],
+    pub tried: &'a [UpstreamKey],
     /// A random number.
     pub random: u64,
 }
@@ -92,7 +93,7 @@
 #[derive(Debug, Default)]
 pub struct Pool {
     slots: Vec<Upstream>,
-    by_id: BTreeMap<String, Key>,
+    by_id: BTreeMap<String, UpstreamKey>,
     sharers: u32,
 }
 
@@ -100,7 +101,7 @@
     /// Takes over the instance list.
     ///
     /// An upstream that is no longer listed gets no new work; what runs there goes on.
-    pub fn set_list(&mut self, specs: Vec<Spec>) {
+    pub fn apply_list(&mut self, specs: Vec<Spec>) {
         for (id, key) in &self.by_id {
             if !specs.iter().any(|s| s.id == *id) {
                 self.slots[key.0 as usize].leaving = true;
@@ -114,7 +115,7 @@
                     up.spec = spec;
                 }
                 None => {
-                    let key = Key(self.slots.len() as u32);
+                    let key = UpstreamKey(self.slots.len() as u32);
                     self.by_id.insert(spec.id.clone(), key);
                     self.slots.push(Upstream::new(spec));
                 }
@@ -123,33 +124,33 @@
     }
 
     /// Returns an upstream.
-    pub fn get(&self, key: Key) -> &Upstream {
+    pub fn get(&self, key: UpstreamKey) -> &Upstream {
         &self.slots[key.0 as usize]
     }
 
     /// Returns an upstream for changes.
-    pub fn get_mut(&mut self, key: Key) -> &mut Upstream {
+    pub fn get_mut(&mut self, key: UpstreamKey) -> &mut Upstream {
         &mut self.slots[key.0 as usize]
     }
 
     /// Returns the key of a name.
-    pub fn find(&self, id: &str) -> Option<Key> {
+    pub fn find(&self, id: &str) -> Option<UpstreamKey> {
         self.by_id.get(id).copied()
     }
 
     /// Returns all upstreams.
-    pub fn all(&self) -> impl Iterator<Item = (Key, &Upstream)> {
-        let key = |(i, u)| (Key(i as u32), u);
+    pub fn iter(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
+        let key = |(i, u)| (UpstreamKey(i as u32), u);
         self.slots.iter().enumerate().map(key)
     }
 
     /// Takes a load report.
-    pub fn report(&mut self, now: u64, key: Key, load: Load) {
-        self.get_mut(key).report(now, load);
+    pub fn record_load(&mut self, now: u64, key: UpstreamKey, load: Load) {
+        self.get_mut(key).record_load(now, load);
     }
 
     /// Learns that an upstream is leaving; returns whether that was news.
-    pub fn set_leaving(&mut self, id: &str) -> bool {
+    pub fn mark_leaving(&mut self, id: &str) -> bool {
         let Some(key) = self.find(id) else {
             return false;
         };
@@ -158,23 +159,24 @@
     }
 
     /// Returns the names of the upstreams that are leaving.
-    pub fn leaving(&self) -> Vec<String> {
+    pub fn leaving_ids(&self) -> Vec<String> {
         let left = self.slots.iter().filter(|u| u.leaving);
         left.map(|u| u.spec.id.clone()).collect()
     }
 
     /// Returns the upstreams that may serve, without those that fail unless too many do.
-    fn candidates(&self, now: u64, ask: &Ask<'_>) -> SmallVec<[Key; 32]> {
+    fn candidates(&self, now: u64, ask: &Criteria<'_>) -> SmallVec<[UpstreamKey; 32]> {
         let serves = |u: &Upstream| {
-            let serves = u.spec.serves.iter().any(|s| s == ask.serves);
-            let version = u.versions.get(ask.serves).map(String::as_str);
+            let serves = u.spec.serves.iter().any(|s| s == ask.target);
+            let version = u.versions.get(ask.target).map(String::as_str);
             let fits = ask.version.is_none() || ask.version == version;
             u.spec.kind == ask.kind && !u.leaving && serves && fits
         };
-        let fits =
-            |(key, u): (Key, &Upstream)| (serves(u) && !ask.tried.contains(&key)).then_some(key);
-        let all: SmallVec<[Key; 32]> = self.all().filter_map(fits).collect();
-        let healthy: SmallVec<[Key; 32]> = all
+        let fits = |(key, u): (UpstreamKey, &Upstream)| {
+            (serves(u) && !ask.tried.contains(&key)).then_some(key)
+        };
+        let all: SmallVec<[UpstreamKey; 32]> = self.iter().filter_map(fits).collect();
+        let healthy: SmallVec<[UpstreamKey; 32]> = all
             .iter()
             .copied()
             .filter(|k| !self.get(*k).is_ejected(now))
@@ -187,50 +189,50 @@
     }
 
     /// Returns whether any upstream serves this.
-    pub fn serves(&self, kind: Kind, serves: &str) -> bool {
+    pub fn is_served(&self, kind: UpstreamKind, serves: &str) -> bool {
         let fits = |u: &Upstream| u.spec.kind == kind && u.spec.serves.iter().any(|s| s == serves);
         self.slots.iter().any(|u| !u.leaving && fits(u))
     }
 
     /// Chooses an upstream; none when there is none.
-    pub fn choose(&self, now: u64, ask: &Ask<'_>) -> Option<Choice> {
+    pub fn choose(&self, now: u64, ask: &Criteria<'_>) -> Option<Choice> {
         let all = self.candidates(now, ask);
         if all.is_empty() {
             return None;
         }
         if let Some(key) = self.by_prefix(now, ask, &all) {
-            return Some(self.choice(key, Why::Prefix));
+            return Some(self.choice(key, ChoiceReason::Prefix));
         }
-        let near: SmallVec<[Key; 32]> = all
+        let near: SmallVec<[UpstreamKey; 32]> = all
             .iter()
             .copied()
             .filter(|k| self.get(*k).spec.zone == ask.zone && self.has_room(now, *k))
             .collect();
         let (from, why) = if near.is_empty() {
-            (&all, Why::LeastOfTwo)
+            (&all, ChoiceReason::LeastOfTwo)
         } else {
-            (&near, Why::OwnZone)
+            (&near, ChoiceReason::OwnZone)
         };
         let key = self.least_of_two(now, from, ask.random);
         Some(self.choice(key, why))
     }
 
-    fn choice(&self, key: Key, why: Why) -> Choice {
+    fn choice(&self, key: UpstreamKey, why: ChoiceReason) -> Choice {
         let up = self.get(key);
         Choice {
             key,
             id: up.spec.id.clone(),
             url: up.spec.url.clone(),
-            why,
+            reason: why,
         }
     }
 
     /// Returns the first upstream in the prefix's order whose load is within its bound.
-    fn by_prefix(&self, now: u64, ask: &Ask<'_>, all: &[Key]) -> Option<Key> {
+    fn by_prefix(&self, now: u64, ask: &Criteria<'_>, all: &[UpstreamKey]) -> Option<UpstreamKey> {
         let prefix = ask.prefix?;
         let load: u32 = all.iter().map(|k| self.get(*k).occupancy(now)).sum();
         let bound = (load * AFFINITY_LOAD_PCT / 100).div_ceil(all.len() as u32) + 1;
-        let rank = |k: &Key| mix(prefix ^ self.get(*k).hash);
+        let rank = |k: &UpstreamKey| mix(prefix ^ self.get(*k).id_hash);
         let first = all.iter().copied().max_by_key(rank)?;
         let second = all.iter().copied().filter(|k| *k != first).max_by_key(rank);
         let order = std::iter::once(first).chain(second);
@@ -238,11 +240,11 @@
         within.next()
     }
 
-    fn least_of_two(&self, now: u64, from: &[Key], random: u64) -> Key {
+    fn least_of_two(&self, now: u64, from: &[UpstreamKey], random: u64) -> UpstreamKey {
         let len = from.len() as u64;
         let a = from[(random % len) as usize];
         let b = from[((random >> 32) % len) as usize];
-        let rank = |k: Key| {
+        let rank = |k: UpstreamKey| {
             let up = self.get(k);
             // Reports are late, and all instances that go by them alone run to one upstream. What
             // runs there from here, times the instances, is never late.
@@ -256,16 +258,16 @@
         }
     }
 
-    fn has_room(&self, now: u64, key: Key) -> bool {
+    fn has_room(&self, now: u64, key: UpstreamKey) -> bool {
         let up = self.get(key);
         up.load_at.is_none() || up.occupancy(now) * 100 < up.slots() * OVERCOMMIT_PCT
     }
 
     /// Returns how many more requests of each priority the upstreams of a kind can take.
-    pub fn rooms(&self, now: u64, kind: Kind, serves: &str) -> Rooms {
-        let ask = Ask {
+    pub fn capacity(&self, now: u64, kind: UpstreamKind, serves: &str) -> Capacity {
+        let ask = Criteria {
             kind,
-            serves,
+            target: serves,
             version: None,
             prefix: None,
             zone: "",
@@ -284,7 +286,7 @@
             taken += up.occupancy(now);
         }
         let sharers = self.sharers.max(1);
-        let mut rooms = Rooms::default();
+        let mut rooms = Capacity::default();
         for (priority, room) in rooms.0.iter_mut().enumerate() {
             let priority = priority as u32;
             let most = slots * (COMMIT_PCT + COMMIT_STEP_PCT * priority * priority) / 100;
@@ -298,7 +300,7 @@
     }
 
     /// Sets the number of instances that share the upstreams.
-    pub fn set_sharers(&mut self, sharers: usize) {
+    pub fn set_instance_count(&mut self, sharers: usize) {
         self.sharers = sharers as u32;
     }
 }
--- a/crates/route/src/queue.rs
+++ b/crates/route/src/queue.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::pool::Rooms;
+use crate::pool::Capacity;
 
 /// Every so many releases one goes to whoever has waited longest, so that nobody starves.
 const OLDEST_EVERY: u64 = 8;
@@ -18,15 +18,15 @@
 
 /// Names a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct WaiterId(pub u64);
 
 /// What becomes of a request that came.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It goes on at once.
-    Go,
+    Admit,
     /// It waits.
-    Wait(Ticket),
+    Wait(WaiterId),
     /// It is refused at once.
     Refuse {
         /// Milliseconds after which the backlog is worked off.
@@ -45,10 +45,10 @@
 pub struct Queue {
     next: u64,
     /// In the order in which they came.
-    waiting: BTreeMap<Ticket, Waiting>,
+    waiting: BTreeMap<WaiterId, Waiting>,
     /// First things first.
-    order: BTreeSet<(Reverse<u8>, u64, Ticket)>,
-    by_deadline: BTreeSet<(u64, Ticket)>,
+    order: BTreeSet<(Reverse<u8>, u64, WaiterId)>,
+    by_deadline: BTreeSet<(u64, WaiterId)>,
     by_priority: [usize; 10],
     released: u64,
     /// Mean time between two finishes while somebody waits, in milliseconds.
@@ -73,28 +73,34 @@
 
 impl Queue {
     /// Takes a request; `rooms` is how many more of each priority the upstreams can take.
-    pub fn arrive(&mut self, now: u64, rooms: &Rooms, priority: u8, deadline: u64) -> Verdict {
+    pub fn admit(
+        &mut self,
+        now: u64,
+        rooms: &Capacity,
+        priority: u8,
+        deadline: u64,
+    ) -> AdmissionDecision {
         let priority = priority.min(9);
         let ahead = self.ahead(priority);
-        if ahead == 0 && rooms.at(priority) > 0 {
-            return Verdict::Go;
+        if ahead == 0 && rooms.for_priority(priority) > 0 {
+            return AdmissionDecision::Admit;
         }
         let wait_ms = ((ahead + 1) as f64 * self.pace_ms) as u64;
         if now + wait_ms >= deadline || self.waiting.len() >= QUEUE_MOST {
             let retry_ms = wait_ms.max(RETRY_LEAST_MS);
-            return Verdict::Refuse { retry_ms };
+            return AdmissionDecision::Refuse { retry_ms };
         }
-        let ticket = Ticket(self.next);
+        let ticket = WaiterId(self.next);
         self.next += 1;
         self.waiting.insert(ticket, Waiting { priority, deadline });
         self.order.insert((Reverse(priority), deadline, ticket));
         self.by_deadline.insert((deadline, ticket));
         self.by_priority[priority as usize] += 1;
-        Verdict::Wait(ticket)
+        AdmissionDecision::Wait(ticket)
     }
 
     /// Counts a finish, from which the backlog's time is worked out.
-    pub fn finished(&mut self, now: u64) {
+    pub fn record_finish(&mut self, now: u64) {
         if let Some(last) = self.finished_at {
             let gap = now.saturating_sub(last) as f64;
             if !self.waiting.is_empty() {
@@ -105,10 +111,10 @@
     }
 
     /// Returns who goes on now, first things first.
-    pub fn release(&mut self, rooms: &Rooms) -> Vec<Ticket> {
+    pub fn release(&mut self, rooms: &Capacity) -> Vec<WaiterId> {
         let mut out = Vec::new();
         while let Some(ticket) = self.pick(rooms, out.len() as u32) {
-            self.leave(ticket);
+            self.remove(ticket);
             self.released += 1;
             out.push(ticket);
         }
@@ -116,8 +122,8 @@
     }
 
     /// Returns the next to go on when some have gone already.
-    fn pick(&self, rooms: &Rooms, gone: u32) -> Option<Ticket> {
-        let fits = |t: &Ticket| rooms.at(self.waiting[t].priority) > gone;
+    fn pick(&self, rooms: &Capacity, gone: u32) -> Option<WaiterId> {
+        let fits = |t: &WaiterId| rooms.for_priority(self.waiting[t].priority) > gone;
         let first = self.order.first().map(|(_, _, t)| *t)?;
         if self.released % OLDEST_EVERY == OLDEST_EVERY - 1 {
             let oldest = self.waiting.keys().next().copied();
@@ -129,15 +135,15 @@
     }
 
     /// Returns who has waited past the deadline, and removes them.
-    pub fn expire(&mut self, now: u64) -> Vec<Ticket> {
+    pub fn expire(&mut self, now: u64) -> Vec<WaiterId> {
         let late = self.by_deadline.iter().take_while(|(d, _)| *d <= now);
-        let late: Vec<Ticket> = late.map(|(_, t)| *t).collect();
-        late.iter().for_each(|t| self.leave(*t));
+        let late: Vec<WaiterId> = late.map(|(_, t)| *t).collect();
+        late.iter().for_each(|t| self.remove(*t));
         late
     }
 
     /// Forgets a request that goes on, or whose caller left.
-    pub fn leave(&mut self, ticket: Ticket) {
+    pub fn remove(&mut self, ticket: WaiterId) {
         let Some(w) = self.waiting.remove(&ticket) else {
             return;
         };
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -19,12 +19,12 @@
 
 impl RetryBudget {
     /// Counts a first attempt.
-    pub fn request(&mut self) {
+    pub fn record_request(&mut self) {
         self.saved = (self.saved + RETRY_PCT).min(SAVED_MOST);
     }
 
     /// Takes a retry; returns whether there was one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_acquire(&mut self) -> bool {
         let may = self.saved >= 1.0;
         if may {
             self.saved -= 1.0;
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -16,12 +16,12 @@
 
 /// Names an upstream in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct Key(pub u32);
+pub struct UpstreamKey(pub u32);
 
 /// What an upstream serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Kind {
+pub enum UpstreamKind {
     /// Models.
     Engine,
     /// A plain service.
@@ -34,7 +34,7 @@
     /// Its name; an upstream that restarts has a new one.
     pub id: String,
     /// What it serves.
-    pub kind: Kind,
+    pub kind: UpstreamKind,
     /// Its HTTP address.
     pub url: String,
     /// Its availability zone.
@@ -51,7 +51,7 @@
     pub fn engine(id: &str, zone: &str, model: &str) -> Spec {
         Spec {
             id: id.to_string(),
-            kind: Kind::Engine,
+            kind: UpstreamKind::Engine,
             url: String::new(),
             zone: zone.to_string(),
             serves: vec![model.to_string()],
@@ -81,7 +81,7 @@
     pub spec: Spec,
     /// Hash of its name.
     #[serde(skip)]
-    pub hash: u64,
+    pub id_hash: u64,
     /// Versions of models that it says it serves.
     pub versions: BTreeMap<String, String>,
     /// Its last report.
@@ -107,7 +107,7 @@
     pub fn new(spec: Spec) -> Upstream {
         Upstream {
             leaving: spec.leaving,
-            hash: xxh3_64(spec.id.as_bytes()),
+            id_hash: xxh3_64(spec.id.as_bytes()),
             spec,
             versions: BTreeMap::new(),
             load: Load::default(),
@@ -121,7 +121,7 @@
     }
 
     /// Takes a load report.
-    pub fn report(&mut self, now: u64, load: Load) {
+    pub fn record_load(&mut self, now: u64, load: Load) {
         self.load = load;
         self.load_at = Some(now);
         self.since_report = 0;
@@ -145,7 +145,7 @@
     }
 
     /// Counts a request sent there.
-    pub fn begin(&mut self) {
+    pub fn record_start(&mut self) {
         self.inflight += 1;
         self.since_report += 1;
     }
@@ -156,7 +156,7 @@
     ///
     /// Panics when more requests end than began: an end counted twice would let in more than the
     /// upstream can bear.
-    pub fn end(&mut self, now: u64, ok: bool, jitter: u64) {
+    pub fn record_end(&mut self, now: u64, ok: bool, jitter: u64) {
         assert!(self.inflight > 0, "{}: an end too many", self.spec.id);
         self.inflight -= 1;
         if ok {
--- a/crates/route/tests/decide.rs
+++ b/crates/route/tests/decide.rs
@@ -1,28 +1,28 @@
 //! Decisions on upstreams, queues and retries.
 
-use route::pool::Ask;
-use route::queue::{Queue, Verdict};
-use route::{Kind, Load, Pool, RetryBudget, Rooms, Spec};
+use route::pool::Criteria;
+use route::queue::{AdmissionDecision, Queue};
+use route::{Capacity, Load, Pool, RetryBudget, Spec, UpstreamKind};
 
 fn pool(count: usize) -> Pool {
     let mut pool = Pool::default();
     let spec = |i: usize| Spec::engine(&format!("e{i}"), &format!("z{}", i % 3), "m");
-    pool.set_list((0..count).map(spec).collect());
+    pool.apply_list((0..count).map(spec).collect());
     for i in 0..count {
         let key = pool.find(&format!("e{i}")).expect("listed");
         let load = Load {
             slots: 8,
             ..Load::default()
         };
-        pool.report(0, key, load);
+        pool.record_load(0, key, load);
     }
     pool
 }
 
-fn ask(random: u64, prefix: Option<u64>) -> Ask<'static> {
-    Ask {
-        kind: Kind::Engine,
-        serves: "m",
+fn ask(random: u64, prefix: Option<u64>) -> Criteria<'static> {
+    Criteria {
+        kind: UpstreamKind::Engine,
+        target: "m",
         version: None,
         prefix,
         zone: "z0",
@@ -37,9 +37,9 @@
 #[test]
 fn leaving_is_never_taken_back() {
     let mut pool = pool(2);
-    assert!(pool.set_leaving("e0"));
-    let specs = pool.all().map(|(_, u)| u.spec.clone()).collect();
-    pool.set_list(specs);
+    assert!(pool.mark_leaving("e0"));
+    let specs = pool.iter().map(|(_, u)| u.spec.clone()).collect();
+    pool.apply_list(specs);
     for random in 0..100 {
         let choice = pool.choose(1, &ask(random << 32 | random, None));
         assert_eq!(choice.expect("one is left").id, "e1");
@@ -55,8 +55,8 @@
     for i in 0..4 {
         let key = pool.find(&format!("e{i}")).expect("listed");
         for _ in 0..3 {
-            pool.get_mut(key).begin();
-            pool.get_mut(key).end(1, false, 0);
+            pool.get_mut(key).record_start();
+            pool.get_mut(key).record_end(1, false, 0);
         }
     }
     assert!(pool.choose(2, &ask(7, None)).is_some());
@@ -73,7 +73,7 @@
         );
     }
     for _ in 0..8 {
-        pool.get_mut(first.key).begin();
+        pool.get_mut(first.key).record_start();
     }
     assert_ne!(
         pool.choose(1, &ask(1, Some(42))).expect("some").id,
@@ -87,18 +87,19 @@
 #[test]
 fn queue_goes_by_priority_and_starves_nobody() {
     let mut queue = Queue::default();
-    let wait = |queue: &mut Queue, priority| match queue.arrive(0, &Rooms::all(0), priority, 60_000)
-    {
-        Verdict::Wait(ticket) => ticket,
-        other => panic!("{other:?}"),
-    };
+    let wait =
+        |queue: &mut Queue, priority| match queue.admit(0, &Capacity::uniform(0), priority, 60_000)
+        {
+            AdmissionDecision::Wait(ticket) => ticket,
+            other => panic!("{other:?}"),
+        };
     let low = wait(&mut queue, 1);
     let high = wait(&mut queue, 9);
-    assert_eq!(queue.release(&Rooms::all(1)), vec![high]);
+    assert_eq!(queue.release(&Capacity::uniform(1)), vec![high]);
     let mut before = 0;
     loop {
         wait(&mut queue, 9);
-        if queue.release(&Rooms::all(1)) == vec![low] {
+        if queue.release(&Capacity::uniform(1)) == vec![low] {
             break;
         }
         before += 1;
@@ -114,11 +115,12 @@
     let mut queue = Queue::default();
     for _ in 0..100 {
         assert!(matches!(
-            queue.arrive(0, &Rooms::all(0), 5, 60_000),
-            Verdict::Wait(_)
+            queue.admit(0, &Capacity::uniform(0), 5, 60_000),
+            AdmissionDecision::Wait(_)
         ));
     }
-    let Verdict::Refuse { retry_ms } = queue.arrive(0, &Rooms::all(0), 5, 1_000) else {
+    let AdmissionDecision::Refuse { retry_ms } = queue.admit(0, &Capacity::uniform(0), 5, 1_000)
+    else {
         panic!("not refused");
     };
     assert!(retry_ms >= 1_000);
@@ -129,8 +131,8 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.request();
-        retries += u32::from(budget.take());
+        budget.record_request();
+        retries += u32::from(budget.try_acquire());
     }
     assert!((100..=110).contains(&retries), "{retries}");
 }
--- a/crates/route/tests/encoding.rs
+++ b/crates/route/tests/encoding.rs
@@ -1,6 +1,6 @@
 //! The store, upstreams and the dump hold these: their encoding stays.
 
-use route::{Choice, Key, Kind, Load, Spec, Upstream, Why};
+use route::{Choice, ChoiceReason, Load, Spec, Upstream, UpstreamKey, UpstreamKind};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -8,7 +8,7 @@
 #[test]
 fn upstreams_in_the_store_keep_their_encoding() {
     assert_kept::<Spec>(include_str!("data/outer/specs.json"));
-    assert_kept::<Kind>(include_str!("data/outer/kinds.json"));
+    assert_kept::<UpstreamKind>(include_str!("data/outer/kinds.json"));
     assert_kept::<Load>(include_str!("data/outer/loads.json"));
     assert_filled::<Spec>(
         r#"{"id":"e","kind":"engine","url":"u","zone":"z","serves":[]}"#,
@@ -43,14 +43,19 @@
 
 #[test]
 fn choices_keep_their_encoding() {
-    let whys = [Why::Prefix, Why::OwnZone, Why::LeastOfTwo, Why::Joined];
+    let whys = [
+        ChoiceReason::Prefix,
+        ChoiceReason::OwnZone,
+        ChoiceReason::LeastOfTwo,
+        ChoiceReason::Joined,
+    ];
     let sample = r#"["prefix","own_zone","least_of_two","joined"]"#;
     assert_eq!(serde_json::to_string(&whys).expect("JSON"), sample);
     let choice = Choice {
-        key: Key(3),
+        key: UpstreamKey(3),
         id: "engine-1".to_string(),
         url: "http://10.0.0.2:80".to_string(),
-        why: Why::Prefix,
+        reason: ChoiceReason::Prefix,
     };
     let sample = r#"{"key":3,"id":"engine-1","url":"http://10.0.0.2:80","why":"prefix"}"#;
     assert_eq!(serde_json::to_string(&choice).expect("JSON"), sample);
@@ -59,10 +64,10 @@
 /// The steps of a request name these.
 #[test]
 fn reasons_of_choices_keep_their_texts() {
-    assert_eq!(format!("{:?}", Why::Prefix), "Prefix");
-    assert_eq!(format!("{:?}", Why::OwnZone), "OwnZone");
-    assert_eq!(format!("{:?}", Why::LeastOfTwo), "LeastOfTwo");
-    assert_eq!(format!("{:?}", Why::Joined), "Joined");
+    assert_eq!(format!("{:?}", ChoiceReason::Prefix), "Prefix");
+    assert_eq!(format!("{:?}", ChoiceReason::OwnZone), "OwnZone");
+    assert_eq!(format!("{:?}", ChoiceReason::LeastOfTwo), "LeastOfTwo");
+    assert_eq!(format!("{:?}", ChoiceReason::Joined), "Joined");
 }
 
 /// Reads each sample and writes it again.
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -5,9 +5,9 @@
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use route::pool::Ask;
-use route::queue::{Queue, Ticket, Verdict};
-use route::{Key, Kind, Load, Pool, RetryBudget, Spec};
+use route::pool::Criteria;
+use route::queue::{AdmissionDecision, Queue, WaiterId};
+use route::{Load, Pool, RetryBudget, Spec, UpstreamKey, UpstreamKind};
 
 /// Entries, engines, and what an engine does at once.
 const ENTRIES: usize = 9;
@@ -91,7 +91,7 @@
     entry: usize,
     deadline: u64,
     attempts: u32,
-    tried: Vec<Key>,
+    tried: Vec<UpstreamKey>,
     first: Option<u64>,
     end: Option<u64>,
 }
@@ -115,7 +115,7 @@
 struct Entry {
     pool: Pool,
     queue: Queue,
-    waiting: BTreeMap<Ticket, usize>,
+    waiting: BTreeMap<WaiterId, usize>,
     retry: RetryBudget,
     turn: usize,
 }
@@ -143,8 +143,8 @@
         let entry = || {
             let mut pool = Pool::default();
             let spec = |i: usize| Spec::engine(&format!("e{i}"), &format!("z{}", i % 3), "m");
-            pool.set_list((0..mix.engines).map(spec).collect());
-            pool.set_sharers(ENTRIES);
+            pool.apply_list((0..mix.engines).map(spec).collect());
+            pool.set_instance_count(ENTRIES);
             Entry {
                 pool,
                 queue: Queue::default(),
@@ -242,22 +242,22 @@
         let (quick, deadline) = (request.quick, request.deadline);
         let now = self.now;
         let entry = &mut self.entries[request.entry];
-        entry.retry.request();
+        entry.retry.record_request();
         if !self.queues() {
             self.send(id);
             return;
         }
         let entry = &mut self.entries[self.requests[id].entry];
-        let rooms = entry.pool.rooms(now, Kind::Engine, "m");
+        let rooms = entry.pool.capacity(now, UpstreamKind::Engine, "m");
         let priority = if quick { 8 } else { 4 };
         // Waiting is worth it only as long as the answer would still be in time.
         let wait = if quick { now + QUICK_FIRST } else { deadline };
-        match entry.queue.arrive(now, &rooms, priority, wait) {
-            Verdict::Go => self.send(id),
-            Verdict::Wait(ticket) => {
+        match entry.queue.admit(now, &rooms, priority, wait) {
+            AdmissionDecision::Admit => self.send(id),
+            AdmissionDecision::Wait(ticket) => {
                 entry.waiting.insert(ticket, id);
             }
-            Verdict::Refuse { .. } => self.refused += 1,
+            AdmissionDecision::Refuse { .. } => self.refused += 1,
         }
     }
 
@@ -271,7 +271,7 @@
         if entry.queue.is_empty() {
             return;
         }
-        let rooms = entry.pool.rooms(now, Kind::Engine, "m");
+        let rooms = entry.pool.capacity(now, UpstreamKind::Engine, "m");
         let ids: Vec<usize> = entry
             .queue
             .release(&rooms)
@@ -281,21 +281,21 @@
         ids.into_iter().for_each(|id| self.send(id));
     }
 
-    fn choose(&mut self, id: usize) -> Option<Key> {
+    fn choose(&mut self, id: usize) -> Option<UpstreamKey> {
         let random: u64 = self.rng.random();
         let request = &self.requests[id];
         let entry = &mut self.entries[request.entry];
         match self.way {
             Way::RoundRobin => {
                 entry.turn += 1;
-                Some(Key((entry.turn % self.mix.engines) as u32))
+                Some(UpstreamKey((entry.turn % self.mix.engines) as u32))
             }
-            Way::Random => Some(Key((random % self.mix.engines as u64) as u32)),
+            Way::Random => Some(UpstreamKey((random % self.mix.engines as u64) as u32)),
             Way::LeastLoaded | Way::Chosen => {
                 let prefix = (self.way == Way::Chosen && !request.quick).then_some(request.prefix);
-                let ask = Ask {
-                    kind: Kind::Engine,
-                    serves: "m",
+                let ask = Criteria {
+                    kind: UpstreamKind::Engine,
+                    target: "m",
                     version: None,
                     prefix,
                     zone: ["z0", "z1", "z2"][request.entry % 3],
@@ -315,7 +315,7 @@
         self.sent += 1;
         self.sent_failing += u64::from(self.failing());
         let entry = self.requests[id].entry;
-        self.entries[entry].pool.get_mut(key).begin();
+        self.entries[entry].pool.get_mut(key).record_start();
         let request = &mut self.requests[id];
         request.attempts += 1;
         request.tried.push(key);
@@ -345,16 +345,16 @@
     }
 
     /// An attempt failed: another one, if there is a retry for it.
-    fn broke(&mut self, id: usize, key: Key) {
+    fn broke(&mut self, id: usize, key: UpstreamKey) {
         let jitter = self.rng.random();
         let entry = &mut self.entries[self.requests[id].entry];
-        entry.pool.get_mut(key).end(self.now, false, jitter);
+        entry.pool.get_mut(key).record_end(self.now, false, jitter);
         let late = self.now > self.requests[id].deadline;
         let attempts = self.requests[id].attempts;
         let again = match self.way {
             Way::Random => attempts < UNLIMITED,
             Way::RoundRobin => false,
-            _ => attempts < ATTEMPTS && entry.retry.take(),
+            _ => attempts < ATTEMPTS && entry.retry.try_acquire(),
         };
         if again && !late {
             self.requests[id].first = None;
@@ -375,7 +375,7 @@
             .chain(engine.waiting.drain(..))
             .collect();
         for run in runs {
-            self.broke(run.request, Key(i as u32));
+            self.broke(run.request, UpstreamKey(i as u32));
         }
     }
 
@@ -414,8 +414,11 @@
         engine.running.retain(|r| r.left > 0);
         for id in ended {
             let entry = &mut self.entries[self.requests[id].entry];
-            entry.pool.get_mut(Key(i as u32)).end(now, true, 0);
-            entry.queue.finished(now);
+            entry
+                .pool
+                .get_mut(UpstreamKey(i as u32))
+                .record_end(now, true, 0);
+            entry.queue.record_finish(now);
         }
     }
 
@@ -438,7 +441,9 @@
             }
             let (_, load) = engine.reports.pop_front().expect("looked at above");
             for entry in &mut self.entries {
-                entry.pool.report(self.now, Key(i as u32), load);
+                entry
+                    .pool
+                    .record_load(self.now, UpstreamKey(i as u32), load);
             }
         }
     }
