--- a/crates/entry/src/accept.rs
+++ b/crates/entry/src/accept.rs
@@ -6,7 +6,7 @@
 use conf::bundle::Change;
 use conf::{Bundle, Config};
 use err::{Error, Kind};
-use kv::{Failure, Swap};
+use kv::{StoreError, SwapResult};
 use tokio::time::timeout;
 
 use crate::clock::wall_ms;
@@ -73,23 +73,27 @@
         }
     }
     let text = serde_json::to_vec(&bundle.head).expect("a head is JSON");
-    match shared.kv.swap(HEAD, kv_revision, &text, 0).await {
-        Ok(Swap::Done(_)) => Ok(accepted(shared, bundle)),
-        Ok(Swap::Lost(_)) => find_again(shared, &wish.change_id, bundle, true).await,
-        Err(Failure::Refused(_)) => Err(Error::new(
+    match shared
+        .kv
+        .compare_and_swap(HEAD, kv_revision, &text, 0)
+        .await
+    {
+        Ok(SwapResult::Done(_)) => Ok(accepted(shared, bundle)),
+        Ok(SwapResult::Conflict(_)) => find_again(shared, &wish.change_id, bundle, true).await,
+        Err(StoreError::Refused(_)) => Err(Error::new(
             Kind::PlatformDown,
             "the platform's service refused the change",
         )),
-        Err(Failure::Unknown(_)) => find_again(shared, &wish.change_id, bundle, false).await,
+        Err(StoreError::Unknown(_)) => find_again(shared, &wish.change_id, bundle, false).await,
     }
 }
 
 /// Writes a chunk, again where an answer is lost: its key is its hash, so that harms nothing.
-async fn put_chunk(shared: &Shared, key: &str, text: &str) -> Result<(), Failure> {
+async fn put_chunk(shared: &Shared, key: &str, text: &str) -> Result<(), StoreError> {
     let mut tries = 0;
     loop {
         tries += 1;
-        match shared.kv.swap(key, 0, text.as_bytes(), 0).await {
+        match shared.kv.compare_and_swap(key, 0, text.as_bytes(), 0).await {
             Ok(_) => return Ok(()),
             Err(failure) if tries >= LOOKS => return Err(failure),
             Err(_) => tokio::time::sleep(LOOK_EVERY).await,
--- a/crates/entry/src/bank_io.rs
+++ b/crates/entry/src/bank_io.rs
@@ -4,7 +4,7 @@
 
 use budget::msg::{AttemptRef, RecordSnapshot};
 use budget::{Event, Settlement, ShardRecord};
-use kv::{Failure, Found, Swap};
+use kv::{KeyValue, StoreError, SwapResult};
 use serde_json::Value;
 
 use crate::msg::{method, KeepMsg, OpenMsg, RecallMsg};
@@ -22,7 +22,7 @@
     format!("/oriolehitch/bill/{shard:04}/{name}")
 }
 
-pub(crate) fn stored(found: Option<Found>) -> Result<Option<RecordSnapshot>, String> {
+pub(crate) fn stored(found: Option<KeyValue>) -> Result<Option<RecordSnapshot>, String> {
     let Some(found) = found else {
         return Ok(None);
     };
@@ -41,14 +41,18 @@
 
 pub(crate) async fn write(cx: &Shared, shard: u32, base: i64, record: &ShardRecord) -> Event {
     let text = serde_json::to_vec(record).expect("a record is JSON");
-    match cx.kv.swap(&record_key(shard), base, &text, 0).await {
-        Ok(Swap::Done(revision)) => Event::WriteCommitted { revision },
-        Ok(Swap::Lost(found)) => match stored(found) {
+    match cx
+        .kv
+        .compare_and_swap(&record_key(shard), base, &text, 0)
+        .await
+    {
+        Ok(SwapResult::Done(revision)) => Event::WriteCommitted { revision },
+        Ok(SwapResult::Conflict(found)) => match stored(found) {
             Ok(stored) => Event::WriteConflict(stored),
             Err(_) => Event::WriteRefused,
         },
-        Err(Failure::Refused(_)) => Event::WriteRefused,
-        Err(Failure::Unknown(_)) => Event::WriteOutcomeUnknown,
+        Err(StoreError::Refused(_)) => Event::WriteRefused,
+        Err(StoreError::Unknown(_)) => Event::WriteOutcomeUnknown,
     }
 }
 
--- a/crates/entry/src/bankd.rs
+++ b/crates/entry/src/bankd.rs
@@ -7,7 +7,7 @@
 use budget::msg::Warning;
 use budget::shard::Params;
 use budget::{Action, Durability, Event, OperatorReply, ReserveReply, ShardAction, ShardManager};
-use kv::Swap;
+use kv::SwapResult;
 use serde_json::{json, Value};
 use tokio::sync::oneshot;
 
@@ -276,8 +276,8 @@
                 tokio::spawn(async move {
                     let text = serde_json::to_vec(&segment).expect("a segment is JSON");
                     let key = segment_key(shard, &name);
-                    let swapped = cx.kv.swap(&key, 0, &text, 0).await;
-                    let done = matches!(swapped, Ok(Swap::Done(_)));
+                    let swapped = cx.kv.compare_and_swap(&key, 0, &text, 0).await;
+                    let done = matches!(swapped, Ok(SwapResult::Done(_)));
                     handle.send(Cmd::Event(shard, Event::SegmentWritten(done)));
                 });
             }
--- a/crates/entry/src/configd.rs
+++ b/crates/entry/src/configd.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use conf::{Bundle, Chunk, Head};
-use kv::Failure;
+use kv::StoreError;
 use tokio::time::timeout;
 
 use crate::clock::wall_ms;
@@ -81,7 +81,7 @@
     bundle
 }
 
-pub(crate) async fn read_head(shared: &Shared) -> Result<Option<(Head, i64)>, Failure> {
+pub(crate) async fn read_head(shared: &Shared) -> Result<Option<(Head, i64)>, StoreError> {
     let Some(found) = shared.kv.get(HEAD).await? else {
         return Ok(None);
     };
@@ -89,7 +89,7 @@
         Ok(head) => Ok(Some((head, found.revision))),
         Err(e) => {
             shared.log(Event::ConfigBroken, &e);
-            Err(Failure::Refused(e.to_string()))
+            Err(StoreError::Refused(e.to_string()))
         }
     }
 }
--- a/crates/entry/src/pipe/claim.rs
+++ b/crates/entry/src/pipe/claim.rs
@@ -5,7 +5,7 @@
 
 use claim::{AttemptStatus, Claim, IdError, Resolution, State, StoredResponse};
 use err::{Error, Kind};
-use kv::{Failure, Found, Swap};
+use kv::{KeyValue, StoreError, SwapResult};
 use uuid::Uuid;
 use web::Req;
 
@@ -98,14 +98,14 @@
             tokio::time::sleep(RETRY_PAUSE).await;
             continue;
         };
-        let found = match shared.kv.swap(&key, base, &text, lease).await {
-            Ok(Swap::Done(revision)) => return Ok(run(&key, mine, revision)),
-            Ok(Swap::Lost(Some(found))) => found,
-            Ok(Swap::Lost(None)) => {
+        let found = match shared.kv.compare_and_swap(&key, base, &text, lease).await {
+            Ok(SwapResult::Done(revision)) => return Ok(run(&key, mine, revision)),
+            Ok(SwapResult::Conflict(Some(found))) => found,
+            Ok(SwapResult::Conflict(None)) => {
                 base = 0;
                 continue;
             }
-            Err(Failure::Refused(_) | Failure::Unknown(_)) => {
+            Err(StoreError::Refused(_) | StoreError::Unknown(_)) => {
                 // The same write again is safe: it carries this attempt's own name.
                 tokio::time::sleep(RETRY_PAUSE).await;
                 continue;
@@ -130,7 +130,7 @@
     })
 }
 
-async fn judge(cx: &Cx, mine: &Claim, found: &Found) -> Result<Resolution, Error> {
+async fn judge(cx: &Cx, mine: &Claim, found: &KeyValue) -> Result<Resolution, Error> {
     let broken = |e: serde_json::Error| Error::new(Kind::Internal, format!("a broken claim: {e}"));
     let theirs: Claim = serde_json::from_slice(&found.value).map_err(broken)?;
     match claim::resolve(&theirs, mine, None) {
@@ -194,7 +194,11 @@
         }
     }
     let keep = claim::lease_ttl_secs(shared.settings.claim_retention_ms());
-    let id = shared.kv.lease(keep + LEASE_USE_MS / 1000).await.ok()?;
+    let id = shared
+        .kv
+        .create_lease(keep + LEASE_USE_MS / 1000)
+        .await
+        .ok()?;
     *current = Some((id, now + LEASE_USE_MS));
     Some(id)
 }
@@ -228,12 +232,15 @@
             tokio::time::sleep(STORE_EVERY).await;
             continue;
         };
-        let swapped = shared.kv.swap(&held.key, held.revision, &text, lease).await;
+        let swapped = shared
+            .kv
+            .compare_and_swap(&held.key, held.revision, &text, lease)
+            .await;
         match swapped {
-            Ok(Swap::Done(_)) => break,
-            Ok(Swap::Lost(Some(found))) if found.value == text => break,
+            Ok(SwapResult::Done(_)) => break,
+            Ok(SwapResult::Conflict(Some(found))) if found.value == text => break,
             // Another attempt replaced a claim that this one called not run, or the key lapsed.
-            Ok(Swap::Lost(_)) => break,
+            Ok(SwapResult::Conflict(_)) => break,
             Err(_) => {}
         }
         if !late {
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kv::{Client, Found, Swap};
+use kv::{Client, KeyValue, SwapResult};
 use peer::{Member, Standing};
 use route::Spec;
 use tokio::time::timeout;
@@ -44,7 +44,7 @@
             None => false,
         };
         if !alive {
-            lease = shared.kv.lease(TTL_SECS).await.ok();
+            lease = shared.kv.create_lease(TTL_SECS).await.ok();
             written = None;
         }
         if let (Some(id), true) = (lease, written != Some(me.standing)) {
@@ -63,8 +63,8 @@
     };
     let revision = found.map_or(0, |f| f.revision);
     let text = serde_json::to_vec(me).expect("a member is JSON");
-    let swapped = kv.swap(&key, revision, &text, lease).await;
-    matches!(swapped, Ok(Swap::Done(_)))
+    let swapped = kv.compare_and_swap(&key, revision, &text, lease).await;
+    matches!(swapped, Ok(SwapResult::Done(_)))
 }
 
 /// Follows the list by a watch, and reads it now and then besides.
@@ -103,7 +103,7 @@
     *lost = !answered;
 }
 
-fn take(shared: &Arc<Shared>, found: &[Found]) {
+fn take(shared: &Arc<Shared>, found: &[KeyValue]) {
     let router = format!("{PREFIX}router/");
     let (routers, others): (Vec<_>, Vec<_>) =
         found.iter().partition(|f| f.key.starts_with(&router));
@@ -133,7 +133,7 @@
     (ids(present), ids(left))
 }
 
-fn parse<T: serde::de::DeserializeOwned>(found: &Found) -> Option<T> {
+fn parse<T: serde::de::DeserializeOwned>(found: &KeyValue) -> Option<T> {
     serde_json::from_slice(&found.value).ok()
 }
 
@@ -146,7 +146,7 @@
 /// Takes this instance's entry out of the list, by ending its word.
 pub async fn delist(shared: &Shared) {
     let me = shared.members.lock().expect("no panic inside").me().clone();
-    if let Ok(lease) = shared.kv.lease(1).await {
+    if let Ok(lease) = shared.kv.create_lease(1).await {
         // The entry then ends with the short lease; if this fails, with the old one.
         put(&shared.kv, &me, lease).await;
     }
--- a/crates/entry/tests/dump.rs
+++ b/crates/entry/tests/dump.rs
@@ -40,7 +40,7 @@
     let spec =
         r#"{"id":"e1","kind":"engine","url":"http://127.0.0.1:9","zone":"z","serves":["m"]}"#;
     let store = Client::open(&platform);
-    let written = store.swap("/instances/engine/e1", 0, spec.as_bytes(), 0);
+    let written = store.compare_and_swap("/instances/engine/e1", 0, spec.as_bytes(), 0);
     written.await.expect("a stand-in that answers");
     let settings =
         json!({"name": "r1", "region": "r", "zone": "z", "platform": platform, "shards": 1});
--- a/crates/kv/src/client.rs
+++ b/crates/kv/src/client.rs
@@ -8,15 +8,15 @@
 use serde_json::{json, Value};
 use tokio::sync::mpsc;
 
-use crate::store::Reading;
-use crate::wire::{self, KeyValue};
+use crate::store::Consistency;
+use crate::wire::{self, EncodedKeyValue};
 
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Why a call has no answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failure {
+pub enum StoreError {
     /// The service was not reached, or refused: nothing took effect.
     Refused(String),
     /// The call may have taken effect.
@@ -25,7 +25,7 @@
 
 /// A value with the revision of its last write.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Found {
+pub struct KeyValue {
     /// The key.
     pub key: String,
     /// The value.
@@ -36,16 +36,16 @@
 
 /// The end of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Swap {
+pub enum SwapResult {
     /// It took effect and made this revision.
     Done(i64),
     /// The key has changed meanwhile, or is gone.
-    Lost(Option<Found>),
+    Conflict(Option<KeyValue>),
 }
 
 /// How many calls of each sort were made.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct CallCounts {
     /// Reads.
     pub reads: AtomicU64,
     /// Writes.
@@ -59,7 +59,7 @@
 struct Inner {
     url: String,
     http: reqwest::Client,
-    counts: Counts,
+    counts: CallCounts,
 }
 
 /// A handle on the platform's service; clones share it.
@@ -81,37 +81,37 @@
         Client(Arc::new(Inner {
             url: url.to_string(),
             http,
-            counts: Counts::default(),
+            counts: CallCounts::default(),
         }))
     }
 
     /// Returns the counts of calls.
-    pub fn counts(&self) -> &Counts {
+    pub fn counts(&self) -> &CallCounts {
         &self.0.counts
     }
 
-    pub(crate) async fn call(&self, path: &str, body: &Value) -> Result<Value, Failure> {
+    pub(crate) async fn call(&self, path: &str, body: &Value) -> Result<Value, StoreError> {
         let url = format!("{}{path}", self.0.url);
         let sent = self.0.http.post(url).json(body).timeout(CALL_TIMEOUT);
         let res = match sent.send().await {
             Ok(res) if res.status().is_success() => res.json::<Value>().await,
             Ok(res) if res.status().is_client_error() => {
-                return self.fail(Failure::Refused(format!("status {}", res.status())));
+                return self.fail(StoreError::Refused(format!("status {}", res.status())));
             }
             Ok(res) => {
                 // The service may have lost the answer only: a 5xx says nothing about the write.
-                return self.fail(Failure::Unknown(format!("status {}", res.status())));
+                return self.fail(StoreError::Unknown(format!("status {}", res.status())));
             }
-            Err(e) if e.is_connect() => return self.fail(Failure::Refused(e.to_string())),
+            Err(e) if e.is_connect() => return self.fail(StoreError::Refused(e.to_string())),
             Err(e) => Err(e),
         };
         match res {
             Ok(value) => Ok(value),
-            Err(e) => self.fail(Failure::Unknown(e.to_string())),
+            Err(e) => self.fail(StoreError::Unknown(e.to_string())),
         }
     }
 
-    fn fail<T>(&self, failure: Failure) -> Result<T, Failure> {
+    fn fail<T>(&self, failure: StoreError) -> Result<T, StoreError> {
         self.0.counts.failures.fetch_add(1, Ordering::Relaxed);
         Err(failure)
     }
@@ -121,9 +121,9 @@
     /// # Errors
     ///
     /// Returns the failure when there is no answer.
-    pub async fn get(&self, key: &str) -> Result<Option<Found>, Failure> {
+    pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         self.0.counts.reads.fetch_add(1, Ordering::Relaxed);
-        let body = json!({"key": wire::b64(key.as_bytes())});
+        let body = json!({"key": wire::encode_base64(key.as_bytes())});
         let res = self.call("/v3/kv/range", &body).await?;
         Ok(found(&res["kvs"]).pop())
     }
@@ -133,8 +133,8 @@
     /// # Errors
     ///
     /// Returns the failure when there is no answer.
-    pub async fn list(&self, prefix: &str) -> Result<(Vec<Found>, i64), Failure> {
-        self.read_range(prefix, Reading::Linearizable).await
+    pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, i64), StoreError> {
+        self.read_range(prefix, Consistency::Linearizable).await
     }
 
     /// Reads all keys with a prefix, as new as is wanted.
@@ -145,16 +145,19 @@
     pub async fn read_range(
         &self,
         prefix: &str,
-        reading: Reading,
-    ) -> Result<(Vec<Found>, i64), Failure> {
+        reading: Consistency,
+    ) -> Result<(Vec<KeyValue>, i64), StoreError> {
         self.0.counts.reads.fetch_add(1, Ordering::Relaxed);
         let body = json!({
-            "key": wire::b64(prefix.as_bytes()),
-            "range_end": wire::b64(&wire::prefix_end(prefix)),
-            "serializable": reading == Reading::Serializable,
+            "key": wire::encode_base64(prefix.as_bytes()),
+            "range_end": wire::encode_base64(&wire::prefix_end(prefix)),
+            "serializable": reading == Consistency::Serializable,
         });
         let res = self.call("/v3/kv/range", &body).await?;
-        Ok((found(&res["kvs"]), wire::number(&res["header"]["revision"])))
+        Ok((
+            found(&res["kvs"]),
+            wire::parse_int(&res["header"]["revision"]),
+        ))
     }
 
     /// Writes one key if its revision is still the given one; 0 means absent.
@@ -163,21 +166,23 @@
     ///
     /// Returns the failure when there is no answer; after `Unknown` the write may have taken
     /// effect, or may still do so.
-    pub async fn swap(
+    pub async fn compare_and_swap(
         &self,
         key: &str,
         revision: i64,
         value: &[u8],
         lease: i64,
-    ) -> Result<Swap, Failure> {
+    ) -> Result<SwapResult, StoreError> {
         self.0.counts.writes.fetch_add(1, Ordering::Relaxed);
-        let body = wire::swap(key, revision, value, lease);
+        let body = wire::compare_and_swap(key, revision, value, lease);
         let res = self.call("/v3/kv/txn", &body).await?;
         if res["succeeded"].as_bool() == Some(true) {
-            return Ok(Swap::Done(wire::number(&res["header"]["revision"])));
+            return Ok(SwapResult::Done(wire::parse_int(
+                &res["header"]["revision"],
+            )));
         }
         let now = found(&res["responses"][0]["response_range"]["kvs"]).pop();
-        Ok(Swap::Lost(now))
+        Ok(SwapResult::Conflict(now))
     }
 
     /// Makes a lease of some seconds.
@@ -185,11 +190,11 @@
     /// # Errors
     ///
     /// Returns the failure when there is no answer.
-    pub async fn lease(&self, ttl_secs: u64) -> Result<i64, Failure> {
+    pub async fn create_lease(&self, ttl_secs: u64) -> Result<i64, StoreError> {
         self.0.counts.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({"TTL": ttl_secs.to_string()});
         let res = self.call("/v3/lease/grant", &body).await?;
-        Ok(wire::number(&res["ID"]))
+        Ok(wire::parse_int(&res["ID"]))
     }
 
     /// Renews a lease; returns whether it still lives.
@@ -197,11 +202,11 @@
     /// # Errors
     ///
     /// Returns the failure when there is no answer.
-    pub async fn keep_alive(&self, lease: i64) -> Result<bool, Failure> {
+    pub async fn keep_alive(&self, lease: i64) -> Result<bool, StoreError> {
         self.0.counts.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({"ID": lease.to_string()});
         let res = self.call("/v3/lease/keepalive", &body).await?;
-        Ok(wire::number(&res["result"]["TTL"]) > 0)
+        Ok(wire::parse_int(&res["result"]["TTL"]) > 0)
     }
 
     /// Watches a prefix: each message says that something changed, until the watch breaks.
@@ -209,15 +214,15 @@
     /// # Errors
     ///
     /// Returns the failure when the watch can't be started.
-    pub async fn watch(&self, prefix: &str) -> Result<mpsc::Receiver<()>, Failure> {
+    pub async fn watch(&self, prefix: &str) -> Result<mpsc::Receiver<()>, StoreError> {
         self.0.counts.watches.fetch_add(1, Ordering::Relaxed);
         let body = json!({"create_request": {
-            "key": wire::b64(prefix.as_bytes()),
-            "range_end": wire::b64(&wire::prefix_end(prefix)),
+            "key": wire::encode_base64(prefix.as_bytes()),
+            "range_end": wire::encode_base64(&wire::prefix_end(prefix)),
         }});
         let url = format!("{}/v3/watch", self.0.url);
         let sent = self.0.http.post(url).json(&body).send().await;
-        let res = sent.map_err(|e| Failure::Refused(e.to_string()))?;
+        let res = sent.map_err(|e| StoreError::Refused(e.to_string()))?;
         let (tx, rx) = mpsc::channel(1);
         let mut lines = res.bytes_stream();
         tokio::spawn(async move {
@@ -234,12 +239,12 @@
 }
 
 /// Reads the keys of an answer.
-pub(crate) fn found(kvs: &Value) -> Vec<Found> {
-    let list: Vec<KeyValue> = serde_json::from_value(kvs.clone()).unwrap_or_default();
-    let one = |kv: KeyValue| Found {
-        key: String::from_utf8_lossy(&wire::un64(&kv.key)).into_owned(),
-        value: wire::un64(&kv.value),
-        revision: wire::number(&kv.mod_revision),
+pub(crate) fn found(kvs: &Value) -> Vec<KeyValue> {
+    let list: Vec<EncodedKeyValue> = serde_json::from_value(kvs.clone()).unwrap_or_default();
+    let one = |kv: EncodedKeyValue| KeyValue {
+        key: String::from_utf8_lossy(&wire::decode_base64(&kv.key)).into_owned(),
+        value: wire::decode_base64(&kv.value),
+        revision: wire::parse_int(&kv.mod_revision),
     };
     list.into_iter().map(one).collect()
 }
--- a/crates/kv/src/etcd.rs
+++ b/crates/kv/src/etcd.rs
@@ -5,47 +5,52 @@
 
 use serde_json::{json, Value};
 
-use crate::client::{found, Client, Failure, Found};
-use crate::store::{Answer, Change, Commit, Listing, News, Reading, Store, Txn};
+use crate::client::{found, Client, KeyValue, StoreError};
+use crate::store::{Change, Consistency, Listing, Store, StoreFuture, Txn, TxnResult, WatchResult};
 use crate::wire;
 
 impl Store for Client {
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Found>> {
+    fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<KeyValue>> {
         Box::pin(Client::get(self, key))
     }
 
-    fn list<'a>(&'a self, prefix: &'a str, reading: Reading) -> Answer<'a, Listing> {
+    fn list<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
         Box::pin(async move {
             let (items, revision) = self.read_range(prefix, reading).await?;
             Ok(Listing {
-                items,
+                entries: items,
                 revision,
-                more: false,
+                has_more: false,
             })
         })
     }
 
-    fn first_page<'a>(&'a self, prefix: &'a str, reading: Reading) -> Answer<'a, Listing> {
+    fn first_page<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
         Store::list(self, prefix, reading)
     }
 
-    fn watch<'a>(&'a self, prefix: &'a str, after: i64, wait_ms: u64) -> Answer<'a, News> {
+    fn watch<'a>(
+        &'a self,
+        prefix: &'a str,
+        after: i64,
+        wait_ms: u64,
+    ) -> StoreFuture<'a, WatchResult> {
         Box::pin(watch(self, prefix, after, wait_ms))
     }
 
-    fn commit(&self, txn: Txn) -> Answer<'_, Commit> {
+    fn commit(&self, txn: Txn) -> StoreFuture<'_, TxnResult> {
         Box::pin(commit(self, txn))
     }
 
-    fn grant_lease(&self, ttl_ms: u64) -> Answer<'_, i64> {
-        Box::pin(self.lease(ttl_ms.div_ceil(1000)))
+    fn grant_lease(&self, ttl_ms: u64) -> StoreFuture<'_, i64> {
+        Box::pin(self.create_lease(ttl_ms.div_ceil(1000)))
     }
 
-    fn renew_lease(&self, lease: i64) -> Answer<'_, bool> {
+    fn renew_lease(&self, lease: i64) -> StoreFuture<'_, bool> {
         Box::pin(self.keep_alive(lease))
     }
 
-    fn end_lease(&self, lease: i64) -> Answer<'_, ()> {
+    fn revoke_lease(&self, lease: i64) -> StoreFuture<'_, ()> {
         Box::pin(async move {
             self.counts().writes.fetch_add(1, Ordering::Relaxed);
             let body = json!({"ID": lease.to_string()});
@@ -55,10 +60,15 @@
 }
 
 /// Waits for the sign of a change, then lists: the protocol's watch is used as a bell only.
-async fn watch(client: &Client, prefix: &str, after: i64, wait_ms: u64) -> Result<News, Failure> {
+async fn watch(
+    client: &Client,
+    prefix: &str,
+    after: i64,
+    wait_ms: u64,
+) -> Result<WatchResult, StoreError> {
     let mut bell = Client::watch(client, prefix).await?;
     let listed = Client::list(client, prefix).await?;
-    let changed = |items: &[Found]| items.iter().any(|f| f.revision > after);
+    let changed = |items: &[KeyValue]| items.iter().any(|f| f.revision > after);
     let (items, revision) = if changed(&listed.0) {
         listed
     } else {
@@ -71,22 +81,22 @@
     let changes = newer.map(|f| Change {
         key: f.key.clone(),
         revision: f.revision,
-        now: Some(f),
+        current: Some(f),
     });
-    Ok(News::Changes {
+    Ok(WatchResult::Changes {
         changes: changes.collect(),
         revision,
     })
 }
 
-async fn commit(client: &Client, txn: Txn) -> Result<Commit, Failure> {
+async fn commit(client: &Client, txn: Txn) -> Result<TxnResult, StoreError> {
     client.counts().writes.fetch_add(1, Ordering::Relaxed);
     let res = client.call("/v3/kv/txn", &wire::txn(&txn)).await?;
     if res["succeeded"].as_bool() == Some(true) {
-        let revision = wire::number(&res["header"]["revision"]);
-        return Ok(Commit::Done(revision));
+        let revision = wire::parse_int(&res["header"]["revision"]);
+        return Ok(TxnResult::Done(revision));
     }
     let ranges = res["responses"].as_array().cloned().unwrap_or_default();
     let one = |r: &Value| found(&r["response_range"]["kvs"]);
-    Ok(Commit::Lost(ranges.iter().flat_map(one).collect()))
+    Ok(TxnResult::Conflict(ranges.iter().flat_map(one).collect()))
 }
--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -7,7 +7,8 @@
 pub mod store;
 pub mod wire;
 
-pub use client::{Client, Counts, Failure, Found, Swap};
+pub use client::{CallCounts, Client, KeyValue, StoreError, SwapResult};
 pub use store::{
-    Answer, Change, Commit, Expect, Listing, News, Put, Reading, Store, Txn, TXN_MOST,
+    Change, Consistency, Listing, Precondition, Put, Store, StoreFuture, Txn, TxnResult,
+    WatchResult, MAX_TXN_OPS,
 };
--- a/crates/kv/src/wire.rs
+++ b/crates/kv/src/wire.rs
@@ -4,20 +4,20 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-use crate::store::{Expect, Put, Txn};
+use crate::store::{Precondition, Put, Txn};
 
 /// Encodes bytes as the protocol wants them.
-pub fn b64(bytes: &[u8]) -> String {
+pub fn encode_base64(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
 /// Decodes a field; what is not base64 is empty.
-pub fn un64(text: &str) -> Vec<u8> {
+pub fn decode_base64(text: &str) -> Vec<u8> {
     BASE64_STANDARD.decode(text).unwrap_or_default()
 }
 
 /// Reads a number that the protocol writes as a text.
-pub fn number(value: &Value) -> i64 {
+pub fn parse_int(value: &Value) -> i64 {
     match value {
         Value::String(s) => s.parse().unwrap_or_default(),
         other => other.as_i64().unwrap_or_default(),
@@ -26,7 +26,7 @@
 
 /// A stored key with its value.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct KeyValue {
+pub struct EncodedKeyValue {
     /// The key, in base64.
     #[serde(default)]
     pub key: String,
@@ -48,42 +48,47 @@
 }
 
 /// Returns the body of a compare-and-swap of one key; revision 0 means that the key is absent.
-pub fn swap(key: &str, revision: i64, value: &[u8], lease: i64) -> Value {
+pub fn compare_and_swap(key: &str, revision: i64, value: &[u8], lease: i64) -> Value {
     let put = Put {
         key: key.to_string(),
         value: value.to_vec(),
         lease,
     };
-    let expect = Expect {
+    let expect = Precondition {
         key: key.to_string(),
         revision,
     };
     txn(&Txn {
-        expect: vec![expect],
-        put: vec![put],
-        delete: Vec::new(),
+        preconditions: vec![expect],
+        puts: vec![put],
+        deletes: Vec::new(),
     })
 }
 
 /// Returns the body of a transaction; when it is lost, it reads the keys of its conditions.
 pub fn txn(txn: &Txn) -> Value {
-    let compare = |e: &Expect| {
+    let compare = |e: &Precondition| {
         json!({
-            "key": b64(e.key.as_bytes()), "target": "MOD", "result": "EQUAL",
+            "key": encode_base64(e.key.as_bytes()), "target": "MOD", "result": "EQUAL",
             "mod_revision": e.revision.to_string(),
         })
     };
     let put = |p: &Put| {
         json!({"request_put": {
-            "key": b64(p.key.as_bytes()), "value": b64(&p.value), "lease": p.lease.to_string(),
+            "key": encode_base64(p.key.as_bytes()), "value": encode_base64(&p.value), "lease": p.lease.to_string(),
         }})
     };
-    let delete = |k: &String| json!({"request_delete_range": {"key": b64(k.as_bytes())}});
-    let read = |e: &Expect| json!({"request_range": {"key": b64(e.key.as_bytes())}});
-    let success = txn.put.iter().map(put).chain(txn.delete.iter().map(delete));
+    let delete = |k: &String| json!({"request_delete_range": {"key": encode_base64(k.as_bytes())}});
+    let read =
+        |e: &Precondition| json!({"request_range": {"key": encode_base64(e.key.as_bytes())}});
+    let success = txn
+        .puts
+        .iter()
+        .map(put)
+        .chain(txn.deletes.iter().map(delete));
     json!({
-        "compare": txn.expect.iter().map(compare).collect::<Vec<_>>(),
+        "compare": txn.preconditions.iter().map(compare).collect::<Vec<_>>(),
         "success": success.collect::<Vec<_>>(),
-        "failure": txn.expect.iter().map(read).collect::<Vec<_>>(),
+        "failure": txn.preconditions.iter().map(read).collect::<Vec<_>>(),
     })
 }
--- a/crates/kv/tests/encoding.rs
+++ b/crates/kv/tests/encoding.rs
@@ -1,21 +1,21 @@
 //! What the service reads and answers: its encoding stays.
 
-use kv::wire::{self, KeyValue};
-use kv::{Expect, Put, Txn};
+use kv::wire::{self, EncodedKeyValue};
+use kv::{Precondition, Put, Txn};
 
 #[test]
 fn keys_with_values_keep_their_encoding() {
     let sample = r#"{"key":"YQ==","value":"b25l","mod_revision":"7"}"#;
-    let value: KeyValue = serde_json::from_str(sample).expect("a sample");
+    let value: EncodedKeyValue = serde_json::from_str(sample).expect("a sample");
     assert_eq!(serde_json::to_string(&value).expect("JSON"), sample);
-    let value: KeyValue = serde_json::from_str("{}").expect("a sample");
+    let value: EncodedKeyValue = serde_json::from_str("{}").expect("a sample");
     let whole = r#"{"key":"","value":"","mod_revision":null}"#;
     assert_eq!(serde_json::to_string(&value).expect("JSON"), whole);
 }
 
 #[test]
 fn transactions_keep_their_encoding() {
-    let expect = Expect {
+    let expect = Precondition {
         key: "a".to_string(),
         revision: 3,
     };
@@ -25,9 +25,9 @@
         lease: 9,
     };
     let txn = Txn {
-        expect: vec![expect],
-        put: vec![put],
-        delete: vec!["c".to_string()],
+        preconditions: vec![expect],
+        puts: vec![put],
+        deletes: vec!["c".to_string()],
     };
     let sample = r#"{
         "compare": [{"key": "YQ==", "target": "MOD", "result": "EQUAL", "mod_revision": "3"}],
--- a/crates/proxy/src/budgets/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::Ordering;
 
 use escrow::{BudgetRecord, Ledger, LedgerEntry, LocalBudget, RecordSnapshot};
-use kv::{Found, Reading};
+use kv::{Consistency, KeyValue};
 
 use super::{Budgets, CustomerState};
 use crate::event::Event;
@@ -89,11 +89,11 @@
         match self
             .deps()
             .store
-            .list(RECORD_PREFIX, Reading::Linearizable)
+            .list(RECORD_PREFIX, Consistency::Linearizable)
             .await
         {
             Ok(listing) => {
-                self.update_records(&self.customer_names(), &listing.items);
+                self.update_records(&self.customer_names(), &listing.entries);
                 true
             }
             Err(_) => false,
@@ -107,7 +107,7 @@
     }
 
     /// Applies the records of some customers as just read; a missing record counts as empty.
-    fn update_records(&self, customers: &[String], items: &[Found]) {
+    fn update_records(&self, customers: &[String], items: &[KeyValue]) {
         let read_at = self.0.clock.now();
         let names = items
             .iter()
@@ -131,7 +131,7 @@
     }
 
     /// Applies records that were read or written; other items are ignored.
-    pub(super) fn update_snapshots(&self, items: &[Found]) {
+    pub(super) fn update_snapshots(&self, items: &[KeyValue]) {
         let read_at = self.0.clock.now();
         let mut customers = self.0.customers.lock().expect("no panic inside");
         for found in items {
@@ -153,7 +153,7 @@
     /// Applies the own ledger as the store has it; `None` if the store has none.
     ///
     /// A malformed ledger changes nothing: no tokens are taken because of it.
-    pub(super) fn update_ledger(&self, found: Option<&Found>) {
+    pub(super) fn update_ledger(&self, found: Option<&KeyValue>) {
         let ledger = match found.map(|f| Ledger::parse(&f.value)) {
             None => Ledger::default(),
             Some(Ok(ledger)) => ledger,
--- a/crates/proxy/src/budgets/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -5,7 +5,7 @@
 
 use escrow::{Ledger, LedgerEntry};
 use futures_util::future::join_all;
-use kv::{Commit, Expect, Found, Put, Txn, TXN_MOST};
+use kv::{KeyValue, Precondition, Put, Txn, TxnResult, MAX_TXN_OPS};
 use rand::Rng;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
@@ -31,7 +31,7 @@
 /// Maximum time for reading and writing records in a cycle; a transaction that was sent may still take effect later.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Maximum number of records in a transaction besides the own ledger: each needs a condition and a write.
-const MAX_RECORDS_PER_TXN: usize = TXN_MOST / 2 - 1;
+const MAX_RECORDS_PER_TXN: usize = MAX_TXN_OPS / 2 - 1;
 /// Maximum random pause after a conflict, in milliseconds per failed attempt. It can be short, because the conflict
 /// returned the current records, and is random, because other instances have to try again as well.
 const CONFLICT_BACKOFF_MS: u64 = 4;
@@ -162,7 +162,7 @@
             if self.is_ledger_outdated() && self.read_ledger().await {
                 continue;
             }
-            if txn.put.is_empty() {
+            if txn.puts.is_empty() {
                 return;
             }
             match self.commit(txn).await {
@@ -177,25 +177,25 @@
 
     pub(super) async fn commit(&self, txn: Txn) -> CommitOutcome {
         let deps = self.deps();
-        let written = txn.put.clone();
+        let written = txn.puts.clone();
         match deps.store.commit(txn).await {
-            Ok(Commit::Done(revision)) => {
-                let found = written.into_iter().map(|p| Found {
+            Ok(TxnResult::Done(revision)) => {
+                let found = written.into_iter().map(|p| KeyValue {
                     key: p.key,
                     value: p.value,
                     revision,
                 });
-                let found: Vec<Found> = found.collect();
+                let found: Vec<KeyValue> = found.collect();
                 self.update_snapshots(&found);
                 self.update_ledger(found.iter().find(|f| f.key == self.ledger_key()));
                 CommitOutcome::Committed
             }
-            Ok(Commit::Lost(items)) => {
+            Ok(TxnResult::Conflict(items)) => {
                 self.update_snapshots(&items);
                 self.update_ledger(items.iter().find(|f| f.key == self.ledger_key()));
                 CommitOutcome::Conflict
             }
-            Ok(Commit::LeaseEnded) => CommitOutcome::Failed,
+            Ok(TxnResult::LeaseEnded) => CommitOutcome::Failed,
             Err(failure) => {
                 let detail = format_args!("what=budgets why={failure:?}");
                 self.0.log.event(Event::StoreWriteFailed, detail);
@@ -246,7 +246,7 @@
                 unconfirmed = unconfirmed.max(revision);
                 continue;
             }
-            if txn.put.len() == MAX_RECORDS_PER_TXN {
+            if txn.puts.len() == MAX_RECORDS_PER_TXN {
                 continue;
             }
             let entry = match scope {
@@ -275,7 +275,7 @@
                 .store(unconfirmed, Ordering::Relaxed);
             return Txn::default();
         }
-        if !txn.put.is_empty() {
+        if !txn.puts.is_empty() {
             ledger
                 .entries
                 .retain(|_, entry| *entry != LedgerEntry::default());
@@ -291,11 +291,11 @@
 }
 
 fn add_put(txn: &mut Txn, key: String, revision: i64, value: Vec<u8>) {
-    txn.expect.push(Expect {
+    txn.preconditions.push(Precondition {
         key: key.clone(),
         revision,
     });
-    txn.put.push(Put {
+    txn.puts.push(Put {
         key,
         value,
         lease: 0,
--- a/crates/proxy/src/budgets/transfer.rs
+++ b/crates/proxy/src/budgets/transfer.rs
@@ -126,7 +126,7 @@
                 return false;
             }
             let txn = self.plan_txn(Scope::Shutdown);
-            if txn.put.is_empty() {
+            if txn.puts.is_empty() {
                 if self.is_ledger_outdated() {
                     conflicts += 1;
                     continue;
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -224,7 +224,7 @@
 }
 
 /// Returns the last value among the changes of a key.
-fn last_value(changes: Vec<Change>, key: &str) -> Option<kv::Found> {
+fn last_value(changes: Vec<Change>, key: &str) -> Option<kv::KeyValue> {
     let of_key = changes.into_iter().filter(|c| c.key == key);
-    of_key.filter_map(|c| c.now).next_back()
+    of_key.filter_map(|c| c.current).next_back()
 }
--- a/crates/proxy/src/evacuation.rs
+++ b/crates/proxy/src/evacuation.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 
 use clock::Clock;
-use kv::{Change, Found};
+use kv::{Change, KeyValue};
 use notice::Notice;
 use place::Pool;
 
@@ -44,8 +44,8 @@
     }
 
     /// Applies a complete list of the keys that operators have written, as of a revision.
-    pub(crate) fn apply_snapshot(&self, items: &[Found], revision: i64) {
-        let zone = |f: &Found| {
+    pub(crate) fn apply_snapshot(&self, items: &[KeyValue], revision: i64) {
+        let zone = |f: &KeyValue| {
             let zone = self.0.dialect.evacuated_zone(&f.key)?;
             Some((zone.to_string(), f.revision))
         };
@@ -70,7 +70,7 @@
     pub(crate) fn apply_changes(&self, changes: &[Change]) {
         for change in changes {
             if let Some(zone) = self.0.dialect.evacuated_zone(&change.key) {
-                self.publish(zone, change.revision, change.now.is_some());
+                self.publish(zone, change.revision, change.current.is_some());
             }
         }
     }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use clock::Clock;
-use kv::{Commit, Expect, Failure, Found, Put, Store, Txn};
+use kv::{KeyValue, Precondition, Put, Store, StoreError, Txn, TxnResult};
 use place::Pool;
 use relay::Candidate;
 use serde::{Deserialize, Serialize};
@@ -231,7 +231,7 @@
     }
 
     /// Writes the key of this instance with a new lease.
-    async fn register(&self) -> Result<i64, Failure> {
+    async fn register(&self) -> Result<i64, StoreError> {
         let store = &self.0.store;
         let lease = store.grant_lease(self.0.lease_ttl_ms).await?;
         let value = serde_json::to_vec(&self.0.own).expect("a member can be serialized");
@@ -240,20 +240,20 @@
         let mut revision = 0;
         loop {
             let txn = Txn {
-                expect: vec![Expect {
+                preconditions: vec![Precondition {
                     key: self.0.key.clone(),
                     revision,
                 }],
-                put: vec![Put {
+                puts: vec![Put {
                     key: self.0.key.clone(),
                     value: value.clone(),
                     lease,
                 }],
-                delete: Vec::new(),
+                deletes: Vec::new(),
             };
             match store.commit(txn).await? {
-                Commit::Done(_) => break,
-                Commit::Lost(items) => {
+                TxnResult::Done(_) => break,
+                TxnResult::Conflict(items) => {
                     let found = items.iter().find(|f| f.key == self.0.key);
                     let found = found.map_or(0, |f| f.revision);
                     // After the first attempt this means that a write of an earlier incarnation
@@ -263,8 +263,8 @@
                     }
                     revision = found;
                 }
-                Commit::LeaseEnded => {
-                    return Err(Failure::Refused("the lease has expired".to_string()))
+                TxnResult::LeaseEnded => {
+                    return Err(StoreError::Refused("the lease has expired".to_string()))
                 }
             }
         }
@@ -304,7 +304,7 @@
 
     /// Applies an update of the list.
     fn apply(&self, update: Update) {
-        let parse = |f: &Found| {
+        let parse = |f: &KeyValue| {
             let member = serde_json::from_slice::<Member>(&f.value).ok();
             member.map(Arc::new)
         };
@@ -319,7 +319,7 @@
             }
             Update::Changes(changes, _) | Update::Partial(changes) => {
                 for change in changes {
-                    match change.now.as_ref().and_then(parse) {
+                    match change.current.as_ref().and_then(parse) {
                         Some(member) => members.insert(change.key, member),
                         None => members.remove(&change.key),
                     };
@@ -388,7 +388,7 @@
         if lease == 0 {
             return;
         }
-        if let Err(failure) = self.0.store.end_lease(lease).await {
+        if let Err(failure) = self.0.store.revoke_lease(lease).await {
             // The lease expires by itself later.
             let detail = format_args!("what=lease why={failure:?}");
             self.0.log.event(Event::StoreWriteFailed, detail);
--- a/crates/proxy/src/follower.rs
+++ b/crates/proxy/src/follower.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kv::{Change, Found, Listing, News, Reading, Store};
+use kv::{Change, Consistency, KeyValue, Listing, Store, WatchResult};
 use tokio::time::{sleep, sleep_until, Instant};
 
 use crate::peers::Peers;
@@ -38,7 +38,7 @@
 #[derive(Debug)]
 pub(crate) enum Update {
     /// All keys with their values, and the revision at which they were read.
-    Snapshot(Vec<Found>, i64),
+    Snapshot(Vec<KeyValue>, i64),
     /// All changes up to a revision.
     Changes(Vec<Change>, i64),
     /// Some keys with their current values; others may have changed too.
@@ -283,7 +283,7 @@
                 .await
             {
                 // An instance starts to serve requests with a part of the list.
-                Ok(page) if page.more => return Some(self.first_page(page).await),
+                Ok(page) if page.has_more => return Some(self.first_page(page).await),
                 Ok(page) => return self.snapshot(page, known),
                 Err(_) => return Some(self.unavailable().await),
             }
@@ -303,7 +303,7 @@
         match page {
             Ok(page) => {
                 self.has_more_pages = true;
-                Update::Partial(page.items.into_iter().map(found_to_change).collect())
+                Update::Partial(page.entries.into_iter().map(found_to_change).collect())
             }
             Err(_) => self.unavailable().await,
         }
@@ -322,7 +322,7 @@
         // The watch continues after the revision that is known. An older list would undo changes
         // that no watch returns again.
         let newer = listing.revision >= known;
-        newer.then_some(Update::Snapshot(listing.items, listing.revision))
+        newer.then_some(Update::Snapshot(listing.entries, listing.revision))
     }
 
     /// Returns how up to date a list must be.
@@ -332,11 +332,11 @@
     /// of upstreams. A list must be up to date if the history was discarded, since the revision of
     /// an old one could be discarded as well, and if it complements watches, which have read
     /// further.
-    fn list_consistency(&self) -> Reading {
+    fn list_consistency(&self) -> Consistency {
         if self.watch_after.is_none() && !self.compacted {
-            Reading::Serializable
+            Consistency::Serializable
         } else {
-            Reading::Linearizable
+            Consistency::Linearizable
         }
     }
 
@@ -360,15 +360,17 @@
             () = relay.wait_until_overdue(self.topic) => return None,
         };
         match result {
-            Ok(News::Changes { changes, .. }) if priority_only => Some(Update::Partial(changes)),
-            Ok(News::Changes { changes, revision }) => {
+            Ok(WatchResult::Changes { changes, .. }) if priority_only => {
+                Some(Update::Partial(changes))
+            }
+            Ok(WatchResult::Changes { changes, revision }) => {
                 if !changes.is_empty() {
                     self.next_watch_at = Instant::now() + WATCH_DELAY;
                 }
                 self.watch_after = Some(after.max(revision));
                 (!changes.is_empty()).then_some(Update::Changes(changes, revision))
             }
-            Ok(News::Compacted) => {
+            Ok(WatchResult::Compacted) => {
                 self.watch_after = None;
                 self.compacted = true;
                 None
@@ -386,10 +388,10 @@
 }
 
 /// Returns a key that was read as the change that wrote it.
-fn found_to_change(found: Found) -> Change {
+fn found_to_change(found: KeyValue) -> Change {
     Change {
         key: found.key.clone(),
         revision: found.revision,
-        now: Some(found),
+        current: Some(found),
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -346,7 +346,9 @@
                 Update::Changes(changes, response.revision)
             }
             Delta::All(entries) => {
-                let found = entries.into_iter().filter_map(|e| entry_to_change(e).now);
+                let found = entries
+                    .into_iter()
+                    .filter_map(|e| entry_to_change(e).current);
                 Update::Snapshot(found.collect(), response.revision)
             }
         }
--- a/crates/proxy/src/replication.rs
+++ b/crates/proxy/src/replication.rs
@@ -1,6 +1,6 @@
 //! Messages by which instances pass on to each other what was read from the store.
 
-use kv::{Change, Found};
+use kv::{Change, KeyValue};
 use relay::{Cursor, Delta, Entry};
 use serde::{Deserialize, Serialize};
 
@@ -79,7 +79,7 @@
 }
 
 /// Returns a key that was read as a replica's entry.
-pub(crate) fn found_to_entry(found: &Found) -> Entry {
+pub(crate) fn found_to_entry(found: &KeyValue) -> Entry {
     Entry {
         key: found.key.clone(),
         value: Some(String::from_utf8_lossy(&found.value).into_owned()),
@@ -89,7 +89,7 @@
 
 /// Returns a change as a replica's entry.
 pub(crate) fn change_to_entry(change: &Change) -> Entry {
-    let entry = change.now.as_ref().map(found_to_entry);
+    let entry = change.current.as_ref().map(found_to_entry);
     entry.unwrap_or_else(|| Entry {
         key: change.key.clone(),
         value: None,
@@ -99,7 +99,7 @@
 
 /// Returns a replica's entry as the change that wrote or deleted the key.
 pub(crate) fn entry_to_change(entry: Entry) -> Change {
-    let found = entry.value.map(|value| Found {
+    let found = entry.value.map(|value| KeyValue {
         key: entry.key.clone(),
         value: value.into_bytes(),
         revision: entry.revision,
@@ -107,6 +107,6 @@
     Change {
         key: entry.key,
         revision: entry.revision,
-        now: found,
+        current: found,
     }
 }
--- a/crates/proxy/src/store_calls.rs
+++ b/crates/proxy/src/store_calls.rs
@@ -7,7 +7,9 @@
 use std::time::Duration;
 
 use clock::Clock;
-use kv::{Answer, Commit, Failure, Found, Listing, News, Reading, Store, Txn};
+use kv::{
+    Consistency, KeyValue, Listing, Store, StoreError, StoreFuture, Txn, TxnResult, WatchResult,
+};
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::family::Family;
@@ -123,7 +125,7 @@
 impl PendingCall {
     /// Records the result, and whether the store is reachable. `end` returns the label of a
     /// response.
-    fn record_result<T>(&mut self, result: &Result<T, Failure>, end: fn(&T) -> &'static str) {
+    fn record_result<T>(&mut self, result: &Result<T, StoreError>, end: fn(&T) -> &'static str) {
         let reach = &self.calls.0.reach;
         match result {
             Ok(response) => {
@@ -133,8 +135,8 @@
             Err(failure) => {
                 reach.record_failure(self.began_at, failure);
                 self.call.end = match failure {
-                    Failure::Refused(_) => "refused",
-                    Failure::Unknown(_) => "unknown",
+                    StoreError::Refused(_) => "refused",
+                    StoreError::Unknown(_) => "unknown",
                 };
             }
         }
@@ -159,9 +161,9 @@
     fn count_call<'a, T>(
         &self,
         call: &'static str,
-        response: Answer<'a, T>,
+        response: StoreFuture<'a, T>,
         end: fn(&T) -> &'static str,
-    ) -> impl Future<Output = Result<T, Failure>> + 'a
+    ) -> impl Future<Output = Result<T, StoreError>> + 'a
     where
         T: 'a,
     {
@@ -185,19 +187,19 @@
 }
 
 impl Store for CountingStore {
-    fn get<'a>(&'a self, key: &'a str) -> Answer<'a, Option<Found>> {
+    fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<KeyValue>> {
         Box::pin(self.count_call("get", self.store.get(key), |_| "done"))
     }
 
-    fn list<'a>(&'a self, prefix: &'a str, reading: Reading) -> Answer<'a, Listing> {
+    fn list<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
         let call = match reading {
-            Reading::Linearizable => "list",
-            Reading::Serializable => "old_list",
+            Consistency::Linearizable => "list",
+            Consistency::Serializable => "old_list",
         };
         Box::pin(self.count_call(call, self.store.list(prefix, reading), |_| "done"))
     }
 
-    fn first_page<'a>(&'a self, prefix: &'a str, reading: Reading) -> Answer<'a, Listing> {
+    fn first_page<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
         Box::pin(
             self.count_call("first_page", self.store.first_page(prefix, reading), |_| {
                 "done"
@@ -205,35 +207,40 @@
         )
     }
 
-    fn watch<'a>(&'a self, prefix: &'a str, after: i64, wait_ms: u64) -> Answer<'a, News> {
-        let end = |news: &News| match news {
-            News::Changes { changes, .. } if changes.is_empty() => "nothing",
-            News::Changes { .. } => "news",
-            News::Compacted => "compacted",
+    fn watch<'a>(
+        &'a self,
+        prefix: &'a str,
+        after: i64,
+        wait_ms: u64,
+    ) -> StoreFuture<'a, WatchResult> {
+        let end = |news: &WatchResult| match news {
+            WatchResult::Changes { changes, .. } if changes.is_empty() => "nothing",
+            WatchResult::Changes { .. } => "news",
+            WatchResult::Compacted => "compacted",
         };
         Box::pin(self.count_call("watch", self.store.watch(prefix, after, wait_ms), end))
     }
 
-    fn commit(&self, txn: Txn) -> Answer<'_, Commit> {
-        let end = |commit: &Commit| match commit {
-            Commit::Done(_) => "done",
-            Commit::Lost(_) => "lost",
-            Commit::LeaseEnded => "lease_ended",
+    fn commit(&self, txn: Txn) -> StoreFuture<'_, TxnResult> {
+        let end = |commit: &TxnResult| match commit {
+            TxnResult::Done(_) => "done",
+            TxnResult::Conflict(_) => "lost",
+            TxnResult::LeaseEnded => "lease_ended",
         };
         Box::pin(self.count_call("write", self.store.commit(txn), end))
     }
 
-    fn grant_lease(&self, ttl_ms: u64) -> Answer<'_, i64> {
+    fn grant_lease(&self, ttl_ms: u64) -> StoreFuture<'_, i64> {
         Box::pin(self.count_call("lease", self.store.grant_lease(ttl_ms), |_| "done"))
     }
 
-    fn renew_lease(&self, lease: i64) -> Answer<'_, bool> {
+    fn renew_lease(&self, lease: i64) -> StoreFuture<'_, bool> {
         let end = |renewed: &bool| if *renewed { "done" } else { "lease_ended" };
         Box::pin(self.count_call("renewal", self.store.renew_lease(lease), end))
     }
 
-    fn end_lease(&self, lease: i64) -> Answer<'_, ()> {
-        Box::pin(self.count_call("lease_end", self.store.end_lease(lease), |()| "done"))
+    fn revoke_lease(&self, lease: i64) -> StoreFuture<'_, ()> {
+        Box::pin(self.count_call("lease_end", self.store.revoke_lease(lease), |()| "done"))
     }
 }
 
--- a/crates/proxy/src/store_health.rs
+++ b/crates/proxy/src/store_health.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use clock::Clock;
-use kv::Failure;
+use kv::StoreError;
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout, Instant};
 
@@ -81,7 +81,7 @@
     }
 
     /// Records a failed call and when it started.
-    pub(crate) fn record_failure(&self, started_at: u64, why: &Failure) {
+    pub(crate) fn record_failure(&self, started_at: u64, why: &StoreError) {
         let now = self.clock.now();
         let last_response_at = self.last_response_at.load(Ordering::Relaxed);
         if self.failing_since.load(Ordering::Relaxed) == 0 {
--- a/crates/proxy/src/suspect_store.rs
+++ b/crates/proxy/src/suspect_store.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kv::{Commit, Expect, Failure, Found, Put, Reading, Store, Txn};
+use kv::{Consistency, KeyValue, Precondition, Put, Store, StoreError, Txn, TxnResult};
 use suspect::{Digest, SuspectRecord};
 use tokio::time::{sleep, Instant};
 
@@ -75,8 +75,8 @@
     /// Reads all records in the store.
     async fn load(&mut self) {
         let items = loop {
-            match self.store.list(PREFIX, Reading::Linearizable).await {
-                Ok(listing) => break listing.items,
+            match self.store.list(PREFIX, Consistency::Linearizable).await {
+                Ok(listing) => break listing.entries,
                 Err(_) => self.wait_for_retry().await,
             }
         };
@@ -130,7 +130,7 @@
         &mut self,
         digest: Digest,
         record: Option<&SuspectRecord>,
-    ) -> Result<bool, Failure> {
+    ) -> Result<bool, StoreError> {
         let key = format!("{PREFIX}{digest:.32}");
         let revision = self.revisions.get(&digest).copied().unwrap_or(0);
         if record.is_none() && revision == 0 {
@@ -147,15 +147,15 @@
             Vec::new()
         };
         let txn = Txn {
-            expect: vec![Expect {
+            preconditions: vec![Precondition {
                 key: key.clone(),
                 revision,
             }],
-            put: put.into_iter().collect(),
-            delete,
+            puts: put.into_iter().collect(),
+            deletes: delete,
         };
         match self.store.commit(txn).await? {
-            Commit::Done(revision) => {
+            TxnResult::Done(revision) => {
                 if record.is_some() {
                     self.revisions.insert(digest, revision);
                 } else {
@@ -163,13 +163,13 @@
                 }
                 Ok(true)
             }
-            Commit::Lost(items) => {
-                let found = items.iter().find(|f: &&Found| f.key == key);
+            TxnResult::Conflict(items) => {
+                let found = items.iter().find(|f: &&KeyValue| f.key == key);
                 let revision = found.map_or(0, |f| f.revision);
                 self.revisions.insert(digest, revision);
                 Ok(false)
             }
-            Commit::LeaseEnded => Ok(false),
+            TxnResult::LeaseEnded => Ok(false),
         }
     }
 }
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use clock::Clock;
 use dial::Dialer;
-use kv::{Change, Found, Store};
+use kv::{Change, KeyValue, Store};
 use notice::Notice;
 use place::{EntryChange, MissingEntries, Pool, RateLimit, UpstreamKey, VersionedLimit};
 use tokio::sync::Notify;
@@ -252,7 +252,7 @@
     fn apply_changes(&self, changes: Vec<Change>, revision: i64) {
         let mut new = Vec::new();
         for change in changes {
-            match change.now {
+            match change.current {
                 Some(found) if self.is_removed(&found.key, found.revision) => {}
                 Some(found) => {
                     new.extend(self.apply_entry(&found.key, &found.value));
@@ -401,7 +401,7 @@
 }
 
 /// Returns a key and its entry as read from the store.
-fn to_listed_entry(found: Found) -> (String, ListedEntry) {
+fn to_listed_entry(found: KeyValue) -> (String, ListedEntry) {
     let value = Bytes::from(found.value);
     let revision = found.revision;
     (found.key, ListedEntry { value, revision })
--- a/crates/proxy/tests/encoding/texts.rs
+++ b/crates/proxy/tests/encoding/texts.rs
@@ -2,7 +2,7 @@
 
 use dial::ConnectError;
 use err::Ran;
-use kv::Failure;
+use kv::StoreError;
 use place::{ChooseError, RateLimit};
 
 use crate::attempt::AttemptError;
@@ -51,9 +51,9 @@
 
 #[test]
 fn failed_calls_of_the_store_keep_their_texts() {
-    let text = |e: Failure| format!("{e:?}");
-    assert_eq!(text(Failure::Refused(why())), r#"Refused("reset")"#);
-    assert_eq!(text(Failure::Unknown(why())), r#"Unknown("reset")"#);
+    let text = |e: StoreError| format!("{e:?}");
+    assert_eq!(text(StoreError::Refused(why())), r#"Refused("reset")"#);
+    assert_eq!(text(StoreError::Unknown(why())), r#"Unknown("reset")"#);
 }
 
 #[test]
--- a/crates/stub/src/lister.rs
+++ b/crates/stub/src/lister.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kv::{Client, Swap};
+use kv::{Client, SwapResult};
 use serde_json::Value;
 use tokio::sync::watch;
 
@@ -22,7 +22,7 @@
                 None => false,
             };
             if !alive {
-                lease = client.lease(TTL_SECS).await.ok();
+                lease = client.create_lease(TTL_SECS).await.ok();
                 written = Value::Null;
             }
             if let (Some(id), true) = (lease, written != wanted) {
@@ -49,6 +49,8 @@
     };
     let revision = found.map_or(0, |f| f.revision);
     let text = value.to_string();
-    let swapped = client.swap(key, revision, text.as_bytes(), lease).await;
-    matches!(swapped, Ok(Swap::Done(_)))
+    let swapped = client
+        .compare_and_swap(key, revision, text.as_bytes(), lease)
+        .await;
+    matches!(swapped, Ok(SwapResult::Done(_)))
 }
--- a/crates/stub/src/platform.rs
+++ b/crates/stub/src/platform.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use kv::wire::{b64, number, un64};
+use kv::wire::{decode_base64, encode_base64, parse_int};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 use tokio::sync::broadcast::{self, error::RecvError};
@@ -79,8 +79,8 @@
 
     fn range(&self, body: &Value) -> Value {
         self.counts.reads.fetch_add(1, Ordering::Relaxed);
-        let key = un64(body["key"].as_str().unwrap_or_default());
-        let end = un64(body["range_end"].as_str().unwrap_or_default());
+        let key = decode_base64(body["key"].as_str().unwrap_or_default());
+        let end = decode_base64(body["range_end"].as_str().unwrap_or_default());
         let found = self
             .store
             .lock()
@@ -95,11 +95,11 @@
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let compare = &body["compare"][0];
         let put = &body["success"][0]["request_put"];
-        let key = un64(put["key"].as_str().unwrap_or_default());
-        let value = un64(put["value"].as_str().unwrap_or_default());
-        let revision = number(&compare["mod_revision"]);
+        let key = decode_base64(put["key"].as_str().unwrap_or_default());
+        let value = decode_base64(put["value"].as_str().unwrap_or_default());
+        let revision = parse_int(&compare["mod_revision"]);
         let mut store = self.store.lock().expect("no panic inside");
-        let succeeded = store.swap(&key, revision, value, number(&put["lease"]));
+        let succeeded = store.swap(&key, revision, value, parse_int(&put["lease"]));
         let found = store.range(&key, &[]);
         let now = store.revision();
         drop(store);
@@ -116,7 +116,7 @@
 
     fn lease(&self, body: &Value) -> Value {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
-        let ttl = number(&body["TTL"]).max(1) as u64;
+        let ttl = parse_int(&body["TTL"]).max(1) as u64;
         let now = self.now_ms();
         let mut store = self.store.lock().expect("no panic inside");
         let id = store.grant(now, ttl * 1000);
@@ -127,15 +127,15 @@
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let now = self.now_ms();
         let mut store = self.store.lock().expect("no panic inside");
-        let ttl = store.keep_alive(now, number(&body["ID"]));
+        let ttl = store.keep_alive(now, parse_int(&body["ID"]));
         json!({"result": {"ID": body["ID"], "TTL": ttl.to_string()}})
     }
 
     /// Streams a line for every change in a range; the client reads the range again.
     fn watch(self: &Arc<Self>, body: &Value) -> Res {
         let create = &body["create_request"];
-        let from = un64(create["key"].as_str().unwrap_or_default());
-        let end = un64(create["range_end"].as_str().unwrap_or_default());
+        let from = decode_base64(create["key"].as_str().unwrap_or_default());
+        let end = decode_base64(create["range_end"].as_str().unwrap_or_default());
         self.counts.watches.fetch_add(1, Ordering::Relaxed);
         let mut changed = self.changed.subscribe();
         let platform = Arc::clone(self);
@@ -192,7 +192,7 @@
 
     /// Takes one of the writes whose answers are lost.
     fn loses_answer(&self, body: &Value) -> bool {
-        let key = un64(body["compare"][0]["key"].as_str().unwrap_or_default());
+        let key = decode_base64(body["compare"][0]["key"].as_str().unwrap_or_default());
         let mut faults = self.faults.lock().expect("no panic inside");
         let loses = faults.lose_answers > 0 && key.starts_with(faults.lose_prefix.as_bytes());
         faults.lose_answers -= u64::from(loses);
@@ -248,8 +248,8 @@
 
 fn row((key, entry): &(Vec<u8>, Entry)) -> Value {
     json!({
-        "key": b64(key),
-        "value": b64(&entry.value),
+        "key": encode_base64(key),
+        "value": encode_base64(&entry.value),
         "mod_revision": entry.revision.to_string(),
         "lease": entry.lease.to_string(),
     })
