--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -184,7 +184,7 @@
         };
         json!({"upstream": u, "occupancy": u.occupancy(now), "why_not": why_not})
     };
-    pool.all().map(row).collect()
+    pool.iter().map(row).collect()
 }
 
 fn upstreams(shared: &SharedState) -> Res {
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use err::{Error, Kind};
-use route::queue::{Ticket, Verdict};
-use route::{upstream, Rooms};
+use route::queue::{AdmissionDecision, WaiterId};
+use route::{upstream, Capacity};
 use tokio::sync::oneshot;
 
 use crate::shared_state::SharedState;
@@ -18,7 +18,7 @@
 /// the deadline, and `DeadlinePassed` if the deadline passes in the queue.
 pub async fn admit(
     shared: &Arc<SharedState>,
-    kind: upstream::Kind,
+    kind: upstream::UpstreamKind,
     serves: &str,
     priority: u8,
     deadline: u64,
@@ -29,15 +29,15 @@
     let (ticket, rx) = {
         let mut queues = shared.wait_queues.lock().expect("lock not poisoned");
         let wait_queue = queues.0.entry(queue_key.clone()).or_default();
-        match wait_queue.queue.arrive(now, &capacity, priority, deadline) {
-            Verdict::Go => return Ok(()),
-            Verdict::Refuse { retry_ms } => {
+        match wait_queue.queue.admit(now, &capacity, priority, deadline) {
+            AdmissionDecision::Admit => return Ok(()),
+            AdmissionDecision::Refuse { retry_ms } => {
                 let message =
                     format!("the queue for {serves} is too long for the deadline of the request");
                 let secs = retry_ms.div_ceil(1000) as u32;
                 return Err(Error::new(Kind::Overloaded, message).retry_after(secs));
             }
-            Verdict::Wait(ticket) => {
+            AdmissionDecision::Wait(ticket) => {
                 let (tx, rx) = oneshot::channel();
                 wait_queue.waiters.insert(ticket, tx);
                 (ticket, rx)
@@ -65,33 +65,33 @@
 struct QueueGuard {
     shared: Arc<SharedState>,
     queue_key: QueueKey,
-    ticket: Ticket,
+    ticket: WaiterId,
 }
 
 impl Drop for QueueGuard {
     fn drop(&mut self) {
         let mut queues = self.shared.wait_queues.lock().expect("lock not poisoned");
         if let Some(wait_queue) = queues.0.get_mut(&self.queue_key) {
-            wait_queue.queue.leave(self.ticket);
+            wait_queue.queue.remove(self.ticket);
             wait_queue.waiters.remove(&self.ticket);
         }
     }
 }
 
-fn free_capacity(shared: &SharedState, (kind, serves): &QueueKey) -> Rooms {
+fn free_capacity(shared: &SharedState, (kind, serves): &QueueKey) -> Capacity {
     let now = shared.clock.now();
     let pool = shared.pool.lock().expect("lock not poisoned");
-    pool.rooms(now, *kind, serves)
+    pool.capacity(now, *kind, serves)
 }
 
 /// Records the end of a request and admits waiting ones.
-pub fn record_finished(shared: &SharedState, kind: upstream::Kind, serves: &str) {
+pub fn record_finished(shared: &SharedState, kind: upstream::UpstreamKind, serves: &str) {
     let now = shared.clock.now();
     let queue_key = (kind, serves.to_string());
     {
         let mut queues = shared.wait_queues.lock().expect("lock not poisoned");
         if let Some(wait_queue) = queues.0.get_mut(&queue_key) {
-            wait_queue.queue.finished(now);
+            wait_queue.queue.record_finish(now);
         }
     }
     admit_waiting(shared);
--- a/crates/entry/src/budget_io.rs
+++ b/crates/entry/src/budget_io.rs
@@ -4,7 +4,7 @@
 
 use budget::msg::{AttemptRef, RecordSnapshot};
 use budget::{Event, Settlement, ShardRecord};
-use kv::{Failure, Found, Swap};
+use kv::{KeyValue, StoreError, SwapResult};
 use serde_json::Value;
 
 use crate::messages::{method, OpenStepMsg, RecallMsg, StoreCopyMsg};
@@ -23,7 +23,7 @@
     format!("/oriolehitch/bill/{shard:04}/{name}")
 }
 
-pub(crate) fn parse_snapshot(found: Option<Found>) -> Result<Option<RecordSnapshot>, String> {
+pub(crate) fn parse_snapshot(found: Option<KeyValue>) -> Result<Option<RecordSnapshot>, String> {
     let Some(found) = found else {
         return Ok(None);
     };
@@ -49,16 +49,16 @@
     let value = serde_json::to_vec(record).expect("a record serializes");
     match shared
         .kv
-        .swap(&record_key(shard), base_revision, &value, 0)
+        .compare_and_swap(&record_key(shard), base_revision, &value, 0)
         .await
     {
-        Ok(Swap::Done(revision)) => Event::WriteCommitted { revision },
-        Ok(Swap::Lost(found)) => match parse_snapshot(found) {
+        Ok(SwapResult::Done(revision)) => Event::WriteCommitted { revision },
+        Ok(SwapResult::Conflict(found)) => match parse_snapshot(found) {
             Ok(snapshot) => Event::WriteConflict(snapshot),
             Err(_) => Event::WriteRefused,
         },
-        Err(Failure::Refused(_)) => Event::WriteRefused,
-        Err(Failure::Unknown(_)) => Event::WriteOutcomeUnknown,
+        Err(StoreError::Refused(_)) => Event::WriteRefused,
+        Err(StoreError::Unknown(_)) => Event::WriteOutcomeUnknown,
     }
 }
 
--- a/crates/entry/src/budget_task.rs
+++ b/crates/entry/src/budget_task.rs
@@ -9,7 +9,7 @@
 use budget::msg::Warning;
 use budget::shard::Params;
 use budget::{Action, Durability, Event, OperatorReply, ReserveReply, ShardAction, ShardManager};
-use kv::Swap;
+use kv::SwapResult;
 use serde_json::{json, Value};
 use tokio::sync::oneshot;
 
@@ -285,8 +285,8 @@
                 tokio::spawn(async move {
                     let value = serde_json::to_vec(&segment).expect("a segment serializes");
                     let key = segment_key(shard, &name);
-                    let swapped = state.kv.swap(&key, 0, &value, 0).await;
-                    let written = matches!(swapped, Ok(Swap::Done(_)));
+                    let swapped = state.kv.compare_and_swap(&key, 0, &value, 0).await;
+                    let written = matches!(swapped, Ok(SwapResult::Done(_)));
                     handle.send(Command::Event(shard, Event::SegmentWritten(written)));
                 });
             }
--- a/crates/entry/src/config_change.rs
+++ b/crates/entry/src/config_change.rs
@@ -6,7 +6,7 @@
 use conf::bundle::Change;
 use conf::{Bundle, Config};
 use err::{Error, Kind};
-use kv::{Failure, Swap};
+use kv::{StoreError, SwapResult};
 use tokio::time::timeout;
 
 use crate::clock::wall_ms;
@@ -82,23 +82,31 @@
         }
     }
     let value = serde_json::to_vec(&bundle.head).expect("a head serializes");
-    match shared.kv.swap(HEAD_KEY, kv_revision, &value, 0).await {
-        Ok(Swap::Done(_)) => Ok(finish_commit(shared, bundle)),
-        Ok(Swap::Lost(_)) => find_committed(shared, &request.change_id, bundle, true).await,
-        Err(Failure::Refused(_)) => Err(Error::new(
+    match shared
+        .kv
+        .compare_and_swap(HEAD_KEY, kv_revision, &value, 0)
+        .await
+    {
+        Ok(SwapResult::Done(_)) => Ok(finish_commit(shared, bundle)),
+        Ok(SwapResult::Conflict(_)) => {
+            find_committed(shared, &request.change_id, bundle, true).await
+        }
+        Err(StoreError::Refused(_)) => Err(Error::new(
             Kind::PlatformDown,
             "the platform's key-value store refused the change",
         )),
-        Err(Failure::Unknown(_)) => find_committed(shared, &request.change_id, bundle, false).await,
+        Err(StoreError::Unknown(_)) => {
+            find_committed(shared, &request.change_id, bundle, false).await
+        }
     }
 }
 
 /// Writes a chunk, and retries failed writes: this is safe since the key is the hash of the value.
-async fn put_chunk(shared: &SharedState, key: &str, text: &str) -> Result<(), Failure> {
+async fn put_chunk(shared: &SharedState, key: &str, text: &str) -> Result<(), StoreError> {
     let mut attempts = 0;
     loop {
         attempts += 1;
-        match shared.kv.swap(key, 0, text.as_bytes(), 0).await {
+        match shared.kv.compare_and_swap(key, 0, text.as_bytes(), 0).await {
             Ok(_) => return Ok(()),
             Err(failure) if attempts >= MAX_ATTEMPTS => return Err(failure),
             Err(_) => tokio::time::sleep(RETRY_INTERVAL).await,
--- a/crates/entry/src/config_sync.rs
+++ b/crates/entry/src/config_sync.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use conf::{Bundle, Chunk, Head};
-use kv::Failure;
+use kv::StoreError;
 use tokio::time::timeout;
 
 use crate::clock::wall_ms;
@@ -87,7 +87,7 @@
     bundle
 }
 
-pub(crate) async fn read_head(shared: &SharedState) -> Result<Option<(Head, i64)>, Failure> {
+pub(crate) async fn read_head(shared: &SharedState) -> Result<Option<(Head, i64)>, StoreError> {
     let Some(found) = shared.kv.get(HEAD_KEY).await? else {
         return Ok(None);
     };
@@ -95,7 +95,7 @@
         Ok(head) => Ok(Some((head, found.revision))),
         Err(e) => {
             shared.log(Event::ConfigInvalid, &e);
-            Err(Failure::Refused(e.to_string()))
+            Err(StoreError::Refused(e.to_string()))
         }
     }
 }
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -48,7 +48,7 @@
         .pool
         .lock()
         .expect("lock not poisoned")
-        .set_sharers(live);
+        .set_instance_count(live);
     let now = shared.clock.now();
     let unresponsive = shared
         .members
@@ -86,7 +86,7 @@
     GossipMsg {
         membership: update,
         revision: shared.config_revision(),
-        leaving_upstreams: shared.pool.lock().expect("lock not poisoned").leaving(),
+        leaving_upstreams: shared.pool.lock().expect("lock not poisoned").leaving_ids(),
     }
 }
 
@@ -121,7 +121,7 @@
             .pool
             .lock()
             .expect("lock not poisoned")
-            .set_leaving(id);
+            .mark_leaving(id);
         if is_new {
             shared.log(Event::UpstreamLeaving, format!("{id}, reported by a peer"));
         }
--- a/crates/entry/src/load_reports.rs
+++ b/crates/entry/src/load_reports.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use route::{Key, Load};
+use route::{Load, UpstreamKey};
 use serde_json::Value;
 
 use crate::event::Event;
@@ -36,13 +36,13 @@
 }
 
 /// Returns the upstreams to poll in a round, with their URLs.
-fn due_upstreams(shared: &SharedState, round: u64) -> Vec<(Key, String)> {
+fn due_upstreams(shared: &SharedState, round: u64) -> Vec<(UpstreamKey, String)> {
     let active = shared.active_config();
     let configured = active
         .map(|a| a.config.versions.clone())
         .unwrap_or_default();
     let pool = shared.pool.lock().expect("lock not poisoned");
-    let all: Vec<_> = pool.all().filter(|(_, u)| !u.leaving).collect();
+    let all: Vec<_> = pool.iter().filter(|(_, u)| !u.leaving).collect();
     if all.is_empty() {
         return Vec::new();
     }
@@ -66,7 +66,7 @@
 }
 
 /// Fetches the load report of an upstream and passes it to the pool.
-pub async fn fetch_report(shared: Arc<SharedState>, key: Key, url: String) {
+pub async fn fetch_report(shared: Arc<SharedState>, key: UpstreamKey, url: String) {
     let sent = shared
         .http
         .get(format!("{url}/load"))
@@ -87,7 +87,7 @@
     let now = shared.clock.now();
     let mut pool = shared.pool.lock().expect("lock not poisoned");
     let was_leaving = pool.get(key).leaving;
-    pool.report(now, key, load);
+    pool.record_load(now, key, load);
     pool.get_mut(key).versions = parse_versions(&value["versions"]);
     let id = pool.get(key).spec.id.clone();
     drop(pool);
--- a/crates/entry/src/model_versions.rs
+++ b/crates/entry/src/model_versions.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use budget::placement::Candidate;
-use route::{Key, Kind};
+use route::{UpstreamKey, UpstreamKind};
 use serde_json::json;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -25,7 +25,7 @@
 
 /// An order to an engine to serve a version of a model.
 struct VersionOrder {
-    key: Key,
+    key: UpstreamKey,
     url: String,
     model: String,
     version: String,
@@ -53,9 +53,9 @@
 fn next_order(shared: &SharedState, active: &ActiveConfig) -> Option<VersionOrder> {
     let candidates = shared.home_candidates();
     let pool = shared.pool.lock().expect("lock not poisoned");
-    for (key, upstream) in pool.all() {
+    for (key, upstream) in pool.iter() {
         let is_issuer = issuer(&upstream.spec.id, &candidates) == Some(shared.own_id.as_str());
-        if upstream.spec.kind != Kind::Engine || upstream.leaving || !is_issuer {
+        if upstream.spec.kind != UpstreamKind::Engine || upstream.leaving || !is_issuer {
             continue;
         }
         for (model, version) in &active.config.versions {
--- a/crates/entry/src/pipeline/chat.rs
+++ b/crates/entry/src/pipeline/chat.rs
@@ -18,7 +18,7 @@
 use crate::messages::{method, DetachMsg};
 use crate::shared_state::SharedState;
 
-const ENGINE: upstream::Kind = upstream::Kind::Engine;
+const ENGINE: upstream::UpstreamKind = upstream::UpstreamKind::Engine;
 /// Maximum number of attempts, each at a different upstream.
 const MAX_ATTEMPTS: u32 = 3;
 
@@ -40,7 +40,7 @@
         .retry_budget
         .lock()
         .expect("lock not poisoned")
-        .request();
+        .record_request();
     let code = match run_attempts(&mut cx, &chat, &mut response).await {
         Ok(()) => {
             response.finish(&cx, &chat).await;
@@ -236,7 +236,7 @@
             .retry_budget
             .lock()
             .expect("lock not poisoned")
-            .take()
+            .try_acquire()
 }
 
 /// Cancels the current attempt and adds the tokens that it spent, or may have spent, to the usage.
--- a/crates/entry/src/pipeline/choose.rs
+++ b/crates/entry/src/pipeline/choose.rs
@@ -3,7 +3,7 @@
 use budget::msg::AttemptRef;
 use err::{Error, Kind};
 use rand::random;
-use route::pool::{Ask, Choice, Why};
+use route::pool::{Choice, ChoiceReason, Criteria};
 use route::upstream;
 
 use super::context::RequestContext;
@@ -21,14 +21,14 @@
 /// Returns `Overloaded`, `DeadlinePassed` or `NoUpstream`; this attempt did not run.
 pub async fn choose(
     cx: &mut RequestContext,
-    kind: upstream::Kind,
+    kind: upstream::UpstreamKind,
     serves: &str,
     prefix: Option<u64>,
 ) -> Result<(), Error> {
     let shared = cx.shared.clone();
     let is_served = {
         let pool = shared.pool.lock().expect("lock not poisoned");
-        pool.serves(kind, serves)
+        pool.is_served(kind, serves)
     };
     if !is_served {
         return Err(no_upstream(serves));
@@ -40,9 +40,9 @@
     let mut pool = shared.pool.lock().expect("lock not poisoned");
     let choice = pool.choose(
         now,
-        &Ask {
+        &Criteria {
             kind,
-            serves,
+            target: serves,
             version: cx.active.config.versions.get(serves).map(String::as_str),
             prefix,
             zone: &shared.settings.zone,
@@ -51,11 +51,11 @@
         },
     );
     let choice = choice.ok_or_else(|| no_upstream(serves))?;
-    pool.get_mut(choice.key).begin();
+    pool.get_mut(choice.key).record_start();
     drop(pool);
     cx.tried.push(choice.key);
     cx.new_attempt_id();
-    cx.record_step(format!("chose {} ({:?})", choice.id, choice.why));
+    cx.record_step(format!("chose {} ({:?})", choice.id, choice.reason));
     cx.upstream = Some(choice);
     Ok(())
 }
@@ -80,12 +80,12 @@
         Error::new(Kind::OutcomeUnknown, message)
     })?;
     let upstream = pool.get_mut(key);
-    upstream.begin();
+    upstream.record_start();
     let choice = Choice {
         key,
         id: upstream.spec.id.clone(),
         url: upstream.spec.url.clone(),
-        why: Why::Joined,
+        reason: ChoiceReason::Joined,
     };
     drop(pool);
     cx.attempt_id = attempt.id.clone();
@@ -94,14 +94,19 @@
 }
 
 /// Records the end of the attempt at the chosen upstream, if there is one.
-pub fn finish_attempt(cx: &mut RequestContext, kind: upstream::Kind, serves: &str, ok: bool) {
+pub fn finish_attempt(
+    cx: &mut RequestContext,
+    kind: upstream::UpstreamKind,
+    serves: &str,
+    ok: bool,
+) {
     let Some(choice) = cx.upstream.take() else {
         return;
     };
     let now = cx.shared.clock.now();
     {
         let mut pool = cx.shared.pool.lock().expect("lock not poisoned");
-        pool.get_mut(choice.key).end(now, ok, random());
+        pool.get_mut(choice.key).record_end(now, ok, random());
     }
     admission::record_finished(&cx.shared, kind, serves);
 }
--- a/crates/entry/src/pipeline/claims.rs
+++ b/crates/entry/src/pipeline/claims.rs
@@ -7,7 +7,7 @@
 
 use claim::{AttemptStatus, Claim, IdError, Resolution, State, StoredResponse};
 use err::{Error, Kind};
-use kv::{Failure, Found, Swap};
+use kv::{KeyValue, StoreError, SwapResult};
 use uuid::Uuid;
 use web::Req;
 
@@ -105,14 +105,18 @@
             tokio::time::sleep(RETRY_INTERVAL).await;
             continue;
         };
-        let found = match shared.kv.swap(&key, base_revision, &value, lease).await {
-            Ok(Swap::Done(revision)) => return Ok(owned_claim(&key, own, revision)),
-            Ok(Swap::Lost(Some(found))) => found,
-            Ok(Swap::Lost(None)) => {
+        let found = match shared
+            .kv
+            .compare_and_swap(&key, base_revision, &value, lease)
+            .await
+        {
+            Ok(SwapResult::Done(revision)) => return Ok(owned_claim(&key, own, revision)),
+            Ok(SwapResult::Conflict(Some(found))) => found,
+            Ok(SwapResult::Conflict(None)) => {
                 base_revision = 0;
                 continue;
             }
-            Err(Failure::Refused(_) | Failure::Unknown(_)) => {
+            Err(StoreError::Refused(_) | StoreError::Unknown(_)) => {
                 // Repeating the write is safe, since the claim contains the id of this attempt.
                 tokio::time::sleep(RETRY_INTERVAL).await;
                 continue;
@@ -140,7 +144,7 @@
 async fn resolve_existing(
     cx: &RequestContext,
     own: &Claim,
-    found: &Found,
+    found: &KeyValue,
 ) -> Result<Resolution, Error> {
     let invalid = |e: serde_json::Error| {
         Error::new(Kind::Internal, format!("invalid claim in the store: {e}"))
@@ -213,7 +217,7 @@
     let ttl_secs = claim::lease_ttl_secs(shared.settings.claim_retention_ms());
     let id = shared
         .kv
-        .lease(ttl_secs + LEASE_ROTATION_MS / 1000)
+        .create_lease(ttl_secs + LEASE_ROTATION_MS / 1000)
         .await
         .ok()?;
     *current = Some((id, now + LEASE_ROTATION_MS));
@@ -258,14 +262,14 @@
         };
         let swapped = shared
             .kv
-            .swap(&owned.key, owned.revision, &value, lease)
+            .compare_and_swap(&owned.key, owned.revision, &value, lease)
             .await;
         match swapped {
-            Ok(Swap::Done(_)) => break,
-            Ok(Swap::Lost(Some(found))) if found.value == value => break,
+            Ok(SwapResult::Done(_)) => break,
+            Ok(SwapResult::Conflict(Some(found))) if found.value == value => break,
             // Another attempt replaced the claim, since it was reported as not run, or the key
             // expired.
-            Ok(Swap::Lost(_)) => break,
+            Ok(SwapResult::Conflict(_)) => break,
             Err(_) => {}
         }
         if !logged {
--- a/crates/entry/src/pipeline/context.rs
+++ b/crates/entry/src/pipeline/context.rs
@@ -5,7 +5,7 @@
 use budget::msg::AttemptRef;
 use bytes::Bytes;
 use conf::Policy;
-use route::{Choice, Key};
+use route::{Choice, UpstreamKey};
 use smallvec::SmallVec;
 
 use crate::shared_state::{ActiveConfig, SharedState};
@@ -51,7 +51,7 @@
     /// Id of the current attempt at the upstream.
     pub attempt_id: String,
     /// Upstreams that were chosen for this request so far.
-    pub tried: SmallVec<[Key; 4]>,
+    pub tried: SmallVec<[UpstreamKey; 4]>,
     /// Number of attempts so far.
     pub attempts: u32,
     /// The hold that pays for the request.
--- a/crates/entry/src/pipeline/service_call.rs
+++ b/crates/entry/src/pipeline/service_call.rs
@@ -17,7 +17,7 @@
 use super::{auth, choose};
 use crate::shared_state::SharedState;
 
-const SERVICE: upstream::Kind = upstream::Kind::Service;
+const SERVICE: upstream::UpstreamKind = upstream::UpstreamKind::Service;
 /// Maximum number of attempts, each at a different upstream.
 const MAX_ATTEMPTS: u32 = 3;
 /// Maximum size of a response body that is stored to be replayed, in bytes.
@@ -136,7 +136,7 @@
         .retry_budget
         .lock()
         .expect("lock not poisoned")
-        .request();
+        .record_request();
     let mut ran = Ran::No;
     loop {
         choose::choose(cx, SERVICE, service, None)
@@ -157,7 +157,7 @@
                 .retry_budget
                 .lock()
                 .expect("lock not poisoned")
-                .take()
+                .try_acquire()
         {
             let kind = if cx.remaining_ms() == 0 {
                 Kind::DeadlinePassed
--- a/crates/entry/src/pipeline/stream.rs
+++ b/crates/entry/src/pipeline/stream.rs
@@ -241,7 +241,7 @@
         return;
     };
     let mut pool = cx.shared.pool.lock().expect("lock not poisoned");
-    let is_new = pool.set_leaving(&upstream.id);
+    let is_new = pool.mark_leaving(&upstream.id);
     drop(pool);
     if is_new {
         let detail = format!("{}, according to its response", upstream.id);
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kv::{Client, Found, Swap};
+use kv::{Client, KeyValue, SwapResult};
 use peer::{Member, Standing};
 use route::Spec;
 use tokio::time::timeout;
@@ -54,7 +54,7 @@
             None => false,
         };
         if !is_valid {
-            lease = shared.kv.lease(LEASE_TTL_SECS).await.ok();
+            lease = shared.kv.create_lease(LEASE_TTL_SECS).await.ok();
             written = None;
         }
         if let (Some(id), true) = (lease, written != Some(me.standing)) {
@@ -74,8 +74,8 @@
     };
     let revision = found.map_or(0, |f| f.revision);
     let value = serde_json::to_vec(me).expect("a member serializes");
-    let swapped = kv.swap(&key, revision, &value, lease).await;
-    matches!(swapped, Ok(Swap::Done(_)))
+    let swapped = kv.compare_and_swap(&key, revision, &value, lease).await;
+    matches!(swapped, Ok(SwapResult::Done(_)))
 }
 
 /// Reads the list after each change that the watch shows, and at regular intervals.
@@ -116,7 +116,7 @@
 }
 
 /// Passes the entries of the list to the membership table, the budgets and the pool.
-fn apply_list(shared: &Arc<SharedState>, found: &[Found]) {
+fn apply_list(shared: &Arc<SharedState>, found: &[KeyValue]) {
     let router = format!("{KEY_PREFIX}router/");
     let (routers, others): (Vec<_>, Vec<_>) =
         found.iter().partition(|f| f.key.starts_with(&router));
@@ -133,7 +133,7 @@
         .pool
         .lock()
         .expect("lock not poisoned")
-        .set_list(specs);
+        .apply_list(specs);
     shared.budgets.set_members(shared.home_candidates());
 }
 
@@ -147,7 +147,7 @@
     (ids(present), ids(left))
 }
 
-fn parse_entry<T: serde::de::DeserializeOwned>(found: &Found) -> Option<T> {
+fn parse_entry<T: serde::de::DeserializeOwned>(found: &KeyValue) -> Option<T> {
     serde_json::from_slice(&found.value).ok()
 }
 
@@ -165,7 +165,7 @@
         .expect("lock not poisoned")
         .me()
         .clone();
-    if let Ok(lease) = shared.kv.lease(1).await {
+    if let Ok(lease) = shared.kv.create_lease(1).await {
         // If the write fails, the entry expires with its previous lease.
         put_entry(&shared.kv, &me, lease).await;
     }
--- a/crates/entry/src/wait_queues.rs
+++ b/crates/entry/src/wait_queues.rs
@@ -2,23 +2,23 @@
 
 use std::collections::BTreeMap;
 
-use route::queue::{Queue, Ticket};
+use route::queue::{Queue, WaiterId};
 use route::upstream;
 use tokio::sync::oneshot;
 
 /// Key of a queue: the kind of upstream, and the model or service that requests wait for.
-pub(crate) type QueueKey = (upstream::Kind, String);
+pub(crate) type QueueKey = (upstream::UpstreamKind, String);
 
 /// The requests that wait for a model or service, and the channels that wake them.
 #[derive(Default)]
 pub(crate) struct WaitQueue {
     pub(crate) queue: Queue,
-    pub(crate) waiters: BTreeMap<Ticket, oneshot::Sender<bool>>,
+    pub(crate) waiters: BTreeMap<WaiterId, oneshot::Sender<bool>>,
 }
 
 impl WaitQueue {
     /// Wakes a waiting request and tells it whether it is admitted.
-    pub(crate) fn notify(&mut self, ticket: Ticket, admitted: bool) {
+    pub(crate) fn notify(&mut self, ticket: WaiterId, admitted: bool) {
         if let Some(tx) = self.waiters.remove(&ticket) {
             // The request may have stopped waiting.
             let _ = tx.send(admitted);
