--- a/crates/budget/src/lib.rs
+++ b/crates/budget/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The accounts are grouped into shards, and the platform's key-value store keeps one record per
 //! shard, which is the source of truth. A *holder*, an incarnation of an instance, spends only
-//! tokens that a record grants to it, so instances that cannot reach each other cannot overspend a
-//! budget together.
+//! tokens that a record grants to it or that another holder transfers to it, so instances that
+//! cannot reach each other cannot overspend a budget together.
 //!
 //! The instance that received a request is its *entry*. It reserves the most that the request can
 //! cost at the *home*, the instance that is responsible for the account's shard, or at a *standby*
--- a/crates/budget/src/record.rs
+++ b/crates/budget/src/record.rs
@@ -22,7 +22,7 @@
     /// Retired holders, oldest first.
     #[serde(default)]
     pub tombstones: VecDeque<String>,
-    /// Newest segment, with the bills before those in the record.
+    /// Name of the newest segment, which has the bills before those in the record.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub last_segment: Option<String>,
 }
@@ -91,7 +91,7 @@
     /// Numbers of the holds that are settled.
     #[serde(rename = "posted", default)]
     pub settled_holds: RangeSet,
-    /// Tokens that operators took back from the holder after it was gone.
+    /// Tokens that operators took back because the holder was gone.
     #[serde(default)]
     pub released: u64,
 }
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -1,7 +1,8 @@
 //! State machine of one shard at one instance: its holds, its settlements and its record.
 //!
 //! At most one platform call is open at a time. A write with an unknown outcome is never simply
-//! repeated: the record is read first, and the number in it tells whether the write took effect.
+//! repeated: the record is read first, and the number of this instance's last write in it tells
+//! whether the write took effect.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/budget/src/shard_manager.rs
+++ b/crates/budget/src/shard_manager.rs
@@ -9,8 +9,8 @@
 use crate::shard::{Params, Role, Shard};
 use crate::write_limiter::WriteLimiter;
 
-/// Absence after which a holder without unspent tokens is retired, in milliseconds. It is longer
-/// than any request runs and than any entry retries a settlement.
+/// Absence after which a holder without unspent tokens is retired, in milliseconds: longer than any
+/// request runs, and longer than any entry keeps retrying a settlement.
 const RETIRE_AFTER_MS: u64 = 3_600_000;
 
 /// An action and the shard that it belongs to.
@@ -28,7 +28,7 @@
     me: String,
     params: Params,
     shard_count: u32,
-    /// Record writes per second that the whole fleet may make.
+    /// Writes per second that the whole fleet may make.
     writes_per_sec: u64,
     shards: BTreeMap<u32, Shard>,
     write_limiter: WriteLimiter,
