--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -169,11 +169,11 @@
             at_ms: 1,
             what: "x".to_string(),
         };
-        let make = || Bundle::next(&Head::default(), &config, change());
+        let make = || Bundle::build(&Head::default(), &config, change());
         let bundle = make();
         let all: usize = bundle.chunks.values().map(String::len).sum();
         let most = bundle.chunks.values().map(String::len).max().unwrap_or(0);
-        let (next, join) = (time(make), time(|| bundle.config()));
+        let (next, join) = (time(make), time(|| bundle.assemble()));
         println!("| {count} | {all} | {most} | {next:.0} | {join:.0} |");
     }
 }
--- a/crates/conf/src/bundle.rs
+++ b/crates/conf/src/bundle.rs
@@ -62,7 +62,7 @@
 
 impl Bundle {
     /// Splits a configuration into chunks under a new head.
-    pub fn next(old: &Head, config: &Config, change: Change) -> Bundle {
+    pub fn build(old: &Head, config: &Config, change: Change) -> Bundle {
         let mut parts: BTreeMap<u64, Config> = BTreeMap::new();
         let shared = parts.entry(0).or_default();
         shared.templates = config.templates.clone();
@@ -75,7 +75,7 @@
         let mut bundle = Bundle::default();
         for part in parts.values() {
             let text = serde_json::to_string(part).expect("a configuration is JSON");
-            let hash = hash(&text);
+            let hash = chunk_hash(&text);
             bundle.head.chunks.push(hash.clone());
             bundle.chunks.insert(hash, text);
         }
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// Returns what is missing or broken.
-    pub fn config(&self) -> Result<Config, String> {
+    pub fn assemble(&self) -> Result<Config, String> {
         let mut whole = Config::default();
         for hash in &self.head.chunks {
             let text = self.chunks.get(hash).ok_or(format!("no chunk {hash}"))?;
@@ -105,8 +105,8 @@
     }
 
     /// Adds a chunk if it is what its hash says; returns whether it was.
-    pub fn add(&mut self, chunk: Chunk) -> bool {
-        let fits = hash(&chunk.text) == chunk.hash;
+    pub fn add_chunk(&mut self, chunk: Chunk) -> bool {
+        let fits = chunk_hash(&chunk.text) == chunk.hash;
         if fits {
             self.chunks.insert(chunk.hash, chunk.text);
         }
@@ -114,13 +114,13 @@
     }
 
     /// Returns the hashes that the head names and that are not here.
-    pub fn missing(&self) -> Vec<String> {
+    pub fn missing_chunks(&self) -> Vec<String> {
         let has = |h: &&String| !self.chunks.contains_key(*h);
         self.head.chunks.iter().filter(has).cloned().collect()
     }
 }
 
 /// Returns a chunk's hash.
-pub fn hash(text: &str) -> String {
+pub fn chunk_hash(text: &str) -> String {
     hex(&Sha256::digest(text.as_bytes()))
 }
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -5,25 +5,25 @@
 
 use serde_json::Value;
 
-use crate::shape::{Field, Shape};
+use crate::schema::{Field, Schema};
 
 /// One fault of a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct ValidationError {
     /// Where, as a JSON pointer.
     pub path: String,
     /// What is wrong and what is allowed.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ValidationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let path = if self.path.is_empty() {
             "/"
         } else {
             &self.path
         };
-        write!(f, "at {path}: {}", self.what)
+        write!(f, "at {path}: {}", self.message)
     }
 }
 
@@ -32,14 +32,14 @@
 /// # Errors
 ///
 /// Returns every fault found.
-pub fn parse(text: &str, shape: &Shape) -> Result<Value, Vec<Fault>> {
+pub fn parse(text: &str, shape: &Schema) -> Result<Value, Vec<ValidationError>> {
     let value: Value = serde_json::from_str(text).map_err(|e| {
-        vec![Fault {
+        vec![ValidationError {
             path: String::new(),
-            what: format!("not JSON: {e}"),
+            message: format!("not JSON: {e}"),
         }]
     })?;
-    let faults = faults(&value, shape);
+    let faults = validate(&value, shape);
     if faults.is_empty() {
         Ok(value)
     } else {
@@ -48,15 +48,15 @@
 }
 
 /// Returns every fault of a value.
-pub fn faults(value: &Value, shape: &Shape) -> Vec<Fault> {
+pub fn validate(value: &Value, shape: &Schema) -> Vec<ValidationError> {
     let mut out = Vec::new();
     walk(value, shape, "", &mut out);
     out
 }
 
-fn walk(value: &Value, shape: &Shape, path: &str, out: &mut Vec<Fault>) {
+fn walk(value: &Value, shape: &Schema, path: &str, out: &mut Vec<ValidationError>) {
     match shape {
-        Shape::List(item) => match value.as_array() {
+        Schema::Array(item) => match value.as_array() {
             Some(list) => {
                 for (i, v) in list.iter().enumerate() {
                     walk(v, item, &format!("{path}/{i}"), out);
@@ -64,7 +64,7 @@
             }
             None => wrong(value, "a list", path, out),
         },
-        Shape::Map(item) => match value.as_object() {
+        Schema::Map(item) => match value.as_object() {
             Some(map) => {
                 for (name, v) in map {
                     walk(v, item, &child(path, name), out);
@@ -72,7 +72,7 @@
             }
             None => wrong(value, "an object", path, out),
         },
-        Shape::Object(groups) => match value.as_object() {
+        Schema::Object(groups) => match value.as_object() {
             Some(map) => object(map, groups, path, out),
             None => wrong(value, "an object", path, out),
         },
@@ -88,15 +88,15 @@
     map: &serde_json::Map<String, Value>,
     groups: &[&[Field]],
     path: &str,
-    out: &mut Vec<Fault>,
+    out: &mut Vec<ValidationError>,
 ) {
     let fields = || groups.iter().copied().flatten();
     for field in fields() {
         match map.get(field.name) {
-            Some(v) => walk(v, &field.shape, &child(path, field.name), out),
-            None if field.required => out.push(Fault {
+            Some(v) => walk(v, &field.schema, &child(path, field.name), out),
+            None if field.required => out.push(ValidationError {
                 path: child(path, field.name),
-                what: "missing, but required".to_string(),
+                message: "missing, but required".to_string(),
             }),
             None => {}
         }
@@ -104,47 +104,47 @@
     for name in map.keys() {
         if !fields().any(|f| f.name == name) {
             let known: Vec<_> = fields().map(|f| f.name).collect();
-            out.push(Fault {
+            out.push(ValidationError {
                 path: child(path, name),
-                what: format!("unknown field; allowed are {}", known.join(", ")),
+                message: format!("unknown field; allowed are {}", known.join(", ")),
             });
         }
     }
 }
 
 /// Returns what is allowed instead, when the value does not fit.
-fn leaf_fault(value: &Value, shape: &Shape) -> Option<String> {
+fn leaf_fault(value: &Value, shape: &Schema) -> Option<String> {
     let text = value.as_str().unwrap_or_default();
     let (fits, allowed) = match shape {
-        Shape::Text => (!text.is_empty(), "a text that is not empty".to_string()),
-        Shape::Name => (is_name(text), "letters, digits, - and _".to_string()),
-        Shape::Uint(lo, hi) => (
+        Schema::NonEmptyString => (!text.is_empty(), "a text that is not empty".to_string()),
+        Schema::Name => (is_name(text), "letters, digits, - and _".to_string()),
+        Schema::Integer(lo, hi) => (
             value.as_u64().is_some_and(|n| n >= *lo && n <= *hi),
             format!("a whole number from {lo} to {hi}"),
         ),
-        Shape::Number(lo, hi) => (
+        Schema::Number(lo, hi) => (
             value.as_f64().is_some_and(|n| n >= *lo && n <= *hi),
             format!("a number from {lo} to {hi}"),
         ),
-        Shape::Bool => (value.is_boolean(), "true or false".to_string()),
-        Shape::Addr => (
+        Schema::Bool => (value.is_boolean(), "true or false".to_string()),
+        Schema::SocketAddr => (
             text.parse::<SocketAddr>().is_ok(),
             "an IP address with a port, as 127.0.0.1:8080".to_string(),
         ),
-        Shape::Url => (
+        Schema::Url => (
             text.strip_prefix("http://")
                 .is_some_and(|a| a.parse::<SocketAddr>().is_ok()),
             "http:// with an IP address and a port".to_string(),
         ),
-        Shape::KeyHash => (
+        Schema::KeyHash => (
             is_key_hash(text),
             "sha256: and 64 hexadecimal digits".to_string(),
         ),
-        Shape::Word(words) => (
+        Schema::Enum(words) => (
             words.contains(&text),
             format!("one of {}", words.join(", ")),
         ),
-        Shape::List(_) | Shape::Map(_) | Shape::Object(_) => (true, String::new()),
+        Schema::Array(_) | Schema::Map(_) | Schema::Object(_) => (true, String::new()),
     };
     (!fits).then_some(allowed)
 }
@@ -159,14 +159,14 @@
     digits.len() == 64 && digits.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-fn wrong(value: &Value, allowed: &str, path: &str, out: &mut Vec<Fault>) {
+fn wrong(value: &Value, allowed: &str, path: &str, out: &mut Vec<ValidationError>) {
     let mut shown = value.to_string();
     if shown.len() > 40 {
         shown = shown.chars().take(40).collect::<String>() + "…";
     }
-    out.push(Fault {
+    out.push(ValidationError {
         path: path.to_string(),
-        what: format!("{shown} is not {allowed}"),
+        message: format!("{shown} is not {allowed}"),
     });
 }
 
--- a/crates/conf/src/customer.rs
+++ b/crates/conf/src/customer.rs
@@ -6,8 +6,8 @@
 use serde_json::Value;
 use sha2::{Digest, Sha256};
 
-use crate::check::{self, Fault};
-use crate::shape;
+use crate::check::{self, ValidationError};
+use crate::schema;
 
 const DEFAULT_PRIORITY: u8 = 5;
 const DEFAULT_MAX_TOKENS: u64 = 4096;
@@ -85,16 +85,16 @@
     /// # Errors
     ///
     /// Returns every fault found, also names that lead nowhere.
-    pub fn parse(text: &str) -> Result<Config, Vec<Fault>> {
+    pub fn parse(text: &str) -> Result<Config, Vec<ValidationError>> {
         let fault = |what: String| {
-            vec![Fault {
+            vec![ValidationError {
                 path: String::new(),
-                what,
+                message: what,
             }]
         };
         let value: Value =
             serde_json::from_str(text).map_err(|e| fault(format!("not JSON: {e}")))?;
-        let mut faults = check::faults(&value, &shape::CONFIG);
+        let mut faults = check::validate(&value, &schema::CONFIG);
         faults.extend(dangling(&value));
         if !faults.is_empty() {
             return Err(faults);
@@ -119,23 +119,23 @@
 }
 
 /// Returns names that lead nowhere and keys that two customers share.
-fn dangling(value: &Value) -> Vec<Fault> {
+fn dangling(value: &Value) -> Vec<ValidationError> {
     let mut faults = Vec::new();
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for (name, customer) in value["customers"].as_object().into_iter().flatten() {
         let template = customer["template"].as_str().unwrap_or_default();
         if !template.is_empty() && value["templates"].get(template).is_none() {
-            faults.push(Fault {
+            faults.push(ValidationError {
                 path: format!("/customers/{name}/template"),
-                what: format!("there is no template {template:?}"),
+                message: format!("there is no template {template:?}"),
             });
         }
         let hashes = customer["key_hashes"].as_array().into_iter().flatten();
         for (i, hash) in hashes.filter_map(Value::as_str).enumerate() {
             if let Some(other) = owners.insert(hash, name) {
-                faults.push(Fault {
+                faults.push(ValidationError {
                     path: format!("/customers/{name}/key_hashes/{i}"),
-                    what: format!("also a key of customer {other:?}"),
+                    message: format!("also a key of customer {other:?}"),
                 });
             }
         }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -4,11 +4,11 @@
 pub mod check;
 pub mod customer;
 pub mod routing;
+pub mod schema;
 pub mod settings;
-pub mod shape;
 
 pub use bundle::{Bundle, Chunk, Head};
-pub use check::Fault;
+pub use check::ValidationError;
 pub use customer::{Config, Customer, Policy, Template};
-pub use routing::{Account, Limits, Repeat, Route, Routing, Service, Share};
+pub use routing::{Account, RequestLimits, RetryMode, Route, RoutingConfig, Service, TrafficShare};
 pub use settings::{Fleet, Settings};
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::check::{self, Fault};
-use crate::shape;
+use crate::check::{self, ValidationError};
+use crate::schema;
 
 const DEFAULT_SHARDS: u32 = 16;
 const DEFAULT_BODY_LIMIT: u64 = 4 << 20;
@@ -102,19 +102,19 @@
     /// # Errors
     ///
     /// Returns every fault found.
-    pub fn parse(text: &str) -> Result<Settings, Vec<Fault>> {
-        let value = check::parse(text, &shape::SETTINGS)?;
+    pub fn parse(text: &str) -> Result<Settings, Vec<ValidationError>> {
+        let value = check::parse(text, &schema::SETTINGS)?;
         let settings: Settings = serde_json::from_value(value).map_err(|e| {
-            vec![Fault {
+            vec![ValidationError {
                 path: String::new(),
-                what: e.to_string(),
+                message: e.to_string(),
             }]
         })?;
         let admin = settings.admin_listen();
         if settings.admin_key.is_none() && !admin.ip().is_loopback() {
-            return Err(vec![Fault {
+            return Err(vec![ValidationError {
                 path: "/admin_listen".to_string(),
-                what: format!("{admin} is not loopback, which needs an admin_key"),
+                message: format!("{admin} is not loopback, which needs an admin_key"),
             }]);
         }
         Ok(settings)
--- a/crates/conf/tests/encoding.rs
+++ b/crates/conf/tests/encoding.rs
@@ -1,7 +1,7 @@
 //! Operators, stores and instances of other versions hold these: their encoding stays.
 
 use conf::bundle::Change;
-use conf::{Bundle, Chunk, Config, Customer, Fault, Fleet, Head, Settings, Template};
+use conf::{Bundle, Chunk, Config, Customer, Fleet, Head, Settings, Template, ValidationError};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
@@ -50,9 +50,9 @@
 /// Operators get these.
 #[test]
 fn faults_keep_their_text() {
-    let fault = Fault {
+    let fault = ValidationError {
         path: "/zone".to_string(),
-        what: "is missing".to_string(),
+        message: "is missing".to_string(),
     };
     assert_eq!(fault.to_string(), "at /zone: is missing");
 }
--- a/crates/entry/src/accept.rs
+++ b/crates/entry/src/accept.rs
@@ -64,7 +64,7 @@
         at_ms: wall_ms(),
         what: wish.what,
     };
-    let bundle = Bundle::next(&head, &wish.config, change);
+    let bundle = Bundle::build(&head, &wish.config, change);
     for (hash, text) in &bundle.chunks {
         if !head.chunks.contains(hash) {
             // A chunk that is there already is the same: its key is its hash.
--- a/crates/entry/src/configd.rs
+++ b/crates/entry/src/configd.rs
@@ -53,11 +53,11 @@
         return;
     }
     let mut bundle = start(shared, head);
-    for hash in bundle.missing() {
+    for hash in bundle.missing_chunks() {
         match shared.kv.get(&format!("{CHUNK}{hash}")).await {
             Ok(Some(found)) => {
                 let text = String::from_utf8_lossy(&found.value).into_owned();
-                bundle.add(Chunk { hash, text });
+                bundle.add_chunk(Chunk { hash, text });
             }
             Ok(None) | Err(_) => return,
         }
@@ -173,9 +173,9 @@
         }
         let mut bundle = start(&shared, head);
         for chunk in chunks {
-            bundle.add(chunk);
+            bundle.add_chunk(chunk);
         }
-        if bundle.missing().is_empty() {
+        if bundle.missing_chunks().is_empty() {
             put_in_force(&shared, bundle);
         }
     });
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -36,7 +36,7 @@
     ///
     /// Returns what is missing or broken.
     pub fn join(bundle: Bundle) -> Result<Active, String> {
-        let config = bundle.config()?;
+        let config = bundle.assemble()?;
         let mut keys = BTreeMap::new();
         for (name, customer) in &config.customers {
             for hash in &customer.key_hashes {
--- a/crates/oriolehitch/src/check.rs
+++ b/crates/oriolehitch/src/check.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use conf::{Config, Fault, Settings};
+use conf::{Config, Settings, ValidationError};
 use serde_json::Value;
 
 use crate::flags::Check;
@@ -39,7 +39,7 @@
 }
 
 /// Returns a line for each fault.
-pub fn lines(file: &Path, faults: &[Fault]) -> String {
-    let line = |f: &Fault| format!("{}: {f}\n", file.display());
+pub fn lines(file: &Path, faults: &[ValidationError]) -> String {
+    let line = |f: &ValidationError| format!("{}: {f}\n", file.display());
     faults.iter().map(line).collect()
 }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -268,7 +268,7 @@
             return Ok((guard, conn));
         }
         let sharers = ctx.router.fleet.instance_count();
-        let max = max_connections(ctx.service_settings.connections as usize, sharers);
+        let max = max_connections(ctx.service_settings.max_connections as usize, sharers);
         let target = Target {
             upstream: &incarnation,
             addr: spec.addr,
@@ -477,11 +477,11 @@
 
 /// Returns when an attempt without a response head is given up, in milliseconds.
 fn response_deadline(ctx: &RequestContext, guard: &AttemptGuard) -> u64 {
-    let is_last = !ctx.is_retryable() || ctx.attempts >= ctx.route.attempts;
+    let is_last = !ctx.is_retryable() || ctx.attempts >= ctx.route.max_attempts;
     if is_last {
         return ctx.deadline;
     }
-    let objective = ctx.route.objective_ms as f64 * RESPONSE_TIMEOUT_OBJECTIVES;
+    let objective = ctx.route.latency_objective_ms as f64 * RESPONSE_TIMEOUT_OBJECTIVES;
     let expected = guard.choice.expected_ms * RESPONSE_TIMEOUT_EXPECTED;
     let wait = objective.max(expected) as u64;
     ctx.deadline.min(guard.sent_at + wait)
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -27,7 +27,7 @@
 use std::time::Duration;
 
 use clock::Clock;
-use conf::Routing;
+use conf::RoutingConfig;
 use escrow::{exceeds_home_capacity, CumulativeTotal, LocalBudget, Rate, ReserveError};
 use kv::Store;
 use reservation::WaitGuard;
@@ -123,10 +123,10 @@
     }
 
     /// Sets the prepaid amounts of a configuration.
-    pub(crate) fn set_prepaid(&self, routing: &Routing) {
+    pub(crate) fn set_prepaid(&self, routing: &RoutingConfig) {
         let mut customers = self.0.customers.lock().expect("no panic inside");
         for customer in &routing.accounts {
-            let Some(prepaid) = customer.prepaid else {
+            let Some(prepaid) = customer.prepaid_tokens else {
                 continue;
             };
             let state = customers.entry(customer.name.clone()).or_default();
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, RwLock};
 
 use bytes::Bytes;
-use conf::Routing;
+use conf::RoutingConfig;
 use kv::{Change, Store};
 use notice::Notice;
 use place::{ColdStart, Pool};
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub(crate) struct ActiveConfig {
     /// The parsed configuration.
-    pub(crate) routing: Routing,
+    pub(crate) routing: RoutingConfig,
     /// The configuration as stored, for other instances that request it.
     pub(crate) raw: Bytes,
 }
@@ -125,7 +125,7 @@
         self.0.deps.relay.set_config_version(version);
         self.forget_revoked_keys(version);
         let keys = |a: &ActiveConfig| -> BTreeSet<u64> {
-            let keys = a.routing.accounts.iter().flat_map(|c| &c.keys);
+            let keys = a.routing.accounts.iter().flat_map(|c| &c.api_keys);
             keys.map(|k| key_hash(k)).collect()
         };
         if let Some(previous) = previous {
@@ -140,12 +140,12 @@
         self.0.deps.notices.publish(Notice::Version { version });
     }
 
-    fn set_cold_starts(&self, routing: &Routing) {
+    fn set_cold_starts(&self, routing: &RoutingConfig) {
         let tolerance = self.0.deps.cold_start_tolerance;
         let cold = |s: &conf::Service| ColdStart {
-            duration_ms: s.cold_ms,
-            max_per_sec: (s.cold_per_sec > 0.0)
-                .then_some(s.cold_per_sec * tolerance.factor + tolerance.slack),
+            duration_ms: s.cold_start_ms,
+            max_per_sec: (s.cold_max_per_sec > 0.0)
+                .then_some(s.cold_max_per_sec * tolerance.factor + tolerance.slack),
         };
         let services = routing.services.iter();
         let cold = services.map(|(name, s)| (name.clone(), cold(s)));
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, SystemTime};
 
 use bytes::Bytes;
-use conf::Routing;
+use conf::RoutingConfig;
 use hyper::header::HeaderMap;
 use hyper::http::{request, response};
 use hyper::Response;
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// Returns the invalid field and what is wrong with it.
-    fn parse_config(&self, value: &[u8]) -> Result<Routing, String>;
+    fn parse_config(&self, value: &[u8]) -> Result<RoutingConfig, String>;
 
     /// Returns the id of the upstream with the given store key.
     fn upstream_id<'a>(&self, key: &'a str) -> &'a str;
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -67,8 +67,8 @@
     });
     let conn = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(Duration::from_millis(limits.idle_ms))
-        .max_header_size(limits.header_bytes)
+        .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
+        .max_header_size(limits.max_header_bytes)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(conn);
     if *phase.borrow() != Phase::Serving {
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -108,7 +108,7 @@
         let body = self.read_body(&active, &head, body, deadline).await?;
         self.reserve_capacity(&mut in_flight, body.len())
             .map_err(|refusal| refusal.retry_within(RETRY_OTHER_INSTANCE_MS, timeout_ms))?;
-        let service = route.service(rand::random());
+        let service = route.pick_service(rand::random());
         let service = service.map(str::to_string).ok_or_else(|| {
             let message = format!("route {} has no service", route.name);
             Refusal::new(Kind::NoUpstream, message)
@@ -118,7 +118,9 @@
             let mut retries = self.retry_budget.lock().expect("lock not poisoned");
             retries.record_request(arrived_at, &service);
         }
-        let regions = active.routing.regions(&route, info.api_key.as_deref());
+        let regions = active
+            .routing
+            .allowed_regions(&route, info.api_key.as_deref());
         let regions = regions.ok_or_else(|| {
             let message = format!(
                 "route {} and the customer have no allowed region in common",
@@ -179,7 +181,7 @@
         head: &request::Parts,
     ) -> Result<&'a Route, Refusal> {
         let path = head.uri.path();
-        active.routing.route(&info.host, path).ok_or_else(|| {
+        active.routing.find_route(&info.host, path).ok_or_else(|| {
             let version = active.routing.version;
             let message = format!(
                 "no route for {}{path} in configuration version {version}",
@@ -208,7 +210,7 @@
         if let Some(version) = self.config.revoking_version(key) {
             return Err(unknown(version));
         }
-        let account = active.routing.account(key);
+        let account = active.routing.account_by_key(key);
         account
             .map(|a| Some(a.name.clone()))
             .ok_or_else(|| unknown(active.routing.version))
@@ -222,7 +224,7 @@
         body: Incoming,
         deadline: u64,
     ) -> Result<Bytes, Refusal> {
-        let max_bytes = active.routing.limits.body_bytes;
+        let max_bytes = active.routing.limits.max_body_bytes;
         let too_large = || {
             let message = format!("the request body exceeds {max_bytes} bytes");
             Refusal::new(Kind::TooLarge, message)
@@ -257,7 +259,7 @@
         let Some(customer) = &ctx.customer else {
             return Ok(None);
         };
-        if tokens == 0 || active.routing.prepaid(customer).is_none() {
+        if tokens == 0 || active.routing.prepaid_tokens(customer).is_none() {
             return Ok(None);
         }
         let began_at = self.clock.now();
--- a/crates/proxy/src/request_context.rs
+++ b/crates/proxy/src/request_context.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use conf::{Repeat, Route, Service};
+use conf::{RetryMode, Route, Service};
 use hyper::http::request;
 use place::UpstreamKey;
 use smallvec::SmallVec;
@@ -108,13 +108,13 @@
 
     /// Returns whether the request may run more than once.
     pub(crate) fn is_retryable(&self) -> bool {
-        self.route.repeat != Repeat::Never
+        self.route.retry_mode != RetryMode::Never
     }
 
     /// Returns whether the request may be sent once more; if so, takes a retry from the service's
     /// retry budget.
     pub(crate) fn try_acquire_retry(&self) -> bool {
-        if self.attempts >= self.route.attempts || self.remaining_ms() == 0 {
+        if self.attempts >= self.route.max_attempts || self.remaining_ms() == 0 {
             return false;
         }
         // A request that crashes upstreams must not crash another one within the same call.
