--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -67,7 +67,7 @@
 fn authorize(shared: &Shared, req: &Req) -> Result<(), Error> {
     let refused = |m: &str| Err(Error::new(Kind::UnknownKey, m));
     match &shared.settings.admin_key {
-        None if req.remote.ip().is_loopback() => Ok(()),
+        None if req.remote_addr.ip().is_loopback() => Ok(()),
         None => refused("without an admin_key in the settings, only loopback may act"),
         Some(key) => {
             let header = req.header("authorization").unwrap_or_default();
@@ -91,7 +91,7 @@
             let active = active(shared)?;
             let revision = active.bundle.head.revision;
             let body = json!({"revision": revision, "config": active.config});
-            Ok(Res::json(200, &body).with("etag", revision.to_string()))
+            Ok(Res::json(200, &body).with_header("etag", revision.to_string()))
         }
         ("PUT", ["admin", "v1", "config"]) => put_config(shared, req).await,
         ("GET", ["admin", "v1", "history"]) => {
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -30,7 +30,7 @@
         answered.unwrap_or_else(|e| refusal(&shared, &e))
     }
 
-    fn unreadable(&self, too_large: bool) -> Res {
+    fn unreadable_body(&self, too_large: bool) -> Res {
         let error = if too_large {
             let most = self.shared.settings.body_limit();
             Error::new(Kind::TooLarge, format!("a body has at most {most} bytes"))
@@ -51,9 +51,9 @@
 /// Returns the answer to an error.
 pub fn refusal(shared: &Shared, error: &Error) -> Res {
     let res = Res::json(error.status(), &error.body());
-    let res = res.with("x-oriolehitch-instance", shared.me.clone());
+    let res = res.with_header("x-oriolehitch-instance", shared.me.clone());
     match error.retry_after_secs {
-        Some(secs) => res.with("retry-after", secs.to_string()),
+        Some(secs) => res.with_header("retry-after", secs.to_string()),
         None => res,
     }
 }
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -30,8 +30,8 @@
 /// A running instance.
 pub struct Instance {
     shared: Arc<Shared>,
-    callers: web::Handle,
-    admin: web::Handle,
+    callers: web::ServerHandle,
+    admin: web::ServerHandle,
     peer: jsonrpsee_server::ServerHandle,
     peer_addr: SocketAddr,
 }
--- a/crates/entry/src/pipe/chat.rs
+++ b/crates/entry/src/pipe/chat.rs
@@ -48,7 +48,7 @@
         }
         Err(error) => {
             cx.step(format!("ends with {error}"));
-            let code = error.kind.answer().code;
+            let code = error.kind.response().code;
             out.fail(error).await;
             code
         }
--- a/crates/entry/src/pipe/forward.rs
+++ b/crates/entry/src/pipe/forward.rs
@@ -71,7 +71,7 @@
     };
     let code = match &end {
         Ok(_) => "ok",
-        Err(error) => error.kind.answer().code,
+        Err(error) => error.kind.response().code,
     };
     cx.step(format!("ends with {code}"));
     cx.shared.metrics.ended(code);
@@ -189,7 +189,7 @@
     };
     let url = format!("{}{rest}{query}", upstream.url);
     let mut call = http
-        .request(web::method(&req.method), url)
+        .request(web::parse_method(&req.method), url)
         .header("x-request-id", &cx.id)
         .header("x-customer", &cx.customer)
         .timeout(Duration::from_millis(cx.left_ms().max(1)))
--- a/crates/entry/src/pipe/relay.rs
+++ b/crates/entry/src/pipe/relay.rs
@@ -60,7 +60,7 @@
     /// Sends a part of a streamed answer; a caller that left is noticed by `left`.
     async fn send(&mut self, cx: &Cx, part: Bytes) {
         if let Some(head) = self.head.take() {
-            let (tx, res) = Res::events();
+            let (tx, res) = Res::event_stream();
             self.parts = Some(tx);
             let _ = head.send(Ok(headers(cx, res)));
         }
@@ -77,7 +77,7 @@
                     "id": format!("chatcmpl-{}", cx.id), "object": "chat.completion.chunk",
                     "model": chat.model, "choices": [], "usage": self.usage,
                 });
-                self.send(cx, web::event(&usage)).await;
+                self.send(cx, web::sse_event(&usage)).await;
             }
             self.send(cx, "data: [DONE]\n\n".into()).await;
             return;
@@ -114,9 +114,9 @@
 
 /// Adds the headers that every answer has.
 pub fn headers(cx: &Cx, res: Res) -> Res {
-    res.with("x-request-id", cx.id.clone())
-        .with("x-oriolehitch-instance", cx.shared.me.clone())
-        .with("x-oriolehitch-attempts", cx.attempts.to_string())
+    res.with_header("x-request-id", cx.id.clone())
+        .with_header("x-oriolehitch-instance", cx.shared.me.clone())
+        .with_header("x-oriolehitch-attempts", cx.attempts.to_string())
 }
 
 /// How an attempt ended.
@@ -308,7 +308,7 @@
         fields.insert("id".to_string(), format!("chatcmpl-{}", cx.id).into());
         fields.insert("model".to_string(), chat.model.clone().into());
     }
-    out.send(cx, web::event(&event)).await;
+    out.send(cx, web::sse_event(&event)).await;
 }
 
 /// An end mark counts only when every token that the upstream billed has come.
--- a/crates/err/src/lib.rs
+++ b/crates/err/src/lib.rs
@@ -73,7 +73,7 @@
 
 /// How a kind of error is answered.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// The kind.
     pub kind: Kind,
     /// The code in the answer's body.
@@ -92,8 +92,8 @@
     status: u16,
     ran: Ran,
     retry_after_secs: Option<u32>,
-) -> Answer {
-    Answer {
+) -> ErrorResponse {
+    ErrorResponse {
         kind,
         code,
         status,
@@ -103,7 +103,7 @@
 }
 
 /// Every kind with its answer.
-pub const ANSWERS: &[Answer] = &[
+pub const ERROR_RESPONSES: &[ErrorResponse] = &[
     row(Kind::BadRequest, "bad_request", 400, Ran::No, None),
     row(Kind::TooLarge, "too_large", 413, Ran::No, None),
     row(Kind::UnknownKey, "unknown_key", 401, Ran::No, None),
@@ -172,8 +172,8 @@
     /// # Panics
     ///
     /// Panics when the table lacks the kind; a test holds them together.
-    pub fn answer(self) -> &'static Answer {
-        ANSWERS
+    pub fn response(self) -> &'static ErrorResponse {
+        ERROR_RESPONSES
             .iter()
             .find(|a| a.kind == self)
             .expect("every kind has a row")
@@ -196,7 +196,7 @@
 impl Error {
     /// Makes an error with the answer that its kind has in the table.
     pub fn new(kind: Kind, message: impl Into<String>) -> Self {
-        let answer = kind.answer();
+        let answer = kind.response();
         Error {
             kind,
             message: message.into(),
@@ -219,7 +219,7 @@
 
     /// Returns the HTTP status.
     pub fn status(&self) -> u16 {
-        self.kind.answer().status
+        self.kind.response().status
     }
 
     /// Returns the answer's JSON body.
@@ -231,7 +231,7 @@
         };
         json!({"error": {
             "type": class,
-            "code": self.kind.answer().code,
+            "code": self.kind.response().code,
             "message": self.message,
             "ran": self.ran,
         }})
@@ -240,7 +240,7 @@
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.kind.answer().code, self.message)
+        write!(f, "{}: {}", self.kind.response().code, self.message)
     }
 }
 
--- a/crates/err/tests/page.rs
+++ b/crates/err/tests/page.rs
@@ -1,11 +1,11 @@
 //! Holds docs/ERRORS.md and the table of answers together.
 
-use err::{Ran, ANSWERS};
+use err::{Ran, ERROR_RESPONSES};
 
 #[test]
 fn page_shows_the_table() {
     let page = include_str!("../../../docs/ERRORS.md");
-    for answer in ANSWERS {
+    for answer in ERROR_RESPONSES {
         let ran = match answer.ran {
             Ran::No => "no",
             Ran::Unknown => "unknown",
@@ -21,13 +21,17 @@
         assert!(page.contains(&row), "docs/ERRORS.md lacks {row}");
     }
     let rows = page.lines().filter(|l| l.starts_with("| `")).count();
-    assert_eq!(rows, ANSWERS.len(), "docs/ERRORS.md has a row too many");
+    assert_eq!(
+        rows,
+        ERROR_RESPONSES.len(),
+        "docs/ERRORS.md has a row too many"
+    );
 }
 
 #[test]
 fn every_kind_has_its_own_code() {
-    let mut codes: Vec<_> = ANSWERS.iter().map(|a| a.code).collect();
+    let mut codes: Vec<_> = ERROR_RESPONSES.iter().map(|a| a.code).collect();
     codes.sort_unstable();
     codes.dedup();
-    assert_eq!(codes.len(), ANSWERS.len());
+    assert_eq!(codes.len(), ERROR_RESPONSES.len());
 }
--- a/crates/oriolehitch/src/operate.rs
+++ b/crates/oriolehitch/src/operate.rs
@@ -62,7 +62,7 @@
         let url = format!("{}{path}", self.url);
         let mut req = self
             .http
-            .request(web::method(method), &url)
+            .request(web::parse_method(method), &url)
             .timeout(TIMEOUT);
         if let Some(key) = &self.key {
             req = req.bearer_auth(key);
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -72,8 +72,8 @@
     calls: StoreCalls,
     phase: watch::Sender<Phase>,
     stop_timeout: Duration,
-    ready: web::Handle,
-    ops: Option<web::Handle>,
+    ready: web::ServerHandle,
+    ops: Option<web::ServerHandle>,
     peer: jsonrpsee_server::ServerHandle,
 }
 
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -68,7 +68,7 @@
     }
 
     fn log_refusal(&self, info: Option<&RequestInfo>, refusal: &Refusal) {
-        let code = refusal.error.kind.answer().code;
+        let code = refusal.error.kind.response().code;
         self.metrics.count_request("", code);
         let detail = format_args!(
             "code={code} ran={:?} retry_ms={:?} why={}",
--- a/crates/stub/src/engine.rs
+++ b/crates/stub/src/engine.rs
@@ -100,7 +100,7 @@
     /// # Errors
     ///
     /// Returns why the address can't be bound.
-    pub async fn bind(setup: Setup) -> Result<web::Handle, String> {
+    pub async fn bind(setup: Setup) -> Result<web::ServerHandle, String> {
         let inner = Inner {
             runs: Runs::default(),
             faults: Faults::default(),
@@ -156,13 +156,13 @@
         let mut inner = self.inner.lock().expect("no panic inside");
         let known = inner.runs.get(&request).is_some();
         if !known && (inner.faults.refuse || inner.faults.draining) {
-            return fault(503, "draining").with("x-not-run", "1");
+            return fault(503, "draining").with_header("x-not-run", "1");
         }
         if !known && !self.setup.models.contains(&chat.model) {
-            return fault(404, "no such model").with("x-not-run", "1");
+            return fault(404, "no such model").with_header("x-not-run", "1");
         }
         if !known && from.is_some() {
-            return fault(404, "no such request").with("x-not-run", "1");
+            return fault(404, "no such request").with_header("x-not-run", "1");
         }
         if inner
             .runs
@@ -173,10 +173,10 @@
         }
         let prefix = prefix(&chat);
         if inner.runs.begin(run, prefix) == Begin::Cancelled {
-            return fault(409, "cancelled").with("x-not-run", "1");
+            return fault(409, "cancelled").with_header("x-not-run", "1");
         }
         drop(inner);
-        let (tx, res) = Res::events();
+        let (tx, res) = Res::event_stream();
         tokio::spawn(stream(Arc::clone(self), request, from.unwrap_or(0), tx));
         res
     }
@@ -335,7 +335,7 @@
             if engine.cuts(&request, at) {
                 return;
             }
-            if tx.send(web::event(&token(&request, at))).await.is_err() {
+            if tx.send(web::sse_event(&token(&request, at))).await.is_err() {
                 return;
             }
             at += 1;
@@ -366,8 +366,8 @@
             "total_tokens": run.prompt + run.produced,
         },
     });
-    let _ = tx.send(web::event(&last)).await;
-    let _ = tx.send(web::event(&usage)).await;
+    let _ = tx.send(web::sse_event(&last)).await;
+    let _ = tx.send(web::sse_event(&usage)).await;
     let _ = tx.send("data: [DONE]\n\n".into()).await;
 }
 
--- a/crates/stub/src/platform.rs
+++ b/crates/stub/src/platform.rs
@@ -57,7 +57,7 @@
     /// # Errors
     ///
     /// Returns why the address can't be bound.
-    pub async fn bind(addr: SocketAddr) -> Result<web::Handle, String> {
+    pub async fn bind(addr: SocketAddr) -> Result<web::ServerHandle, String> {
         let platform = Arc::new(Platform {
             store: Mutex::default(),
             faults: Mutex::default(),
@@ -139,7 +139,7 @@
         self.counts.watches.fetch_add(1, Ordering::Relaxed);
         let mut changed = self.changed.subscribe();
         let platform = Arc::clone(self);
-        let (tx, mut res) = Res::events();
+        let (tx, mut res) = Res::event_stream();
         res.headers = vec![("content-type", "application/json".to_string())];
         tokio::spawn(async move {
             let _ = tx.send("{\"result\":{\"created\":true}}\n".into()).await;
@@ -239,7 +239,7 @@
                 served.unwrap_or_else(|_| Res {
                     status: 500,
                     headers: Vec::new(),
-                    body: Body::Whole("fault".into()),
+                    body: Body::Full("fault".into()),
                 })
             }
         }
--- a/crates/stub/src/service.rs
+++ b/crates/stub/src/service.rs
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// Returns why the address can't be bound.
-    pub async fn bind(setup: Setup) -> Result<web::Handle, String> {
+    pub async fn bind(setup: Setup) -> Result<web::ServerHandle, String> {
         let service = Arc::new(Service {
             runs: Mutex::default(),
             faults: Mutex::default(),
@@ -91,7 +91,7 @@
     async fn run(&self, req: Req) -> Res {
         let faults = *self.faults.lock().expect("no panic inside");
         if faults.refuse {
-            return Res::json(503, &json!({"error": "draining"})).with("x-not-run", "1");
+            return Res::json(503, &json!({"error": "draining"})).with_header("x-not-run", "1");
         }
         let run = Run {
             request: req.header("x-request-id").unwrap_or_default().to_string(),
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -41,7 +41,7 @@
     /// The body.
     pub body: Bytes,
     /// Who sent it.
-    pub remote: SocketAddr,
+    pub remote_addr: SocketAddr,
 }
 
 impl Req {
@@ -69,9 +69,9 @@
 #[derive(Debug)]
 pub enum Body {
     /// It is whole.
-    Whole(Bytes),
+    Full(Bytes),
     /// It comes in parts, until the sender is dropped.
-    Parts(mpsc::Receiver<Bytes>),
+    Stream(mpsc::Receiver<Bytes>),
 }
 
 /// An answer.
@@ -101,12 +101,12 @@
         Res {
             status,
             headers: vec![("content-type", media.to_string())],
-            body: Body::Whole(body.into()),
+            body: Body::Full(body.into()),
         }
     }
 
     /// Makes an answer of server-sent events, and the sender of its parts.
-    pub fn events() -> (mpsc::Sender<Bytes>, Res) {
+    pub fn event_stream() -> (mpsc::Sender<Bytes>, Res) {
         let (tx, rx) = mpsc::channel(STREAM_DEPTH);
         let res = Res {
             status: 200,
@@ -114,20 +114,20 @@
                 ("content-type", "text/event-stream".to_string()),
                 ("cache-control", "no-cache".to_string()),
             ],
-            body: Body::Parts(rx),
+            body: Body::Stream(rx),
         };
         (tx, res)
     }
 
     /// Adds a header.
-    pub fn with(mut self, name: &'static str, value: impl Into<String>) -> Res {
+    pub fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Res {
         self.headers.push((name, value.into()));
         self
     }
 }
 
 /// Returns one server-sent event of JSON.
-pub fn event(value: &Value) -> Bytes {
+pub fn sse_event(value: &Value) -> Bytes {
     Bytes::from(format!("data: {value}\n\n"))
 }
 
@@ -137,7 +137,7 @@
     fn call(self: Arc<Self>, req: Req) -> impl Future<Output = Res> + Send;
 
     /// Answers a request whose body could not be read.
-    fn unreadable(&self, too_large: bool) -> Res {
+    fn unreadable_body(&self, too_large: bool) -> Res {
         let status = if too_large { 413 } else { 400 };
         Res::new(status, "text/plain", "the body can't be read")
     }
@@ -159,7 +159,7 @@
     ) {
         let answer = match take(req, self.body_limit).await {
             Ok(req) => Arc::clone(&self.service).call(req).await,
-            Err(too_large) => self.service.unreadable(too_large),
+            Err(too_large) => self.service.unreadable_body(too_large),
         };
         give(answer, res);
     }
@@ -184,7 +184,7 @@
         query: req.uri().query().unwrap_or_default().to_string(),
         headers: req.headers().clone(),
         body,
-        remote: remote.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0))),
+        remote_addr: remote.unwrap_or_else(|| SocketAddr::from(([0, 0, 0, 0], 0))),
     })
 }
 
@@ -202,10 +202,10 @@
         }
     }
     match answer.body {
-        Body::Whole(bytes) => {
+        Body::Full(bytes) => {
             res.body(bytes);
         }
-        Body::Parts(rx) => {
+        Body::Stream(rx) => {
             res.stream(ReceiverStream::new(rx).map(Ok::<Bytes, std::io::Error>));
         }
     }
@@ -213,12 +213,12 @@
 
 /// A running listener.
 #[derive(Clone)]
-pub struct Handle {
+pub struct ServerHandle {
     addr: SocketAddr,
     server: salvo::server::ServerHandle,
 }
 
-impl Handle {
+impl ServerHandle {
     /// Returns the address that it listens on.
     pub fn addr(&self) -> SocketAddr {
         self.addr
@@ -239,7 +239,7 @@
     addr: SocketAddr,
     body_limit: usize,
     service: Arc<S>,
-) -> Result<Handle, String> {
+) -> Result<ServerHandle, String> {
     let listener = TcpListener::new(addr).try_bind().await;
     let acceptor = listener.map_err(|e| format!("{addr}: {e}"))?;
     let holding = acceptor.holdings().first().map(|h| h.local_addr.clone());
@@ -255,13 +255,13 @@
     http1.header_read_timeout(HEADER_TIMEOUT);
     let handle = server.handle();
     tokio::spawn(server.serve(router));
-    Ok(Handle {
+    Ok(ServerHandle {
         addr,
         server: handle,
     })
 }
 
 /// Returns the method for a name.
-pub fn method(name: &str) -> Method {
+pub fn parse_method(name: &str) -> Method {
     Method::from_bytes(name.as_bytes()).unwrap_or(Method::GET)
 }
--- a/crates/web/tests/edge.rs
+++ b/crates/web/tests/edge.rs
@@ -22,7 +22,7 @@
     }
 }
 
-async fn open() -> (web::Handle, TcpStream) {
+async fn open() -> (web::ServerHandle, TcpStream) {
     let addr = "127.0.0.1:0".parse().expect("an address");
     let handle = web::bind(addr, LIMIT, Arc::new(Echo))
         .await
