--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -9,7 +9,7 @@
 use budget::{Event, Role, Shard, ShardRecord};
 use conf::bundle::{Change, Head};
 use conf::{Bundle, Config, Customer, Template};
-use peer::{Member, Members, Standing, Told};
+use peer::{Member, Membership, MembershipUpdate, Status};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 use route::pool::Criteria;
@@ -188,27 +188,27 @@
             region: "region-1".to_string(),
             zone: "zone-1".to_string(),
             peer_addr: "127.0.0.1:12345".to_string(),
-            standing: Standing::Live,
-            beat: 1_000,
+            status: Status::Live,
+            heartbeat: 1_000,
             revision: 1_000,
         };
-        let mut members = Members::open(member(0));
-        let told = Told {
+        let mut members = Membership::new(member(0));
+        let told = MembershipUpdate {
             members: (1..count).map(member).collect(),
-            beats: Vec::new(),
+            heartbeats: Vec::new(),
         };
-        members.hear(0, told.clone());
+        members.merge(0, told.clone());
         // Heartbeats later, the members are no news any more.
         let mut later = told;
-        later.members.iter_mut().for_each(|m| m.beat += 1);
-        members.hear(NOW - 1_000, later);
+        later.members.iter_mut().for_each(|m| m.heartbeat += 1);
+        members.merge(NOW - 1_000, later);
         let mut rng = StdRng::seed_from_u64(1);
-        let told = members.tell(NOW, &mut rng);
+        let told = members.compose_update(NOW, &mut rng);
         let bytes = serde_json::to_vec(&told).expect("members are JSON").len();
         let round = time(|| {
-            let told = members.tell(NOW, &mut rng);
-            members.hear(NOW, told);
-            (members.live(NOW).len(), members.silent(NOW).len())
+            let told = members.compose_update(NOW, &mut rng);
+            members.merge(NOW, told);
+            (members.live(NOW).len(), members.silent_or_left(NOW).len())
         });
         println!("| {count} | {bytes} | {round:.0} |");
     }
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peer::{Member, Standing, Told};
+use peer::{Member, MembershipUpdate, Status};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
@@ -29,7 +29,7 @@
         let now = shared.clock.now();
         let partner = {
             let mut members = shared.members.lock().expect("no panic inside");
-            members.beat(now, &mut rng)
+            members.start_round(now, &mut rng)
         };
         settle_members(&shared, &mut silent);
         let Some((partner, told)) = partner else {
@@ -49,7 +49,11 @@
         .expect("no panic inside")
         .set_instance_count(live);
     let now = shared.clock.now();
-    let quiet = shared.members.lock().expect("no panic inside").silent(now);
+    let quiet = shared
+        .members
+        .lock()
+        .expect("no panic inside")
+        .silent_or_left(now);
     let quiet: BTreeSet<String> = quiet.into_iter().collect();
     let news: Vec<String> = quiet.difference(silent).cloned().collect();
     for id in &news {
@@ -61,7 +65,7 @@
     *silent = quiet;
 }
 
-async fn talk(shared: Arc<Shared>, partner: Member, told: Told) {
+async fn talk(shared: Arc<Shared>, partner: Member, told: MembershipUpdate) {
     let msg = message(&shared, told);
     let addr = &partner.peer_addr;
     let reply = shared
@@ -73,7 +77,7 @@
     }
 }
 
-fn message(shared: &Shared, told: Told) -> GossipMsg {
+fn message(shared: &Shared, told: MembershipUpdate) -> GossipMsg {
     GossipMsg {
         told,
         revision: shared.revision(),
@@ -89,7 +93,7 @@
     let mut rng = StdRng::from_os_rng();
     let told = {
         let members = shared.members.lock().expect("no panic inside");
-        members.tell(now, &mut rng)
+        members.compose_update(now, &mut rng)
     };
     message(shared, told)
 }
@@ -98,10 +102,10 @@
     let now = shared.clock.now();
     let news = {
         let mut members = shared.members.lock().expect("no panic inside");
-        members.hear(now, msg.told)
+        members.merge(now, msg.told)
     };
     for member in &news {
-        let detail = format!("{} {:?}", member.id, member.standing);
+        let detail = format!("{} {:?}", member.id, member.status);
         shared.log(Event::Member, detail);
     }
     if !news.is_empty() {
@@ -123,22 +127,22 @@
 }
 
 /// Tells every living instance at once, for news that must not wait.
-pub async fn tell_all(shared: &Arc<Shared>, standing: Option<Standing>) {
+pub async fn tell_all(shared: &Arc<Shared>, standing: Option<Status>) {
     let (me, live) = {
         let mut members = shared.members.lock().expect("no panic inside");
         if let Some(standing) = standing {
-            members.set_standing(standing);
+            members.set_status(standing);
         }
-        (members.me().clone(), members.live(shared.clock.now()))
+        (members.local().clone(), members.live(shared.clock.now()))
     };
     let mut talks = Vec::new();
     for member in live.into_iter().filter(|m| m.id != shared.me).take(16) {
         let talk = talk(
             Arc::clone(shared),
             member,
-            Told {
+            MembershipUpdate {
                 members: vec![me.clone()],
-                beats: Vec::new(),
+                heartbeats: Vec::new(),
             },
         );
         talks.push(tokio::spawn(talk));
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{anyhow, Result};
 use conf::Settings;
-use peer::{Member, Members, Standing};
+use peer::{Member, Membership, Status};
 use route::{Pool, RetryBudget};
 use tokio::sync::watch;
 
@@ -110,7 +110,7 @@
             Event::Stopping,
             format!("{} under way", *shared.busy.borrow()),
         );
-        gossip::tell_all(shared, Some(Standing::Leaving)).await;
+        gossip::tell_all(shared, Some(Status::Leaving)).await;
         tokio::time::sleep(NOTICE).await;
         let limit = Duration::from_millis(shared.settings.drain_ms());
         let whole = tokio::select! {
@@ -118,7 +118,7 @@
             () = hurry => false,
         };
         if whole {
-            gossip::tell_all(shared, Some(Standing::Left)).await;
+            gossip::tell_all(shared, Some(Status::Left)).await;
             registry::delist(shared).await;
             shared.log(Event::Stopped, "nothing cut off");
         } else {
@@ -156,8 +156,8 @@
         region: settings.region.clone(),
         zone: settings.zone.clone(),
         peer_addr: peer_addr.to_string(),
-        standing: Standing::Live,
-        beat: 1,
+        status: Status::Live,
+        heartbeat: 1,
         revision: 0,
     };
     Ok(Shared {
@@ -171,7 +171,7 @@
         pool: Mutex::new(Pool::default()),
         admission: Mutex::new(Admission::default()),
         retry: Mutex::new(RetryBudget::default()),
-        members: Mutex::new(Members::open(member)),
+        members: Mutex::new(Membership::new(member)),
         peers: Peers::default(),
         metrics: Metrics::open(),
         journal: Journal::default(),
--- a/crates/entry/src/msg.rs
+++ b/crates/entry/src/msg.rs
@@ -3,7 +3,7 @@
 use budget::msg::{AttemptRef, ReserveRequest, UnconfirmedUsage};
 use budget::Settlement;
 use conf::{Chunk, Head};
-use peer::Told;
+use peer::MembershipUpdate;
 use serde::{Deserialize, Serialize};
 
 /// A reservation, as one instance asks another.
@@ -98,7 +98,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct GossipMsg {
     /// What the sender knows of instances, itself first.
-    pub told: Told,
+    pub told: MembershipUpdate,
     /// The revision of the sender's configuration.
     pub revision: u64,
     /// Upstreams that are leaving.
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kv::{Client, KeyValue, SwapResult};
-use peer::{Member, Standing};
+use peer::{Member, Status};
 use route::Spec;
 use tokio::time::timeout;
 
@@ -35,8 +35,13 @@
     let mut lease = None;
     let mut written = None;
     loop {
-        let me = shared.members.lock().expect("no panic inside").me().clone();
-        if me.standing == Standing::Left {
+        let me = shared
+            .members
+            .lock()
+            .expect("no panic inside")
+            .local()
+            .clone();
+        if me.status == Status::Left {
             return;
         }
         let alive = match lease {
@@ -47,9 +52,9 @@
             lease = shared.kv.create_lease(TTL_SECS).await.ok();
             written = None;
         }
-        if let (Some(id), true) = (lease, written != Some(me.standing)) {
+        if let (Some(id), true) = (lease, written != Some(me.status)) {
             if put(&shared.kv, &me, id).await {
-                written = Some(me.standing);
+                written = Some(me.status);
             }
         }
         tokio::time::sleep(RENEW_EVERY).await;
@@ -112,7 +117,7 @@
     let now = shared.clock.now();
     let (present, left) = {
         let mut table = shared.members.lock().expect("no panic inside");
-        table.introduce(now, members.clone());
+        table.add_listed(now, members.clone());
         presence(&table.all(now), &members)
     };
     shared.bank.set_presence(present, left);
@@ -126,7 +131,7 @@
 
 /// Returns the holders that are present by anyone's word, and those that have left by their own.
 fn presence(known: &[(Member, u64)], listed: &[Member]) -> (Vec<String>, Vec<String>) {
-    let has_left = |m: &&Member| m.standing == Standing::Left;
+    let has_left = |m: &&Member| m.status == Status::Left;
     let all = known.iter().map(|(m, _)| m).chain(listed);
     let (left, present): (Vec<&Member>, Vec<&Member>) = all.partition(has_left);
     let ids = |list: Vec<&Member>| list.into_iter().map(|m| m.id.clone()).collect();
@@ -145,7 +150,12 @@
 
 /// Takes this instance's entry out of the list, by ending its word.
 pub async fn delist(shared: &Shared) {
-    let me = shared.members.lock().expect("no panic inside").me().clone();
+    let me = shared
+        .members
+        .lock()
+        .expect("no panic inside")
+        .local()
+        .clone();
     if let Ok(lease) = shared.kv.create_lease(1).await {
         // The entry then ends with the short lease; if this fails, with the old one.
         put(&shared.kv, &me, lease).await;
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -6,7 +6,7 @@
 use budget::placement::Candidate;
 use claim::AttemptStatus;
 use conf::{Bundle, Config, Settings};
-use peer::{Member, Members, Standing};
+use peer::{Member, Membership, Status};
 use route::{Pool, RetryBudget};
 use tokio::sync::watch;
 
@@ -76,7 +76,7 @@
     /// Retries in store.
     pub retry: Mutex<RetryBudget>,
     /// Instances.
-    pub members: Mutex<Members>,
+    pub members: Mutex<Membership>,
     /// Clients of other instances.
     pub peers: Peers,
     /// Metrics.
@@ -120,13 +120,13 @@
     }
 
     /// Returns what this instance says of itself.
-    pub fn standing(&self) -> Standing {
-        self.members.lock().expect("no panic inside").me().standing
+    pub fn standing(&self) -> Status {
+        self.members.lock().expect("no panic inside").local().status
     }
 
     /// Returns whether new requests are taken.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Standing::Live && self.active().is_some()
+        self.standing() == Status::Live && self.active().is_some()
     }
 
     /// Returns the living instances.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -25,7 +25,7 @@
 /// What an instance says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Standing {
+pub enum Status {
     /// It takes work.
     Live,
     /// It is stopping as planned.
@@ -46,9 +46,11 @@
     /// Where its peers reach it.
     pub peer_addr: String,
     /// What it says of itself.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub status: Status,
     /// Goes up with each of its heartbeats.
-    pub beat: u64,
+    #[serde(rename = "beat")]
+    pub heartbeat: u64,
     /// The revision of the configuration that is in force there.
     pub revision: u64,
 }
@@ -62,7 +64,7 @@
 
 /// A heartbeat of an instance that the listener knows: a fourth of a whole member's bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat(
+pub struct Heartbeat(
     /// Its incarnation.
     pub String,
     /// The heartbeat.
@@ -73,11 +75,12 @@
 
 /// What one instance tells another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct MembershipUpdate {
     /// The teller first, then the instances that changed lately.
     pub members: Vec<Member>,
     /// Heartbeats of some others.
-    pub beats: Vec<Beat>,
+    #[serde(rename = "beats")]
+    pub heartbeats: Vec<Heartbeat>,
 }
 
 #[derive(Clone, Debug)]
@@ -89,54 +92,58 @@
 
 /// All instances that one instance knows of.
 #[derive(Clone, Debug)]
-pub struct Members {
-    me: Member,
+pub struct Membership {
+    local: Member,
     seen: BTreeMap<String, Seen>,
 }
 
-impl Members {
+impl Membership {
     /// Opens a table that knows this instance only.
-    pub fn open(me: Member) -> Members {
-        Members {
-            me,
+    pub fn new(me: Member) -> Membership {
+        Membership {
+            local: me,
             seen: BTreeMap::new(),
         }
     }
 
     /// Returns this instance.
-    pub fn me(&self) -> &Member {
-        &self.me
+    pub fn local(&self) -> &Member {
+        &self.local
     }
 
     /// Changes what this instance says of itself.
-    pub fn set_standing(&mut self, standing: Standing) {
-        self.me.standing = standing;
-        self.me.beat += 1;
+    pub fn set_status(&mut self, standing: Status) {
+        self.local.status = standing;
+        self.local.heartbeat += 1;
     }
 
     /// Changes the revision that this instance says it runs.
     pub fn set_revision(&mut self, revision: u64) {
-        self.me.revision = revision;
-        self.me.beat += 1;
+        self.local.revision = revision;
+        self.local.heartbeat += 1;
     }
 
     /// Beats, and returns the partner to talk to and what to tell it.
-    pub fn beat(&mut self, now: u64, rng: &mut impl Rng) -> Option<(Member, Told)> {
-        self.me.beat += 1;
+    pub fn start_round(
+        &mut self,
+        now: u64,
+        rng: &mut impl Rng,
+    ) -> Option<(Member, MembershipUpdate)> {
+        self.local.heartbeat += 1;
         self.seen.retain(|_, s| now < s.heard_at + FORGET_MS);
         let partners = self
             .seen
             .values()
-            .filter(|s| s.member.standing != Standing::Left);
+            .filter(|s| s.member.status != Status::Left);
         let partner = partners.choose(rng)?.member.clone();
-        let tell = self.tell(now, rng);
+        let tell = self.compose_update(now, rng);
         Some((partner, tell))
     }
 
     /// Returns what to tell a partner: oneself, the news, and some others.
-    pub fn tell(&self, now: u64, rng: &mut impl Rng) -> Told {
-        let suspect = self.suspect_ms();
-        let live = |s: &&Seen| now < s.heard_at + suspect || s.member.standing == Standing::Left;
+    pub fn compose_update(&self, now: u64, rng: &mut impl Rng) -> MembershipUpdate {
+        let suspect = self.suspect_timeout_ms();
+        let live = |s: &&Seen| now < s.heard_at + suspect || s.member.status == Status::Left;
         let mut known: Vec<&Seen> = self.seen.values().filter(live).collect();
         known.sort_by_key(|s| std::cmp::Reverse(s.changed_at));
         let is_news = |s: &&&Seen| now < s.changed_at + NEWS_MS;
@@ -144,34 +151,34 @@
         let mut rest = known.split_off(news);
         rest.shuffle(rng);
         rest.truncate(MESSAGE_MOST);
-        let beat = |s: &Seen| Beat(s.member.id.clone(), s.member.beat, s.member.revision);
+        let beat = |s: &Seen| Heartbeat(s.member.id.clone(), s.member.heartbeat, s.member.revision);
         let others = known.into_iter().map(|s| s.member.clone());
-        Told {
-            members: std::iter::once(self.me.clone()).chain(others).collect(),
-            beats: rest.into_iter().map(beat).collect(),
+        MembershipUpdate {
+            members: std::iter::once(self.local.clone()).chain(others).collect(),
+            heartbeats: rest.into_iter().map(beat).collect(),
         }
     }
 
     /// Takes in what a partner told; returns the members that are new or changed their standing.
-    pub fn hear(&mut self, now: u64, told: Told) -> Vec<Member> {
-        for Beat(id, beat, revision) in told.beats {
+    pub fn merge(&mut self, now: u64, told: MembershipUpdate) -> Vec<Member> {
+        for Heartbeat(id, beat, revision) in told.heartbeats {
             // One that is not known is told whole by somebody, or is in the instance list.
-            if let Some(seen) = self.seen.get_mut(&id).filter(|s| s.member.beat < beat) {
+            if let Some(seen) = self.seen.get_mut(&id).filter(|s| s.member.heartbeat < beat) {
                 seen.heard_at = now;
-                seen.member.beat = beat;
+                seen.member.heartbeat = beat;
                 seen.member.revision = revision;
             }
         }
         let mut news = Vec::new();
         for member in told.members {
-            if member.id == self.me.id {
+            if member.id == self.local.id {
                 continue;
             }
             match self.seen.get_mut(&member.id) {
-                Some(seen) if seen.member.beat >= member.beat => {}
+                Some(seen) if seen.member.heartbeat >= member.heartbeat => {}
                 Some(seen) => {
                     seen.heard_at = now;
-                    if seen.member.standing != member.standing {
+                    if seen.member.status != member.status {
                         seen.changed_at = now;
                         news.push(member.clone());
                     }
@@ -187,9 +194,9 @@
     }
 
     /// Takes in the instance list: it introduces instances, but never speaks for their health.
-    pub fn introduce(&mut self, now: u64, listed: Vec<Member>) {
+    pub fn add_listed(&mut self, now: u64, listed: Vec<Member>) {
         for member in listed {
-            if member.id != self.me.id && !self.seen.contains_key(&member.id) {
+            if member.id != self.local.id && !self.seen.contains_key(&member.id) {
                 self.insert(now, member);
             }
         }
@@ -205,33 +212,31 @@
     }
 
     /// Returns the silence after which an instance is suspected, in milliseconds.
-    pub fn suspect_ms(&self) -> u64 {
+    pub fn suspect_timeout_ms(&self) -> u64 {
         SUSPECT_MS.max(self.seen.len() as u64 * SUSPECT_EACH_MS)
     }
 
     /// Returns the instances that take work, this one among them unless it is leaving.
     pub fn live(&self, now: u64) -> Vec<Member> {
-        let suspect = self.suspect_ms();
+        let suspect = self.suspect_timeout_ms();
         let fresh = |s: &&Seen| now < s.heard_at + suspect;
         let live = self.seen.values().filter(fresh).map(|s| &s.member);
-        let all = std::iter::once(&self.me).chain(live);
-        all.filter(|m| m.standing == Standing::Live)
-            .cloned()
-            .collect()
+        let all = std::iter::once(&self.local).chain(live);
+        all.filter(|m| m.status == Status::Live).cloned().collect()
     }
 
     /// Returns an instance by its incarnation.
     pub fn get(&self, id: &str) -> Option<&Member> {
-        if id == self.me.id {
-            return Some(&self.me);
+        if id == self.local.id {
+            return Some(&self.local);
         }
         self.seen.get(id).map(|s| &s.member)
     }
 
     /// Returns the instances that are silent, or have left.
-    pub fn silent(&self, now: u64) -> Vec<String> {
-        let suspect = self.suspect_ms();
-        let gone = |s: &&Seen| now >= s.heard_at + suspect || s.member.standing == Standing::Left;
+    pub fn silent_or_left(&self, now: u64) -> Vec<String> {
+        let suspect = self.suspect_timeout_ms();
+        let gone = |s: &&Seen| now >= s.heard_at + suspect || s.member.status == Status::Left;
         let ids = self.seen.values().filter(gone);
         ids.map(|s| s.member.id.clone()).collect()
     }
@@ -240,7 +245,7 @@
     pub fn all(&self, now: u64) -> Vec<(Member, u64)> {
         let row = |s: &Seen| (s.member.clone(), now - s.heard_at.min(now));
         let others = self.seen.values().map(row);
-        std::iter::once((self.me.clone(), 0))
+        std::iter::once((self.local.clone(), 0))
             .chain(others)
             .collect()
     }
--- a/crates/peer/tests/encoding.rs
+++ b/crates/peer/tests/encoding.rs
@@ -1,22 +1,22 @@
 //! Instances of other versions read the gossip, and the entries in the store: their encoding stays.
 
-use peer::{Beat, Member, Standing, Told};
+use peer::{Heartbeat, Member, MembershipUpdate, Status};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_json::value::RawValue;
 
 #[test]
 fn gossip_keeps_its_encoding() {
-    assert_kept::<Told>(include_str!("data/outer/told.json"));
+    assert_kept::<MembershipUpdate>(include_str!("data/outer/told.json"));
     assert_kept::<Member>(include_str!("data/outer/members.json"));
-    assert_kept::<Beat>(include_str!("data/outer/beats.json"));
-    assert_kept::<Standing>(include_str!("data/outer/standings.json"));
+    assert_kept::<Heartbeat>(include_str!("data/outer/beats.json"));
+    assert_kept::<Status>(include_str!("data/outer/standings.json"));
 }
 
 /// The log names these.
 #[test]
 fn standings_keep_their_texts() {
-    let standings = [Standing::Live, Standing::Leaving, Standing::Left];
+    let standings = [Status::Live, Status::Leaving, Status::Left];
     assert_eq!(format!("{standings:?}"), "[Live, Leaving, Left]");
 }
 
