--- a/crates/entry/src/admin.rs
+++ b/crates/entry/src/admin.rs
@@ -75,7 +75,7 @@
 fn authorize(shared: &SharedState, req: &Req) -> Result<(), Error> {
     let unauthorized = |m: &str| Err(Error::new(Kind::UnknownKey, m));
     match &shared.settings.admin_key {
-        None if req.remote.ip().is_loopback() => Ok(()),
+        None if req.remote_addr.ip().is_loopback() => Ok(()),
         None => unauthorized(
             "without admin_key in the settings, the admin API accepts loopback connections only",
         ),
@@ -101,7 +101,7 @@
             let active = active_config(shared)?;
             let revision = active.bundle.head.revision;
             let body = json!({"revision": revision, "config": active.config});
-            Ok(Res::json(200, &body).with("etag", revision.to_string()))
+            Ok(Res::json(200, &body).with_header("etag", revision.to_string()))
         }
         ("PUT", ["admin", "v1", "config"]) => put_config(shared, req).await,
         ("GET", ["admin", "v1", "history"]) => {
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -30,7 +30,7 @@
         response.unwrap_or_else(|e| error_response(&shared, &e))
     }
 
-    fn unreadable(&self, too_large: bool) -> Res {
+    fn unreadable_body(&self, too_large: bool) -> Res {
         let error = if too_large {
             let max_bytes = self.shared.settings.body_limit();
             Error::new(
@@ -57,9 +57,9 @@
 /// Returns the response for an error.
 pub fn error_response(shared: &SharedState, error: &Error) -> Res {
     let res = Res::json(error.status(), &error.body());
-    let res = res.with("x-oriolehitch-instance", shared.own_id.clone());
+    let res = res.with_header("x-oriolehitch-instance", shared.own_id.clone());
     match error.retry_after_secs {
-        Some(secs) => res.with("retry-after", secs.to_string()),
+        Some(secs) => res.with_header("retry-after", secs.to_string()),
         None => res,
     }
 }
--- a/crates/entry/src/config_change.rs
+++ b/crates/entry/src/config_change.rs
@@ -73,7 +73,7 @@
         at_ms: wall_ms(),
         what: request.summary,
     };
-    let bundle = Bundle::next(&head, &request.config, change);
+    let bundle = Bundle::build(&head, &request.config, change);
     for (hash, text) in &bundle.chunks {
         if !head.chunks.contains(hash) {
             // If the key exists, it holds the same chunk, since the key is the hash of the value.
--- a/crates/entry/src/config_sync.rs
+++ b/crates/entry/src/config_sync.rs
@@ -59,11 +59,11 @@
         return;
     }
     let mut bundle = bundle_with_known_chunks(shared, head);
-    for hash in bundle.missing() {
+    for hash in bundle.missing_chunks() {
         match shared.kv.get(&format!("{CHUNK_KEY_PREFIX}{hash}")).await {
             Ok(Some(found)) => {
                 let text = String::from_utf8_lossy(&found.value).into_owned();
-                bundle.add(Chunk { hash, text });
+                bundle.add_chunk(Chunk { hash, text });
             }
             Ok(None) | Err(_) => return,
         }
@@ -185,9 +185,9 @@
         }
         let mut bundle = bundle_with_known_chunks(&shared, head);
         for chunk in chunks {
-            bundle.add(chunk);
+            bundle.add_chunk(chunk);
         }
-        if bundle.missing().is_empty() {
+        if bundle.missing_chunks().is_empty() {
             apply(&shared, bundle);
         }
     });
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use peer::{Member, Standing, Told};
+use peer::{Member, MembershipUpdate, Status};
 use rand::rngs::StdRng;
 use rand::SeedableRng;
 
@@ -29,7 +29,7 @@
         let now = shared.clock.now();
         let next = {
             let mut members = shared.members.lock().expect("lock not poisoned");
-            members.beat(now, &mut rng)
+            members.start_round(now, &mut rng)
         };
         update_members(&shared, &mut known_unresponsive);
         let Some((peer, update)) = next else {
@@ -54,7 +54,7 @@
         .members
         .lock()
         .expect("lock not poisoned")
-        .silent(now);
+        .silent_or_left(now);
     let unresponsive: BTreeSet<String> = unresponsive.into_iter().collect();
     let newly_unresponsive: Vec<String> = unresponsive
         .difference(known_unresponsive)
@@ -70,7 +70,7 @@
 }
 
 /// Sends an update to a peer and applies its reply.
-async fn exchange(shared: Arc<SharedState>, peer: Member, update: Told) {
+async fn exchange(shared: Arc<SharedState>, peer: Member, update: MembershipUpdate) {
     let msg = build_message(&shared, update);
     let addr = &peer.peer_addr;
     let reply = shared
@@ -82,7 +82,7 @@
     }
 }
 
-fn build_message(shared: &SharedState, update: Told) -> GossipMsg {
+fn build_message(shared: &SharedState, update: MembershipUpdate) -> GossipMsg {
     GossipMsg {
         membership: update,
         revision: shared.config_revision(),
@@ -98,7 +98,7 @@
     let mut rng = StdRng::from_os_rng();
     let update = {
         let members = shared.members.lock().expect("lock not poisoned");
-        members.tell(now, &mut rng)
+        members.compose_update(now, &mut rng)
     };
     build_message(shared, update)
 }
@@ -107,10 +107,10 @@
     let now = shared.clock.now();
     let changed = {
         let mut members = shared.members.lock().expect("lock not poisoned");
-        members.hear(now, msg.membership)
+        members.merge(now, msg.membership)
     };
     for member in &changed {
-        let detail = format!("{} {:?}", member.id, member.standing);
+        let detail = format!("{} {:?}", member.id, member.status);
         shared.log(Event::MembershipChanged, detail);
     }
     if !changed.is_empty() {
@@ -133,22 +133,22 @@
 
 /// Sends this instance's state, with a new standing if one is given, to up to 16 live instances at
 /// once; others learn of it by gossip.
-pub async fn broadcast(shared: &Arc<SharedState>, standing: Option<Standing>) {
+pub async fn broadcast(shared: &Arc<SharedState>, standing: Option<Status>) {
     let (me, live) = {
         let mut members = shared.members.lock().expect("lock not poisoned");
         if let Some(standing) = standing {
-            members.set_standing(standing);
+            members.set_status(standing);
         }
-        (members.me().clone(), members.live(shared.clock.now()))
+        (members.local().clone(), members.live(shared.clock.now()))
     };
     let mut exchanges = Vec::new();
     for member in live.into_iter().filter(|m| m.id != shared.own_id).take(16) {
         let exchange = exchange(
             Arc::clone(shared),
             member,
-            Told {
+            MembershipUpdate {
                 members: vec![me.clone()],
-                beats: Vec::new(),
+                heartbeats: Vec::new(),
             },
         );
         exchanges.push(tokio::spawn(exchange));
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -6,7 +6,7 @@
 
 use anyhow::{anyhow, Result};
 use conf::Settings;
-use peer::{Member, Members, Standing};
+use peer::{Member, Membership, Status};
 use route::{Pool, RetryBudget};
 use tokio::sync::watch;
 
@@ -37,8 +37,8 @@
 /// A running instance.
 pub struct Instance {
     shared: Arc<SharedState>,
-    callers: web::Handle,
-    admin: web::Handle,
+    callers: web::ServerHandle,
+    admin: web::ServerHandle,
     peer: jsonrpsee_server::ServerHandle,
     peer_addr: SocketAddr,
 }
@@ -119,7 +119,7 @@
             Event::Stopping,
             format!("{} in flight", *shared.in_flight.borrow()),
         );
-        gossip::broadcast(shared, Some(Standing::Leaving)).await;
+        gossip::broadcast(shared, Some(Status::Leaving)).await;
         tokio::time::sleep(READINESS_NOTICE).await;
         let limit = Duration::from_millis(shared.settings.drain_ms());
         let clean = tokio::select! {
@@ -127,7 +127,7 @@
             () = abort => false,
         };
         if clean {
-            gossip::broadcast(shared, Some(Standing::Left)).await;
+            gossip::broadcast(shared, Some(Status::Left)).await;
             registry::remove_entry(shared).await;
             shared.log(Event::Stopped, "nothing aborted");
         } else {
@@ -169,8 +169,8 @@
         region: settings.region.clone(),
         zone: settings.zone.clone(),
         peer_addr: peer_addr.to_string(),
-        standing: Standing::Live,
-        beat: 1,
+        status: Status::Live,
+        heartbeat: 1,
         revision: 0,
     };
     Ok(SharedState {
@@ -184,7 +184,7 @@
         pool: Mutex::new(Pool::default()),
         wait_queues: Mutex::new(WaitQueues::default()),
         retry_budget: Mutex::new(RetryBudget::default()),
-        members: Mutex::new(Members::open(member)),
+        members: Mutex::new(Membership::new(member)),
         peers: PeerClients::default(),
         metrics: Metrics::create(),
         journal: RequestJournal::default(),
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -5,7 +5,7 @@
 use budget::msg::{AttemptRef, ReserveRequest, UnconfirmedUsage};
 use budget::Settlement;
 use conf::{Chunk, Head};
-use peer::Told;
+use peer::MembershipUpdate;
 use serde::{Deserialize, Serialize};
 
 /// A request to a home to reserve tokens.
@@ -108,7 +108,7 @@
 pub struct GossipMsg {
     /// What the sender knows about the instances; the first one is the sender.
     #[serde(rename = "told")]
-    pub membership: Told,
+    pub membership: MembershipUpdate,
     /// The revision of the sender's active configuration.
     pub revision: u64,
     /// Ids of the upstreams that are leaving.
--- a/crates/entry/src/pipeline/chat.rs
+++ b/crates/entry/src/pipeline/chat.rs
@@ -48,7 +48,7 @@
         }
         Err(error) => {
             cx.record_step(format!("finished with error {error}"));
-            let code = error.kind.answer().code;
+            let code = error.kind.response().code;
             response.fail(error).await;
             code
         }
--- a/crates/entry/src/pipeline/service_call.rs
+++ b/crates/entry/src/pipeline/service_call.rs
@@ -75,7 +75,7 @@
     };
     let code = match &result {
         Ok(_) => "ok",
-        Err(error) => error.kind.answer().code,
+        Err(error) => error.kind.response().code,
     };
     cx.record_step(format!("finished with {code}"));
     cx.shared.metrics.count_request(code);
@@ -205,7 +205,7 @@
     };
     let url = format!("{}{rest}{query}", upstream.url);
     let mut request = http
-        .request(web::method(&req.method), url)
+        .request(web::parse_method(&req.method), url)
         .header("x-request-id", &cx.id)
         .header("x-customer", &cx.customer)
         .timeout(Duration::from_millis(cx.remaining_ms().max(1)))
--- a/crates/entry/src/pipeline/stream.rs
+++ b/crates/entry/src/pipeline/stream.rs
@@ -66,7 +66,7 @@
     /// notices a caller that has disconnected.
     async fn send_event(&mut self, cx: &RequestContext, event: Bytes) {
         if let Some(head) = self.head.take() {
-            let (tx, res) = Res::events();
+            let (tx, res) = Res::event_stream();
             self.body = Some(tx);
             let _ = head.send(Ok(add_headers(cx, res)));
         }
@@ -83,7 +83,7 @@
                     "id": format!("chatcmpl-{}", cx.id), "object": "chat.completion.chunk",
                     "model": chat.model, "choices": [], "usage": self.usage,
                 });
-                self.send_event(cx, web::event(&usage)).await;
+                self.send_event(cx, web::sse_event(&usage)).await;
             }
             self.send_event(cx, "data: [DONE]\n\n".into()).await;
             return;
@@ -121,9 +121,9 @@
 
 /// Adds the headers that every successful response has.
 pub fn add_headers(cx: &RequestContext, res: Res) -> Res {
-    res.with("x-request-id", cx.id.clone())
-        .with("x-oriolehitch-instance", cx.shared.own_id.clone())
-        .with("x-oriolehitch-attempts", cx.attempts.to_string())
+    res.with_header("x-request-id", cx.id.clone())
+        .with_header("x-oriolehitch-instance", cx.shared.own_id.clone())
+        .with_header("x-oriolehitch-attempts", cx.attempts.to_string())
 }
 
 /// How an attempt ended.
@@ -362,7 +362,7 @@
         fields.insert("id".to_string(), format!("chatcmpl-{}", cx.id).into());
         fields.insert("model".to_string(), chat.model.clone().into());
     }
-    response.send_event(cx, web::event(&event)).await;
+    response.send_event(cx, web::sse_event(&event)).await;
 }
 
 /// Returns the end of the attempt after the `[DONE]` marker. The response is complete only if all
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kv::{Client, KeyValue, SwapResult};
-use peer::{Member, Standing};
+use peer::{Member, Status};
 use route::Spec;
 use tokio::time::timeout;
 
@@ -44,9 +44,9 @@
             .members
             .lock()
             .expect("lock not poisoned")
-            .me()
+            .local()
             .clone();
-        if me.standing == Standing::Left {
+        if me.status == Status::Left {
             return;
         }
         let is_valid = match lease {
@@ -57,9 +57,9 @@
             lease = shared.kv.create_lease(LEASE_TTL_SECS).await.ok();
             written = None;
         }
-        if let (Some(id), true) = (lease, written != Some(me.standing)) {
+        if let (Some(id), true) = (lease, written != Some(me.status)) {
             if put_entry(&shared.kv, &me, id).await {
-                written = Some(me.standing);
+                written = Some(me.status);
             }
         }
         tokio::time::sleep(RENEW_INTERVAL).await;
@@ -125,7 +125,7 @@
     let now = shared.clock.now();
     let (present, left) = {
         let mut table = shared.members.lock().expect("lock not poisoned");
-        table.introduce(now, members.clone());
+        table.add_listed(now, members.clone());
         presence(&table.all(now), &members)
     };
     shared.budgets.set_presence(present, left);
@@ -140,7 +140,7 @@
 /// Returns the ids of the instances that are present according to gossip or the list, and of those
 /// that have announced that they left.
 fn presence(known: &[(Member, u64)], listed: &[Member]) -> (Vec<String>, Vec<String>) {
-    let has_left = |m: &&Member| m.standing == Standing::Left;
+    let has_left = |m: &&Member| m.status == Status::Left;
     let all = known.iter().map(|(m, _)| m).chain(listed);
     let (left, present): (Vec<&Member>, Vec<&Member>) = all.partition(has_left);
     let ids = |list: Vec<&Member>| list.into_iter().map(|m| m.id.clone()).collect();
@@ -163,7 +163,7 @@
         .members
         .lock()
         .expect("lock not poisoned")
-        .me()
+        .local()
         .clone();
     if let Ok(lease) = shared.kv.create_lease(1).await {
         // If the write fails, the entry expires with its previous lease.
--- a/crates/entry/src/shared_state.rs
+++ b/crates/entry/src/shared_state.rs
@@ -6,7 +6,7 @@
 use budget::placement::Candidate;
 use claim::AttemptStatus;
 use conf::{Bundle, Config, Settings};
-use peer::{Member, Members, Standing};
+use peer::{Member, Membership, Status};
 use route::{Pool, RetryBudget};
 use tokio::sync::watch;
 
@@ -36,7 +36,7 @@
     ///
     /// Returns which chunk is missing or invalid.
     pub fn from_bundle(bundle: Bundle) -> Result<ActiveConfig, String> {
-        let config = bundle.config()?;
+        let config = bundle.assemble()?;
         let mut customer_by_key_hash = BTreeMap::new();
         for (name, customer) in &config.customers {
             for hash in &customer.key_hashes {
@@ -76,7 +76,7 @@
     /// The retries that are currently allowed.
     pub retry_budget: Mutex<RetryBudget>,
     /// The known instances of all regions.
-    pub members: Mutex<Members>,
+    pub members: Mutex<Membership>,
     /// Clients of other instances.
     pub peers: PeerClients,
     /// Metrics.
@@ -120,17 +120,17 @@
     }
 
     /// Returns the standing that this instance announces.
-    pub fn standing(&self) -> Standing {
+    pub fn standing(&self) -> Status {
         self.members
             .lock()
             .expect("lock not poisoned")
-            .me()
-            .standing
+            .local()
+            .status
     }
 
     /// Returns whether new requests are accepted.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Standing::Live && self.active_config().is_some()
+        self.standing() == Status::Live && self.active_config().is_some()
     }
 
     /// Returns the live instances of all regions.
