--- a/crates/oriolehitch/src/operate.rs
+++ b/crates/oriolehitch/src/admin.rs
@@ -15,14 +15,14 @@
 use crate::flags::stranded::{Stranded, StrandedCmd};
 use crate::flags::template::{Template, TemplateCmd};
 use crate::flags::Dump;
-use crate::table::table;
+use crate::table::format_table;
 use crate::Outcome;
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 const CONFLICT: u16 = 412;
 
 /// A connection to the operators' listener of an instance.
-pub struct Operator {
+pub struct AdminClient {
     http: reqwest::Client,
     url: String,
     key: Option<String>,
@@ -30,17 +30,17 @@
 
 /// An answer of the operators' listener.
 #[derive(Debug)]
-pub struct Answer {
+pub struct AdminResponse {
     /// The status.
     pub status: u16,
     /// The body.
     pub body: Value,
 }
 
-impl Operator {
+impl AdminClient {
     /// Opens a connection; nothing is sent yet.
-    pub fn open(url: &str, key: Option<String>) -> Operator {
-        Operator {
+    pub fn new(url: &str, key: Option<String>) -> AdminClient {
+        AdminClient {
             http: reqwest::Client::new(),
             url: url.trim_end_matches('/').to_string(),
             key,
@@ -58,7 +58,7 @@
         path: &str,
         body: Option<&Value>,
         expected: Option<u64>,
-    ) -> Result<Answer> {
+    ) -> Result<AdminResponse> {
         let url = format!("{}{path}", self.url);
         let mut req = self
             .http
@@ -76,7 +76,7 @@
         let res = req.send().await.with_context(|| anyhow!("{url}"))?;
         let status = res.status().as_u16();
         let body = res.json().await.unwrap_or_default();
-        Ok(Answer { status, body })
+        Ok(AdminResponse { status, body })
     }
 
     async fn get(&self, path: &str) -> Result<Value> {
@@ -116,9 +116,9 @@
         let revision = &answer.body["revision"];
         Ok(match answer.status {
             200 if change.dry_run => {
-                Outcome::Done(format!("valid; would be revision {revision}\n"))
+                Outcome::Success(format!("valid; would be revision {revision}\n"))
             }
-            200 => Outcome::Done(format!("revision {revision} accepted\n")),
+            200 => Outcome::Success(format!("revision {revision} accepted\n")),
             _ => failed(&answer),
         })
     }
@@ -141,12 +141,12 @@
     message.unwrap_or("no answer").to_string()
 }
 
-fn failed(answer: &Answer) -> Outcome {
+fn failed(answer: &AdminResponse) -> Outcome {
     let text = format!("{}\n", message(&answer.body));
     if answer.status == CONFLICT {
         Outcome::Conflict(text)
     } else {
-        Outcome::Refused(text)
+        Outcome::Failure(text)
     }
 }
 
@@ -157,10 +157,10 @@
 /// Prints rows as a table, or as JSON for programs.
 fn print(json: bool, rows: &Value, columns: &[&str]) -> Outcome {
     let text = match rows.as_array() {
-        Some(list) if !json => table(list, columns),
+        Some(list) if !json => format_table(list, columns),
         _ => pretty(rows),
     };
-    Outcome::Done(text)
+    Outcome::Success(text)
 }
 
 fn read_json(file: &Path) -> Result<Value> {
@@ -175,9 +175,9 @@
 ///
 /// Returns why there is no answer.
 pub async fn config(flags: crate::flags::config::Config) -> Result<Outcome> {
-    let operator = Operator::open(&flags.admin, flags.key);
+    let operator = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
-        ConfigCmd::Show(_) => Ok(Outcome::Done(pretty(
+        ConfigCmd::Show(_) => Ok(Outcome::Success(pretty(
             &operator.get("/admin/v1/config").await?,
         ))),
         ConfigCmd::History(_) => {
@@ -188,7 +188,7 @@
         ConfigCmd::Diff(cmd) => {
             let (config, revision) = operator.config().await?;
             let lines = diff(&serde_json::to_value(config)?, &read_json(&cmd.file)?);
-            Ok(Outcome::Done(format!(
+            Ok(Outcome::Success(format!(
                 "against revision {revision}\n{lines}"
             )))
         }
@@ -233,7 +233,7 @@
 
 /// Changes one named part of the configuration, or deletes it.
 async fn change_part(
-    operator: &Operator,
+    operator: &AdminClient,
     part: &str,
     name: &str,
     value: Option<Value>,
@@ -250,7 +250,7 @@
             format!("{part}/{name} set")
         }
         None if parts.remove(name).is_some() => format!("{part}/{name} deleted"),
-        None => return Ok(Outcome::Refused(format!("there is no {part}/{name}\n"))),
+        None => return Ok(Outcome::Failure(format!("there is no {part}/{name}\n"))),
     };
     let change = Change {
         config,
@@ -263,7 +263,7 @@
 }
 
 async fn list_part(
-    operator: &Operator,
+    operator: &AdminClient,
     part: &str,
     json: bool,
     columns: &[&str],
@@ -271,7 +271,7 @@
     let (config, _) = operator.config().await?;
     let config = serde_json::to_value(config)?;
     if json {
-        return Ok(Outcome::Done(pretty(&config[part])));
+        return Ok(Outcome::Success(pretty(&config[part])));
     }
     let mut rows = Vec::new();
     for (name, value) in config[part].as_object().into_iter().flatten() {
@@ -279,7 +279,7 @@
         row["name"] = json!(name);
         rows.push(row);
     }
-    Ok(Outcome::Done(table(&rows, columns)))
+    Ok(Outcome::Success(format_table(&rows, columns)))
 }
 
 /// Runs `template`.
@@ -288,7 +288,7 @@
 ///
 /// Returns why there is no answer.
 pub async fn template(flags: Template) -> Result<Outcome> {
-    let operator = Operator::open(&flags.admin, flags.key);
+    let operator = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
         TemplateCmd::List(_) => {
             let columns = [
@@ -325,7 +325,7 @@
 ///
 /// Returns why there is no answer.
 pub async fn customer(flags: Customer) -> Result<Outcome> {
-    let operator = Operator::open(&flags.admin, flags.key);
+    let operator = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
         CustomerCmd::List(_) => {
             let columns = ["name", "template", "priority", "models"];
@@ -349,7 +349,7 @@
         CustomerCmd::HashKey(_) => {
             let mut key = String::new();
             std::io::stdin().read_to_string(&mut key)?;
-            Ok(Outcome::Done(format!(
+            Ok(Outcome::Success(format!(
                 "{}\n",
                 conf::customer::hash_key(key.trim())
             )))
@@ -363,7 +363,7 @@
 ///
 /// Returns why there is no answer.
 pub async fn budget(flags: Budget) -> Result<Outcome> {
-    let operator = Operator::open(&flags.admin, flags.key);
+    let operator = AdminClient::new(&flags.admin, flags.key);
     let path = "/admin/v1/budgets";
     match flags.subcommand {
         BudgetCmd::List(_) => {
@@ -374,7 +374,7 @@
         }
         BudgetCmd::Show(cmd) => {
             let row = operator.get(&format!("{path}/{}", cmd.customer)).await?;
-            Ok(Outcome::Done(pretty(&row)))
+            Ok(Outcome::Success(pretty(&row)))
         }
         BudgetCmd::Bills(cmd) => {
             let rows = operator
@@ -388,7 +388,7 @@
             let path = format!("{path}/{}/topups", cmd.customer);
             let answer = operator.send("POST", &path, Some(&body), None).await?;
             Ok(match answer.status {
-                200 => Outcome::Done(format!("{}: {} tokens added\n", cmd.customer, cmd.tokens)),
+                200 => Outcome::Success(format!("{}: {} tokens added\n", cmd.customer, cmd.tokens)),
                 _ => failed(&answer),
             })
         }
@@ -401,7 +401,7 @@
 ///
 /// Returns why there is no answer.
 pub async fn stranded(flags: Stranded) -> Result<Outcome> {
-    let operator = Operator::open(&flags.admin, flags.key);
+    let operator = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
         StrandedCmd::List(_) => {
             let rows = operator.get("/admin/v1/stranded").await?;
@@ -417,7 +417,7 @@
             let path = format!("/admin/v1/stranded/{}/release", cmd.customer);
             let answer = operator.send("POST", &path, Some(&body), None).await?;
             Ok(match answer.status {
-                200 => Outcome::Done(format!("{} tokens released\n", answer.body["tokens"])),
+                200 => Outcome::Success(format!("{} tokens released\n", answer.body["tokens"])),
                 _ => failed(&answer),
             })
         }
@@ -430,10 +430,10 @@
 ///
 /// Returns why there is no answer.
 pub async fn dump(flags: Dump) -> Result<Outcome> {
-    let operator = Operator::open(&flags.admin, flags.key);
+    let operator = AdminClient::new(&flags.admin, flags.key);
     let path = match flags.request {
         Some(id) => format!("/dump/requests/{id}"),
         None => "/dump".to_string(),
     };
-    Ok(Outcome::Done(pretty(&operator.get(&path).await?)))
+    Ok(Outcome::Success(pretty(&operator.get(&path).await?)))
 }
--- a/crates/oriolehitch/src/calls.rs
+++ b/crates/oriolehitch/src/calls.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 use crate::flags::Calls;
-use crate::logs::{self, Line};
+use crate::log_report::{self, LogLine};
 use crate::Outcome;
 
 /// Calls by sort, as a line of a log names it: TASK.CALL.END.STORE.
@@ -24,11 +24,11 @@
         columns.insert(0, "second");
     }
     let every = cmd.every.map(|e| e.max(1));
-    logs::report(&cmd.logs, cmd.json, &columns, |lines| rows(lines, every))
+    log_report::run_report(&cmd.logs, cmd.json, &columns, |lines| rows(lines, every))
 }
 
 /// Returns the rows: one for each sort of calls, or one for each in each stretch of `every` seconds.
-fn rows(lines: &[(String, Line)], every: Option<u64>) -> Vec<Value> {
+fn rows(lines: &[(String, LogLine)], every: Option<u64>) -> Vec<Value> {
     let first = &lines[0].1;
     let mut before: BTreeMap<&str, Counts> = BTreeMap::new();
     let mut sums: BTreeMap<(u64, String), u64> = BTreeMap::new();
--- a/crates/oriolehitch/src/check.rs
+++ b/crates/oriolehitch/src/check.rs
@@ -12,9 +12,9 @@
 pub fn run(flags: &Check) -> Outcome {
     let faults: String = flags.files.iter().map(|f| check(f)).collect();
     if faults.is_empty() {
-        Outcome::Done(String::new())
+        Outcome::Success(String::new())
     } else {
-        Outcome::Refused(faults)
+        Outcome::Failure(faults)
     }
 }
 
@@ -29,7 +29,7 @@
     } else {
         Settings::parse(&text).err()
     };
-    lines(file, &faults.unwrap_or_default())
+    format_faults(file, &faults.unwrap_or_default())
 }
 
 /// A file with templates or customers is a configuration, any other one has settings.
@@ -39,7 +39,7 @@
 }
 
 /// Returns a line for each fault.
-pub fn lines(file: &Path, faults: &[Fault]) -> String {
+pub fn format_faults(file: &Path, faults: &[Fault]) -> String {
     let line = |f: &Fault| format!("{}: {f}\n", file.display());
     faults.iter().map(line).collect()
 }
--- a/crates/oriolehitch/src/dev.rs
+++ b/crates/oriolehitch/src/dev.rs
@@ -10,11 +10,11 @@
 use stub::platform::Platform;
 use stub::service::{self, Service};
 
+use crate::admin::AdminClient;
 use crate::flags::Dev;
-use crate::operate::Operator;
-use crate::serve::{self, Signals};
-use crate::stubs::loopback;
-use crate::{log, Outcome};
+use crate::serve::{self, ShutdownSignals};
+use crate::stubs::loopback_addr;
+use crate::{logging, Outcome};
 
 const ZONES: [&str; 3] = ["hall-keflavik", "hall-grindavik", "hall-sandgerdi"];
 const INSTANCES: usize = 3;
@@ -32,7 +32,7 @@
 ///
 /// Returns what can't start.
 pub async fn run(flags: Dev) -> Result<Outcome> {
-    log::start(flags.log.as_deref());
+    logging::init_stderr(flags.log.as_deref());
     let config = match &flags.config {
         None => SAMPLE.to_string(),
         Some(file) => std::fs::read_to_string(file)
@@ -42,18 +42,20 @@
         Ok(parsed) => parsed,
         Err(faults) => {
             let file = flags.config.unwrap_or_else(|| "sample".into());
-            return Ok(Outcome::Refused(crate::check::lines(&file, &faults)));
+            return Ok(Outcome::Failure(crate::check::format_faults(
+                &file, &faults,
+            )));
         }
     };
     let base = match &flags.settings {
         None => Settings::default(),
-        Some(file) => match serve::read(file)? {
+        Some(file) => match serve::read_settings(file)? {
             Ok(settings) => settings,
-            Err(faults) => return Ok(Outcome::Refused(faults)),
+            Err(faults) => return Ok(Outcome::Failure(faults)),
         },
     };
-    let mut signals = Signals::open()?;
-    let platform = Platform::bind(loopback(None)).await;
+    let mut signals = ShutdownSignals::new()?;
+    let platform = Platform::bind(loopback_addr(None)).await;
     let platform = platform.map_err(|e| anyhow!(e))?;
     let url = format!("http://{}", platform.addr());
     stand_ins(&url, &parsed).await?;
@@ -69,11 +71,11 @@
         instances[0].addr()
     );
     println!("answer {}", ask(&instances[0], &body).await?);
-    signals.next().await;
+    signals.recv().await;
     for instance in instances {
-        instance.stop(signals.next()).await;
+        instance.stop(signals.recv()).await;
     }
-    Ok(Outcome::Done(String::new()))
+    Ok(Outcome::Success(String::new()))
 }
 
 async fn stand_ins(platform: &str, config: &Config) -> Result<()> {
@@ -90,7 +92,7 @@
     models.dedup();
     for (i, zone) in ZONES.iter().take(2).enumerate() {
         let setup = engine::Setup {
-            addr: loopback(None),
+            addr: loopback_addr(None),
             name: format!("engine-{}", i + 1),
             zone: (*zone).to_string(),
             models: models.clone(),
@@ -103,7 +105,7 @@
     }
     for name in services {
         let setup = service::Setup {
-            addr: loopback(None),
+            addr: loopback_addr(None),
             name: format!("{name}-1"),
             zone: ZONES[0].to_string(),
             service: name,
@@ -127,9 +129,9 @@
         settings.region = "reykjanes".to_string();
         settings.zone = ZONES[i % ZONES.len()].to_string();
         settings.platform = platform.to_string();
-        settings.listen = Some(loopback(port.filter(|_| i == 0)));
-        settings.admin_listen = Some(loopback(None));
-        settings.peer_listen = Some(loopback(None));
+        settings.listen = Some(loopback_addr(port.filter(|_| i == 0)));
+        settings.admin_listen = Some(loopback_addr(None));
+        settings.peer_listen = Some(loopback_addr(None));
         instances.push(Instance::spawn(settings).await?);
     }
     Ok(instances)
@@ -137,7 +139,7 @@
 
 /// Puts the configuration in force and gives each customer some tokens.
 async fn prepare(admin: &str, config: &Config) -> Result<()> {
-    let operator = Operator::open(admin, None);
+    let operator = AdminClient::new(admin, None);
     let body = json!({
         "config": config, "change_id": "dev", "who": "dev", "what": "sample configuration",
     });
--- a/crates/oriolehitch/src/flags.rs
+++ b/crates/oriolehitch/src/flags.rs
@@ -12,13 +12,13 @@
 use std::path::PathBuf;
 
 /// Commands that are parsed by their own module.
-pub const GROUPS: [&str; 5] = ["config", "template", "customer", "budget", "stranded"];
+pub const COMMAND_GROUPS: [&str; 5] = ["config", "template", "customer", "budget", "stranded"];
 
 /// A parsed command line.
 #[derive(Debug)]
 pub enum Flags {
     /// A process, or a single act.
-    Process(Oriolehitch),
+    TopLevel(Oriolehitch),
     /// Operators' acts on the configuration.
     Config(config::Config),
     /// Operators' acts on templates.
@@ -39,7 +39,7 @@
     /// Returns the usage error, or the help that was asked for.
     pub fn parse(mut args: Vec<OsString>) -> xflags::Result<Flags> {
         let first = args.first().and_then(|a| a.to_str()).unwrap_or_default();
-        let group = GROUPS.iter().find(|g| **g == first);
+        let group = COMMAND_GROUPS.iter().find(|g| **g == first);
         if group.is_some() {
             args.remove(0);
         }
@@ -49,7 +49,7 @@
             Some(&"customer") => customer::Customer::from_vec(args).map(Flags::Customer),
             Some(&"budget") => budget::Budget::from_vec(args).map(Flags::Budget),
             Some(&"stranded") => stranded::Stranded::from_vec(args).map(Flags::Stranded),
-            _ => Oriolehitch::from_vec(args).map(Flags::Process),
+            _ => Oriolehitch::from_vec(args).map(Flags::TopLevel),
         }
     }
 }
--- a/crates/oriolehitch/src/lib.rs
+++ b/crates/oriolehitch/src/lib.rs
@@ -1,15 +1,15 @@
 //! The commands of the program; `main` only prints what they return.
 
+pub mod admin;
 pub mod calls;
 pub mod check;
 pub mod dev;
 pub mod flags;
-pub mod fleet;
 pub mod load;
-pub mod log;
-mod logs;
-pub mod operate;
+mod log_report;
+pub mod logging;
 pub mod serve;
+pub mod serve_platform;
 pub mod stubs;
 pub mod table;
 pub mod tokens;
@@ -22,19 +22,19 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It is done; the text is for standard output.
-    Done(String),
+    Success(String),
     /// It was refused, or what it was given is invalid.
-    Refused(String),
+    Failure(String),
     /// Another operator was faster; the text says what is current.
     Conflict(String),
 }
 
 impl Outcome {
     /// Returns the exit code.
-    pub fn code(&self) -> u8 {
+    pub fn exit_code(&self) -> u8 {
         match self {
-            Outcome::Done(_) => 0,
-            Outcome::Refused(_) => 1,
+            Outcome::Success(_) => 0,
+            Outcome::Failure(_) => 1,
             Outcome::Conflict(_) => 3,
         }
     }
@@ -47,7 +47,7 @@
 /// Returns what kept it from running at all.
 pub fn run(flags: Flags) -> anyhow::Result<Outcome> {
     let runtime = match &flags {
-        Flags::Process(f) if is_small(&f.subcommand) => Builder::new_current_thread(),
+        Flags::TopLevel(f) if uses_one_thread(&f.subcommand) => Builder::new_current_thread(),
         _ => Builder::new_multi_thread(),
     };
     let runtime = { runtime }.enable_all().build()?;
@@ -55,25 +55,25 @@
 }
 
 /// Returns whether a command runs on a part of one core, where a second thread only costs switches.
-fn is_small(cmd: &OriolehitchCmd) -> bool {
+fn uses_one_thread(cmd: &OriolehitchCmd) -> bool {
     match cmd {
-        OriolehitchCmd::Serve(cmd) => serve::is_fleet(&cmd.settings),
+        OriolehitchCmd::Serve(cmd) => serve::file_has_platform_dialect(&cmd.settings),
         _ => false,
     }
 }
 
 async fn dispatch(flags: Flags) -> anyhow::Result<Outcome> {
     match flags {
-        Flags::Process(flags) => process(flags.subcommand).await,
-        Flags::Config(flags) => operate::config(flags).await,
-        Flags::Template(flags) => operate::template(flags).await,
-        Flags::Customer(flags) => operate::customer(flags).await,
-        Flags::Budget(flags) => operate::budget(flags).await,
-        Flags::Stranded(flags) => operate::stranded(flags).await,
+        Flags::TopLevel(flags) => run_top_level(flags.subcommand).await,
+        Flags::Config(flags) => admin::config(flags).await,
+        Flags::Template(flags) => admin::template(flags).await,
+        Flags::Customer(flags) => admin::customer(flags).await,
+        Flags::Budget(flags) => admin::budget(flags).await,
+        Flags::Stranded(flags) => admin::stranded(flags).await,
     }
 }
 
-async fn process(cmd: OriolehitchCmd) -> anyhow::Result<Outcome> {
+async fn run_top_level(cmd: OriolehitchCmd) -> anyhow::Result<Outcome> {
     match cmd {
         OriolehitchCmd::Serve(cmd) => serve::run(cmd).await,
         OriolehitchCmd::Dev(cmd) => dev::run(cmd).await,
@@ -83,6 +83,6 @@
         OriolehitchCmd::Load(cmd) => load::run(&cmd),
         OriolehitchCmd::Waits(cmd) => waits::run(&cmd),
         OriolehitchCmd::Stub(cmd) => stubs::run(cmd).await,
-        OriolehitchCmd::Dump(cmd) => operate::dump(cmd).await,
+        OriolehitchCmd::Dump(cmd) => admin::dump(cmd).await,
     }
 }
--- a/crates/oriolehitch/src/load.rs
+++ b/crates/oriolehitch/src/load.rs
@@ -7,7 +7,7 @@
 use serde_json::{json, Value};
 
 use crate::flags::Load;
-use crate::logs::{self, Line};
+use crate::log_report::{self, LogLine};
 use crate::Outcome;
 
 /// A quantity by instance.
@@ -20,12 +20,12 @@
 /// Returns which file can't be read.
 pub fn run(cmd: &Load) -> Result<Outcome> {
     let columns = ["what", "instances", "sum", "middle", "most", "at"];
-    logs::report(&cmd.logs, cmd.json, &columns, rows)
+    log_report::run_report(&cmd.logs, cmd.json, &columns, rows)
 }
 
 /// Returns a row for each quantity: the last that each incarnation logged, added up over an instance's incarnations; of
 /// memory and what is kept, the most.
-fn rows(lines: &[(String, Line)]) -> Vec<Value> {
+fn rows(lines: &[(String, LogLine)]) -> Vec<Value> {
     let mut ended: BTreeMap<&str, ByInstance<'_>> = BTreeMap::new();
     let mut newest: BTreeMap<&str, ByInstance<'_>> = BTreeMap::new();
     for (source, line) in lines {
--- a/crates/oriolehitch/src/logs.rs
+++ b/crates/oriolehitch/src/log_report.rs
@@ -6,20 +6,20 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use crate::table::table;
+use crate::table::format_table;
 use crate::Outcome;
 
 /// One line of a log, as far as it is read.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Line {
+pub(crate) struct LogLine {
     pub(crate) timestamp: jiff::Timestamp,
     pub(crate) event: u16,
     pub(crate) detail: String,
 }
 
-impl Line {
+impl LogLine {
     /// Returns the whole seconds since another line, 0 where that one is later.
-    pub(crate) fn seconds_since(&self, first: &Line) -> u64 {
+    pub(crate) fn seconds_since(&self, first: &LogLine) -> u64 {
         let since = self.timestamp.duration_since(first.timestamp);
         since.as_secs().max(0) as u64
     }
@@ -30,38 +30,38 @@
 /// # Errors
 ///
 /// Returns which file can't be read.
-pub(crate) fn report(
+pub(crate) fn run_report(
     files: &[PathBuf],
     json: bool,
     columns: &[&str],
-    rows: impl FnOnce(&[(String, Line)]) -> Vec<Value>,
+    rows: impl FnOnce(&[(String, LogLine)]) -> Vec<Value>,
 ) -> Result<Outcome> {
     let lines = read_all(files)?;
     if lines.is_empty() {
         let message = "no line of an instance's log in these files\n";
-        return Ok(Outcome::Refused(message.to_string()));
+        return Ok(Outcome::Failure(message.to_string()));
     }
     let rows = rows(&lines);
     let text = if json {
         format!("{}\n", Value::from(rows))
     } else {
-        table(&rows, columns)
+        format_table(&rows, columns)
     };
-    Ok(Outcome::Done(text))
+    Ok(Outcome::Success(text))
 }
 
 /// Reads logs; returns their lines in the order of their times, each with the name of its instance.
-fn read_all(files: &[PathBuf]) -> Result<Vec<(String, Line)>> {
+fn read_all(files: &[PathBuf]) -> Result<Vec<(String, LogLine)>> {
     let mut lines = Vec::new();
     for file in files {
-        lines.extend(read(file)?);
+        lines.extend(read_log(file)?);
     }
     lines.sort_by_key(|(_, line)| line.timestamp);
     Ok(lines)
 }
 
 /// Reads a log; what stands before a line's JSON names the instance, else the file does.
-fn read(file: &Path) -> Result<Vec<(String, Line)>> {
+fn read_log(file: &Path) -> Result<Vec<(String, LogLine)>> {
     let text = std::fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
     let parse = |line: &str| {
         let (before, _) = line.split_once('{')?;
--- a/crates/oriolehitch/src/log.rs
+++ b/crates/oriolehitch/src/logging.rs
@@ -6,23 +6,23 @@
 use tracing_subscriber::EnvFilter;
 
 /// Starts logging on standard error in a form, `text` or `json`; the default depends on the terminal.
-pub fn start(form: Option<&str>) {
+pub fn init_stderr(form: Option<&str>) {
     let terminal = std::io::stderr().is_terminal();
     let json = match form {
         Some(form) => form == "json",
         None => !terminal,
     };
     let writer = BoxMakeWriter::new(std::io::stderr);
-    begin("warn,entry=info", writer, json, terminal);
+    init("warn,entry=info", writer, json, terminal);
 }
 
 /// Starts logging on standard output, for a process whose standard output is its log.
-pub fn start_plain(form: Option<&str>) {
+pub fn init_stdout(form: Option<&str>) {
     let writer = BoxMakeWriter::new(std::io::stdout);
-    begin("warn,proxy=info", writer, form == Some("json"), false);
+    init("warn,proxy=info", writer, form == Some("json"), false);
 }
 
-fn begin(default: &str, writer: BoxMakeWriter, json: bool, ansi: bool) {
+fn init(default: &str, writer: BoxMakeWriter, json: bool, ansi: bool) {
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new(default));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
--- a/crates/oriolehitch/src/main.rs
+++ b/crates/oriolehitch/src/main.rs
@@ -18,10 +18,10 @@
     match oriolehitch_cli::run(flags) {
         Ok(outcome) => {
             match &outcome {
-                Outcome::Done(text) => print!("{text}"),
-                Outcome::Refused(text) | Outcome::Conflict(text) => eprint!("{text}"),
+                Outcome::Success(text) => print!("{text}"),
+                Outcome::Failure(text) | Outcome::Conflict(text) => eprint!("{text}"),
             }
-            ExitCode::from(outcome.code())
+            ExitCode::from(outcome.exit_code())
         }
         Err(e) => {
             eprintln!("oriolehitch: {e:#}");
--- a/crates/oriolehitch/src/serve.rs
+++ b/crates/oriolehitch/src/serve.rs
@@ -8,29 +8,29 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
 use crate::flags::Serve;
-use crate::{fleet, log, Outcome};
+use crate::{logging, serve_platform, Outcome};
 
 /// The signals that end a process.
-pub struct Signals {
+pub struct ShutdownSignals {
     interrupt: Signal,
     terminate: Signal,
 }
 
-impl Signals {
+impl ShutdownSignals {
     /// Starts to listen.
     ///
     /// # Errors
     ///
     /// Returns why the system refuses.
-    pub fn open() -> Result<Signals> {
-        Ok(Signals {
+    pub fn new() -> Result<ShutdownSignals> {
+        Ok(ShutdownSignals {
             interrupt: signal(SignalKind::interrupt())?,
             terminate: signal(SignalKind::terminate())?,
         })
     }
 
     /// Waits for the next signal.
-    pub async fn next(&mut self) {
+    pub async fn recv(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
             _ = self.terminate.recv() => {}
@@ -44,18 +44,18 @@
 ///
 /// Returns why the instance can't start.
 pub async fn run(flags: Serve) -> Result<Outcome> {
-    let mut settings = match read(&flags.settings)? {
+    let mut settings = match read_settings(&flags.settings)? {
         Ok(settings) => settings,
-        Err(faults) => return Ok(Outcome::Refused(faults)),
+        Err(faults) => return Ok(Outcome::Failure(faults)),
     };
     if flags.log.is_some() {
         settings.log = flags.log;
     }
-    if speaks_platform(&settings) {
-        return fleet::run(&flags.settings, settings).await;
+    if has_platform_dialect(&settings) {
+        return serve_platform::run(&flags.settings, settings).await;
     }
-    log::start(settings.log.as_deref());
-    let mut signals = Signals::open()?;
+    logging::init_stderr(settings.log.as_deref());
+    let mut signals = ShutdownSignals::new()?;
     let instance = Instance::spawn(settings).await?;
     println!(
         "ready http://{} admin http://{} peer {} id {}",
@@ -64,22 +64,22 @@
         instance.peer_addr(),
         instance.id(),
     );
-    signals.next().await;
-    let whole = instance.stop(signals.next()).await;
+    signals.recv().await;
+    let whole = instance.stop(signals.recv()).await;
     Ok(if whole {
-        Outcome::Done(String::new())
+        Outcome::Success(String::new())
     } else {
-        Outcome::Refused("the stop was cut short; the log says what it cut off\n".to_string())
+        Outcome::Failure("the stop was cut short; the log says what it cut off\n".to_string())
     })
 }
 
 /// Returns whether the settings are those of a fleet on the users' platform.
-pub fn is_fleet(file: &Path) -> bool {
+pub fn file_has_platform_dialect(file: &Path) -> bool {
     // Faults are reported when the command runs.
-    matches!(read(file), Ok(Ok(settings)) if speaks_platform(&settings))
+    matches!(read_settings(file), Ok(Ok(settings)) if has_platform_dialect(&settings))
 }
 
-fn speaks_platform(settings: &Settings) -> bool {
+fn has_platform_dialect(settings: &Settings) -> bool {
     settings.dialect.as_deref() == Some("platform")
 }
 
@@ -88,8 +88,8 @@
 /// # Errors
 ///
 /// Returns why the file can't be read.
-pub fn read(file: &Path) -> Result<Result<Settings, String>> {
+pub fn read_settings(file: &Path) -> Result<Result<Settings, String>> {
     let text = std::fs::read_to_string(file)
         .with_context(|| anyhow!("{} can't be read", file.display()))?;
-    Ok(Settings::parse(&text).map_err(|faults| crate::check::lines(file, &faults)))
+    Ok(Settings::parse(&text).map_err(|faults| crate::check::format_faults(file, &faults)))
 }
--- a/crates/oriolehitch/src/fleet.rs
+++ b/crates/oriolehitch/src/serve_platform.rs
@@ -10,8 +10,8 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{interval, MissedTickBehavior};
 
-use crate::serve::{self, Signals};
-use crate::{log, Outcome};
+use crate::serve::{self, ShutdownSignals};
+use crate::{logging, Outcome};
 
 /// How often the settings file is looked at: it may change without a signal.
 const LOOK_EVERY: Duration = Duration::from_secs(5);
@@ -22,9 +22,9 @@
 ///
 /// Returns why the instance can't start.
 pub async fn run(file: &Path, settings: Settings) -> Result<Outcome> {
-    log::start_plain(settings.log.as_deref());
+    logging::init_stdout(settings.log.as_deref());
     proxy::exit_on_panic();
-    let mut signals = Signals::open()?;
+    let mut signals = ShutdownSignals::new()?;
     let mut hangup = signal(SignalKind::hangup())?;
     let mut look = interval(LOOK_EVERY);
     look.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -37,23 +37,23 @@
     .await?;
     loop {
         tokio::select! {
-            () = signals.next() => break,
+            () = signals.recv() => break,
             _ = hangup.recv() => {}
             _ = look.tick() => {}
         }
         reload(file, &mut current, &instance);
     }
     Ok(if instance.stop().await {
-        Outcome::Done(String::new())
+        Outcome::Success(String::new())
     } else {
-        Outcome::Refused("the stop was cut short; the log says what it cut off\n".to_string())
+        Outcome::Failure("the stop was cut short; the log says what it cut off\n".to_string())
     })
 }
 
 /// Reads the settings again. Addresses and bounds hold from the start of a process to its end, so a
 /// change is only logged; faulty settings never end what runs.
 fn reload(file: &Path, current: &mut Settings, instance: &Instance) {
-    match serve::read(file) {
+    match serve::read_settings(file) {
         Ok(Ok(settings)) if settings == *current => {}
         Ok(Ok(settings)) => {
             *current = settings;
--- a/crates/oriolehitch/src/stubs.rs
+++ b/crates/oriolehitch/src/stubs.rs
@@ -8,8 +8,8 @@
 use stub::service::{self, Service};
 
 use crate::flags::{Stub, StubCmd};
-use crate::serve::Signals;
-use crate::{log, Outcome};
+use crate::serve::ShutdownSignals;
+use crate::{logging, Outcome};
 
 const STEP_MS: u64 = 4;
 const SLOTS: usize = 32;
@@ -20,13 +20,13 @@
 ///
 /// Returns why the stand-in can't start.
 pub async fn run(flags: Stub) -> Result<Outcome> {
-    log::start(None);
-    let mut signals = Signals::open()?;
+    logging::init_stderr(None);
+    let mut signals = ShutdownSignals::new()?;
     let bound = match flags.subcommand {
-        StubCmd::Platform(cmd) => Platform::bind(loopback(cmd.port)).await,
+        StubCmd::Platform(cmd) => Platform::bind(loopback_addr(cmd.port)).await,
         StubCmd::Engine(cmd) => {
             let setup = engine::Setup {
-                addr: loopback(cmd.port),
+                addr: loopback_addr(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
                 models: cmd.models.split(',').map(str::to_string).collect(),
@@ -39,7 +39,7 @@
         }
         StubCmd::Service(cmd) => {
             let setup = service::Setup {
-                addr: loopback(cmd.port),
+                addr: loopback_addr(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
                 service: cmd.service,
@@ -50,11 +50,11 @@
     };
     let handle = bound.map_err(|e| anyhow!(e))?;
     println!("ready http://{}", handle.addr());
-    signals.next().await;
-    Ok(Outcome::Done(String::new()))
+    signals.recv().await;
+    Ok(Outcome::Success(String::new()))
 }
 
 /// Returns a loopback address with a port, or a free one.
-pub fn loopback(port: Option<u16>) -> SocketAddr {
+pub fn loopback_addr(port: Option<u16>) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port.unwrap_or(0)))
 }
--- a/crates/oriolehitch/src/table.rs
+++ b/crates/oriolehitch/src/table.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 /// Returns a table with the given columns; a column may be a path with dots.
-pub fn table(rows: &[Value], columns: &[&str]) -> String {
+pub fn format_table(rows: &[Value], columns: &[&str]) -> String {
     let head: Vec<String> = columns.iter().map(|c| last(c).to_uppercase()).collect();
     let mut lines = vec![head];
     for row in rows {
--- a/crates/oriolehitch/src/tokens.rs
+++ b/crates/oriolehitch/src/tokens.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 
 use crate::flags::Tokens;
-use crate::logs::{self, field, number, Line};
+use crate::log_report::{self, field, number, LogLine};
 use crate::Outcome;
 
 /// Length of a row where none is named, in seconds.
@@ -71,13 +71,13 @@
     ];
     let every = cmd.every.unwrap_or(EVERY_DEFAULT).max(1);
     let chosen = |row: &Value| cmd.customer.as_ref().is_none_or(|c| row["customer"] == **c);
-    logs::report(&cmd.logs, cmd.json, &columns, |lines| {
+    log_report::run_report(&cmd.logs, cmd.json, &columns, |lines| {
         let rows = rows(lines, every).into_iter();
         rows.filter(chosen).collect()
     })
 }
 
-fn rows(lines: &[(String, Line)], every: u64) -> Vec<Value> {
+fn rows(lines: &[(String, LogLine)], every: u64) -> Vec<Value> {
     let first = &lines[0].1;
     let (mut ledger, mut rows, mut row) = (Ledger::default(), Vec::new(), 0);
     for (source, line) in lines {
@@ -93,7 +93,7 @@
 }
 
 impl Ledger {
-    fn take(&mut self, source: &str, line: &Line) {
+    fn take(&mut self, source: &str, line: &LogLine) {
         let detail = line.detail.as_str();
         if line.event == Event::Started.row().id {
             *self.incarnations.entry(source.to_string()).or_default() += 1;
--- a/crates/oriolehitch/src/waits.rs
+++ b/crates/oriolehitch/src/waits.rs
@@ -8,7 +8,7 @@
 use serde_json::{json, Value};
 
 use crate::flags::Waits;
-use crate::logs::{self, field, number, Line};
+use crate::log_report::{self, field, number, LogLine};
 use crate::Outcome;
 
 /// Longest time that is counted, in milliseconds; longer ones count as that.
@@ -99,12 +99,12 @@
     let named = cmd.by.as_deref().unwrap_or("route");
     let Some(by) = By::parse(named) else {
         let message = format!("--by {named}: route, customer, instance, upstream or second\n");
-        return Ok(Outcome::Refused(message));
+        return Ok(Outcome::Failure(message));
     };
-    logs::report(&cmd.logs, cmd.json, &columns, |lines| rows(lines, by))
+    log_report::run_report(&cmd.logs, cmd.json, &columns, |lines| rows(lines, by))
 }
 
-fn rows(lines: &[(String, Line)], by: By) -> Vec<Value> {
+fn rows(lines: &[(String, LogLine)], by: By) -> Vec<Value> {
     let first = &lines[0].1;
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
     for (source, line) in lines {
--- a/crates/oriolehitch/tests/reports/main.rs
+++ b/crates/oriolehitch/tests/reports/main.rs
@@ -54,7 +54,7 @@
 fn tokens_of_the_dead_and_refusals_that_they_caused_are_told_apart() {
     let file = file("fleet.log", &log());
     let file = file.to_str().expect("a name in letters");
-    let Outcome::Done(text) = run(&["tokens", file, "--every", "4", "--json"]) else {
+    let Outcome::Success(text) = run(&["tokens", file, "--every", "4", "--json"]) else {
         panic!("refused");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
@@ -120,7 +120,7 @@
 fn held(name: &str, text: &str) -> Vec<[u64; 2]> {
     let file = file(name, text);
     let file = file.to_str().expect("a name in letters");
-    let Outcome::Done(text) = run(&["tokens", file, "--every", "8", "--json"]) else {
+    let Outcome::Success(text) = run(&["tokens", file, "--every", "8", "--json"]) else {
         panic!("refused");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
@@ -134,7 +134,7 @@
 fn a_file_without_a_log_is_refused() {
     let file = file("no.log", "nothing\n");
     let file = file.to_str().expect("a name in letters");
-    assert!(matches!(run(&["tokens", file]), Outcome::Refused(_)));
+    assert!(matches!(run(&["tokens", file]), Outcome::Failure(_)));
 }
 
 /// Totals of a process go on; those of the next one at the same name begin anew.
@@ -156,7 +156,7 @@
     let file = file("calls.log", &log.concat());
     let file = file.to_str().expect("a name in letters");
     let shown = |args: &[&str]| -> Vec<(u64, String, u64)> {
-        let Outcome::Done(text) = run(args) else {
+        let Outcome::Success(text) = run(args) else {
             panic!("refused");
         };
         let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
@@ -200,7 +200,7 @@
     .concat();
     let file = file("waits.log", &text);
     let file = file.to_str().expect("a name in letters");
-    let Outcome::Done(text) = run(&["waits", file, "--by", "instance", "--json"]) else {
+    let Outcome::Success(text) = run(&["waits", file, "--by", "instance", "--json"]) else {
         panic!("refused");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
@@ -210,7 +210,7 @@
     assert_eq!(shown, [[2, 1, 0, 30, 60], [1, 0, 1, 200, 60]]);
     assert!(matches!(
         run(&["waits", file, "--by", "weather"]),
-        Outcome::Refused(_)
+        Outcome::Failure(_)
     ));
 }
 
@@ -233,7 +233,7 @@
     .concat();
     let file = file("load.log", &log);
     let file = file.to_str().expect("a name in letters");
-    let Outcome::Done(text) = run(&["load", file, "--json"]) else {
+    let Outcome::Success(text) = run(&["load", file, "--json"]) else {
         panic!("refused");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
