--- a/crates/oriolehitch/src/load.rs
+++ b/crates/oriolehitch/src/load.rs
@@ -1,4 +1,4 @@
-//! What the instances of a fleet carry, by their logs: memory, and what each sends to others.
+//! The command `load`: reports the memory of a fleet's instances and the traffic between them, from their logs.
 
 use std::collections::BTreeMap;
 
@@ -10,45 +10,47 @@
 use crate::log_report::{self, LogLine};
 use crate::Outcome;
 
-/// A quantity by instance.
+/// Values of one quantity, by instance.
 type ByInstance<'a> = BTreeMap<&'a str, u64>;
 
-/// Prints the report of some logs.
+/// Returns the report on some logs.
 ///
 /// # Errors
 ///
-/// Returns which file can't be read.
+/// Returns which file can't be read, and why.
 pub fn run(cmd: &Load) -> Result<Outcome> {
     let columns = ["what", "instances", "sum", "middle", "most", "at"];
     log_report::run_report(&cmd.logs, cmd.json, &columns, rows)
 }
 
-/// Returns a row for each quantity: the last that each incarnation logged, added up over an instance's incarnations; of
-/// memory and what is kept, the most.
+/// Returns a row for each quantity. Messages and bytes are added up over an instance's incarnations; of other
+/// quantities, such as memory, the row has the highest value that was logged.
 fn rows(lines: &[(String, LogLine)]) -> Vec<Value> {
-    let mut ended: BTreeMap<&str, ByInstance<'_>> = BTreeMap::new();
-    let mut newest: BTreeMap<&str, ByInstance<'_>> = BTreeMap::new();
+    let mut totals: BTreeMap<&str, ByInstance<'_>> = BTreeMap::new();
+    let mut current: BTreeMap<&str, ByInstance<'_>> = BTreeMap::new();
     for (source, line) in lines {
         if line.event == Event::Started.row().id {
-            for (what, by_instance) in &mut newest {
-                let sum = by_instance.remove(source.as_str()).unwrap_or_default();
-                let ended = ended.entry(what).or_default();
-                add(ended.entry(source).or_default(), what, sum);
+            for (what, by_instance) in &mut current {
+                let value = by_instance.remove(source.as_str()).unwrap_or_default();
+                let totals = totals.entry(what).or_default();
+                add_incarnation(totals.entry(source).or_default(), what, value);
             }
         } else if line.event == Event::ResourceUsage.row().id {
             for (what, value) in line.detail.split(' ').filter_map(parse) {
-                let known = newest.entry(what).or_default().entry(source).or_default();
-                *known = value.max(*known);
+                let highest = current.entry(what).or_default().entry(source).or_default();
+                *highest = value.max(*highest);
             }
         }
     }
-    for (what, by_instance) in newest {
-        let ended = ended.entry(what).or_default();
+    for (what, by_instance) in current {
+        let totals = totals.entry(what).or_default();
         for (source, value) in by_instance {
-            add(ended.entry(source).or_default(), what, value);
+            add_incarnation(totals.entry(source).or_default(), what, value);
         }
     }
-    let rows = ended.into_iter().filter_map(|(what, by)| row(what, &by));
+    let rows = totals
+        .into_iter()
+        .filter_map(|(what, by_instance)| row(what, &by_instance));
     rows.collect()
 }
 
@@ -57,13 +59,13 @@
     Some((what, value.parse().ok()?))
 }
 
-/// Adds what one incarnation had to what those before it had.
-fn add(sum: &mut u64, what: &str, value: u64) {
-    let counts = what.ends_with(".messages") || what.ends_with(".bytes");
-    *sum = if counts {
-        *sum + value
+/// Adds the value of one incarnation to that of earlier incarnations of the same instance.
+fn add_incarnation(total: &mut u64, what: &str, value: u64) {
+    let is_counter = what.ends_with(".messages") || what.ends_with(".bytes");
+    *total = if is_counter {
+        *total + value
     } else {
-        value.max(*sum)
+        value.max(*total)
     };
 }
 
--- a/crates/oriolehitch/src/log_report.rs
+++ b/crates/oriolehitch/src/log_report.rs
@@ -1,4 +1,4 @@
-//! Logs of instances, as reports read them.
+//! Reads logs of instances for the reports, and formats the reports.
 
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 use crate::table::format_table;
 use crate::Outcome;
 
-/// One line of a log, as far as it is read.
+/// The fields of a log line that reports use.
 #[derive(Debug, Deserialize)]
 pub(crate) struct LogLine {
     pub(crate) timestamp: jiff::Timestamp,
@@ -18,18 +18,18 @@
 }
 
 impl LogLine {
-    /// Returns the whole seconds since another line, 0 where that one is later.
+    /// Returns the whole seconds since another line; 0 if that line is later.
     pub(crate) fn seconds_since(&self, first: &LogLine) -> u64 {
         let since = self.timestamp.duration_since(first.timestamp);
         since.as_secs().max(0) as u64
     }
 }
 
-/// Prints the rows that a report makes of some logs, as a table or as JSON for programs.
+/// Returns the rows that a report makes from some logs, as a table or as JSON for programs.
 ///
 /// # Errors
 ///
-/// Returns which file can't be read.
+/// Returns which file can't be read, and why.
 pub(crate) fn run_report(
     files: &[PathBuf],
     json: bool,
@@ -38,7 +38,7 @@
 ) -> Result<Outcome> {
     let lines = read_all(files)?;
     if lines.is_empty() {
-        let message = "no line of an instance's log in these files\n";
+        let message = "no log lines of an instance found in these files\n";
         return Ok(Outcome::Failure(message.to_string()));
     }
     let rows = rows(&lines);
@@ -50,7 +50,7 @@
     Ok(Outcome::Success(text))
 }
 
-/// Reads logs; returns their lines in the order of their times, each with the name of its instance.
+/// Reads logs, and returns their lines ordered by time, each with the name of its instance.
 fn read_all(files: &[PathBuf]) -> Result<Vec<(String, LogLine)>> {
     let mut lines = Vec::new();
     for file in files {
@@ -60,23 +60,24 @@
     Ok(lines)
 }
 
-/// Reads a log; what stands before a line's JSON names the instance, else the file does.
+/// Reads a log. The word before a line's JSON names the instance; without one, the file's path does.
 fn read_log(file: &Path) -> Result<Vec<(String, LogLine)>> {
-    let text = std::fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
+    let text = std::fs::read_to_string(file)
+        .with_context(|| format!("failed to read {}", file.display()))?;
     let parse = |line: &str| {
         let (before, _) = line.split_once('{')?;
         let parsed = serde_json::from_str(&line[before.len()..]).ok()?;
-        let named = before.split_whitespace().last();
-        let source = named.map_or_else(|| file.display().to_string(), str::to_string);
+        let name = before.split_whitespace().last();
+        let source = name.map_or_else(|| file.display().to_string(), str::to_string);
         Some((source, parsed))
     };
     Ok(text.lines().filter_map(parse).collect())
 }
 
-/// Returns a field of a line's detail, which are KEY=VALUE separated by spaces.
+/// Returns the value of a key in a line's detail, which has the form KEY=VALUE, separated by spaces.
 pub(crate) fn field<'a>(detail: &'a str, key: &str) -> Option<&'a str> {
-    let mut words = detail.split(' ');
-    words.find_map(|w| w.strip_prefix(key)?.strip_prefix('='))
+    let mut pairs = detail.split(' ');
+    pairs.find_map(|p| p.strip_prefix(key)?.strip_prefix('='))
 }
 
 pub(crate) fn number(detail: &str, key: &str) -> Option<u64> {
--- a/crates/oriolehitch/src/tokens.rs
+++ b/crates/oriolehitch/src/tokens.rs
@@ -1,5 +1,5 @@
-//! Where a customer's tokens were, second by second, by the logs of a fleet: the report that tells a budget that is
-//! spent from one that nobody can reach.
+//! The command `tokens`: reports where customers' tokens were over time, from the logs of a fleet. It distinguishes a
+//! budget that is spent from one whose remaining tokens no instance can obtain.
 
 use std::collections::BTreeMap;
 
@@ -11,51 +11,56 @@
 use crate::log_report::{self, field, number, LogLine};
 use crate::Outcome;
 
-/// Length of a row where none is named, in seconds.
-const EVERY_DEFAULT: u64 = 2;
+/// Default length of a row's interval, in seconds.
+const DEFAULT_INTERVAL_SECS: u64 = 2;
 
-/// One incarnation's line: what is charged for it, and spent by its word. Tokens move between instances, and so do
-/// the words on what they spent: either may be the larger one.
+/// One incarnation's entry in the ledger of a customer: the tokens charged for it, and those that it reports as spent.
+/// Both tokens and reports move between instances, so either number can be larger.
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct IncarnationEntry {
     charged: u64,
     spent: u64,
 }
 
-/// What is known of one customer.
+/// What the logs tell about one customer.
 #[derive(Clone, Debug, Default)]
-struct Customer {
+struct CustomerTokens {
     prepaid: u64,
-    /// By the record, as last written.
+    /// Tokens charged, from the record of the customer as last logged.
     charged: u64,
-    /// By the record, as last written.
+    /// Tokens spent: the highest number in a logged record.
     spent: u64,
+    /// Tokens of answered requests.
     answered: u64,
-    /// By log and incarnation.
-    parts: BTreeMap<(String, u32), Part>,
+    /// By instance and number of the incarnation. Incarnations are numbered in the order in which they were logged.
+    entries: BTreeMap<(String, u32), IncarnationEntry>,
 }
 
-/// Refusals of one customer within one row.
+/// Number of refused requests of one customer within one row.
 #[derive(Clone, Copy, Debug, Default)]
-struct Refused {
+struct RefusedRequests {
+    /// The unspent tokens would have covered the request.
     covered: u64,
+    /// The unspent tokens would not have covered the request.
     uncovered: u64,
+    /// The budget is exhausted.
     exhausted: u64,
 }
 
-/// A fleet's tokens as its logs tell of them.
+/// The tokens of a fleet, as its logs show them.
 #[derive(Debug, Default)]
-struct Ledger {
-    customers: BTreeMap<String, Customer>,
+struct FleetTokens {
+    customers: BTreeMap<String, CustomerTokens>,
+    /// Number of the latest incarnation of each instance.
     incarnations: BTreeMap<String, u32>,
-    refused: BTreeMap<String, Refused>,
+    refused: BTreeMap<String, RefusedRequests>,
 }
 
-/// Prints the report of some logs.
+/// Returns the report on some logs.
 ///
 /// # Errors
 ///
-/// Returns which file can't be read.
+/// Returns which file can't be read, and why.
 pub fn run(cmd: &Tokens) -> Result<Outcome> {
     let columns = [
         "second",
@@ -69,39 +74,39 @@
         "uncovered",
         "exhausted",
     ];
-    let every = cmd.every.unwrap_or(EVERY_DEFAULT).max(1);
-    let chosen = |row: &Value| cmd.customer.as_ref().is_none_or(|c| row["customer"] == **c);
+    let every = cmd.every.unwrap_or(DEFAULT_INTERVAL_SECS).max(1);
+    let is_selected = |row: &Value| cmd.customer.as_ref().is_none_or(|c| row["customer"] == **c);
     log_report::run_report(&cmd.logs, cmd.json, &columns, |lines| {
         let rows = rows(lines, every).into_iter();
-        rows.filter(chosen).collect()
+        rows.filter(is_selected).collect()
     })
 }
 
 fn rows(lines: &[(String, LogLine)], every: u64) -> Vec<Value> {
     let first = &lines[0].1;
-    let (mut ledger, mut rows, mut row) = (Ledger::default(), Vec::new(), 0);
+    let (mut tokens, mut rows, mut interval) = (FleetTokens::default(), Vec::new(), 0);
     for (source, line) in lines {
-        let at = line.seconds_since(first) / every;
-        if at != row {
-            rows.extend(ledger.end_row(row * every));
-            row = at;
+        let line_interval = line.seconds_since(first) / every;
+        if line_interval != interval {
+            rows.extend(tokens.end_interval(interval * every));
+            interval = line_interval;
         }
-        ledger.take(source, line);
+        tokens.apply(source, line);
     }
-    rows.extend(ledger.end_row(row * every));
+    rows.extend(tokens.end_interval(interval * every));
     rows
 }
 
-impl Ledger {
-    fn take(&mut self, source: &str, line: &LogLine) {
+impl FleetTokens {
+    fn apply(&mut self, source: &str, line: &LogLine) {
         let detail = line.detail.as_str();
         if line.event == Event::Started.row().id {
             *self.incarnations.entry(source.to_string()).or_default() += 1;
         } else if line.event == Event::GrantChanged.row().id {
-            self.granted(source, detail);
+            self.apply_grant(source, detail);
         } else if line.event == Event::PreviousIncarnationTokens.row().id {
-            // What an instance found in the store of its predecessor, whose own last lines may be lost.
-            self.take_part(source, 1, detail);
+            // A new incarnation logs what the store has of the previous one, whose last lines may be lost.
+            self.set_entry(source, 1, detail);
         } else if line.event == Event::Answered.row().id {
             if let (Some(name), Some(tokens)) =
                 (field(detail, "customer"), number(detail, "tokens"))
@@ -109,12 +114,12 @@
                 self.customers.entry(name.to_string()).or_default().answered += tokens;
             }
         } else if line.event == Event::Refused.row().id {
-            self.refuse(detail);
+            self.count_refusal(detail);
         }
     }
 
-    fn granted(&mut self, source: &str, detail: &str) {
-        let Some(customer) = self.take_part(source, 0, detail) else {
+    fn apply_grant(&mut self, source: &str, detail: &str) {
+        let Some(customer) = self.set_entry(source, 0, detail) else {
             return;
         };
         customer.prepaid = number(detail, "prepaid").unwrap_or(customer.prepaid);
@@ -123,47 +128,53 @@
         customer.spent = customer.spent.max(spent);
     }
 
-    /// Takes the line of the incarnation that runs at an instance, or of one so many before it; returns the customer
-    /// whose it is.
-    fn take_part(&mut self, source: &str, before: u32, detail: &str) -> Option<&mut Customer> {
+    /// Sets the entry of an instance's current incarnation, or of the one that is `before` incarnations earlier.
+    /// Returns the customer that the entry belongs to.
+    fn set_entry(
+        &mut self,
+        source: &str,
+        before: u32,
+        detail: &str,
+    ) -> Option<&mut CustomerTokens> {
         let name = field(detail, "customer")?;
         let get = |key| number(detail, key).unwrap_or_default();
-        let part = Part {
+        let entry = IncarnationEntry {
             charged: get("granted").saturating_sub(get("returned")),
             spent: get("spent"),
         };
         let incarnation = self.incarnations.get(source).copied().unwrap_or_default();
         let key = (source.to_string(), incarnation.saturating_sub(before));
         let customer = self.customers.entry(name.to_string()).or_default();
-        customer.parts.insert(key, part);
+        customer.entries.insert(key, entry);
         Some(customer)
     }
 
-    fn refuse(&mut self, detail: &str) {
+    /// Counts a refused request whose log line has the text `N tokens of CUSTOMER`.
+    fn count_refusal(&mut self, detail: &str) {
         let words: Vec<&str> = detail.split(' ').collect();
-        let mut named = words
+        let mut phrases = words
             .windows(4)
             .filter(|w| w[1] == "tokens" && w[2] == "of");
-        let Some(named) = named.next() else {
+        let Some(phrase) = phrases.next() else {
             return;
         };
-        let Ok(tokens) = named[0].parse::<u64>() else {
+        let Ok(tokens) = phrase[0].parse::<u64>() else {
             return;
         };
-        let name = named[3].trim_end_matches(',');
-        let left = self.customers.get(name).map_or(0, Customer::left);
+        let name = phrase[3].trim_end_matches(',');
+        let unspent = self.customers.get(name).map_or(0, CustomerTokens::unspent);
         let refused = self.refused.entry(name.to_string()).or_default();
         match field(detail, "code") {
             Some("budget_exhausted") => refused.exhausted += 1,
-            _ if left >= tokens => refused.covered += 1,
+            _ if unspent >= tokens => refused.covered += 1,
             _ => refused.uncovered += 1,
         }
     }
 
-    /// Returns a row for each customer, and forgets the refusals.
-    fn end_row(&mut self, second: u64) -> Vec<Value> {
+    /// Returns a row for each customer with a budget, and resets the counts of refused requests.
+    fn end_interval(&mut self, second: u64) -> Vec<Value> {
         let refused = std::mem::take(&mut self.refused);
-        let row = |(name, customer): (&String, &Customer)| {
+        let row = |(name, customer): (&String, &CustomerTokens)| {
             let refused = refused.get(name).copied().unwrap_or_default();
             let (living, dead) = customer.held(&self.incarnations);
             json!({
@@ -178,20 +189,20 @@
     }
 }
 
-impl Customer {
+impl CustomerTokens {
     /// Returns the tokens that are not spent, as far as the logs show.
-    fn left(&self) -> u64 {
+    fn unspent(&self) -> u64 {
         self.prepaid.saturating_sub(self.spent.max(self.answered))
     }
 
-    /// Returns the tokens charged and not spent by the record: at incarnations that live, and at those that
-    /// ended, which may have spent some more than they said.
+    /// Returns the tokens that are charged and not spent according to the record: those of running incarnations, and
+    /// those of ended ones, which may have spent more than they reported.
     fn held(&self, incarnations: &BTreeMap<String, u32>) -> (u64, u64) {
-        let ended =
+        let has_ended =
             |(source, incarnation): &(String, u32)| incarnations.get(source) != Some(incarnation);
-        let dead = self.parts.iter().filter(|(key, _)| ended(key));
+        let dead = self.entries.iter().filter(|(key, _)| has_ended(key));
         let dead: i128 = dead
-            .map(|(_, p)| i128::from(p.charged) - i128::from(p.spent))
+            .map(|(_, e)| i128::from(e.charged) - i128::from(e.spent))
             .sum();
         let held = self.charged.saturating_sub(self.spent);
         let dead = u64::try_from(dead).unwrap_or_default().min(held);
--- a/crates/oriolehitch/src/waits.rs
+++ b/crates/oriolehitch/src/waits.rs
@@ -1,4 +1,5 @@
-//! Where requests waited for their first byte, by the logs of a fleet: here, or at their upstreams.
+//! The command `waits`: reports where requests waited for their first byte, at the instance or at the upstream, from
+//! the logs of a fleet.
 
 use std::collections::BTreeMap;
 
@@ -11,14 +12,14 @@
 use crate::log_report::{self, field, number, LogLine};
 use crate::Outcome;
 
-/// Longest time that is counted, in milliseconds; longer ones count as that.
-const LONGEST_MS: u64 = 600_000;
-/// Digits to which times are counted.
-const DIGITS: u8 = 2;
+/// Maximum of recorded times, in milliseconds; longer times are recorded as this.
+const MAX_RECORDED_MS: u64 = 600_000;
+/// Number of significant digits of recorded times.
+const SIGNIFICANT_DIGITS: u8 = 2;
 
 /// What the requests of one row have in common.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum By {
+enum GroupBy {
     Route,
     Customer,
     Instance,
@@ -26,64 +27,66 @@
     Second,
 }
 
-impl By {
-    fn parse(text: &str) -> Option<By> {
+impl GroupBy {
+    fn parse(text: &str) -> Option<GroupBy> {
         match text {
-            "route" => Some(By::Route),
-            "customer" => Some(By::Customer),
-            "instance" => Some(By::Instance),
-            "upstream" => Some(By::Upstream),
-            "second" => Some(By::Second),
+            "route" => Some(GroupBy::Route),
+            "customer" => Some(GroupBy::Customer),
+            "instance" => Some(GroupBy::Instance),
+            "upstream" => Some(GroupBy::Upstream),
+            "second" => Some(GroupBy::Second),
             _ => None,
         }
     }
 
-    /// Returns the row to which a line belongs.
+    /// Returns the key of the row that a line belongs to.
     fn key(self, source: &str, second: u64, detail: &str) -> String {
-        let named = |name| field(detail, name).unwrap_or("-").to_string();
+        let value = |name| field(detail, name).unwrap_or("-").to_string();
         match self {
-            By::Route => named("route"),
-            By::Customer => named("customer"),
-            By::Upstream => named("upstream"),
-            By::Instance => source.to_string(),
-            // Rows are sorted by their text.
-            By::Second => format!("{second:06}"),
+            GroupBy::Route => value("route"),
+            GroupBy::Customer => value("customer"),
+            GroupBy::Upstream => value("upstream"),
+            GroupBy::Instance => source.to_string(),
+            // Padded, because rows are sorted as text.
+            GroupBy::Second => format!("{second:06}"),
         }
     }
 }
 
-/// Requests of one row.
+/// The requests of one row, and times in milliseconds.
 struct Row {
     answered: u64,
-    repeated: u64,
+    /// Answered requests that took more than one attempt.
+    retried: u64,
     refused: u64,
-    /// From the arrival to the last sending.
-    here: Histogram<u64>,
-    /// From the last sending to the first byte of the answer.
-    there: Histogram<u64>,
-    /// What was expected of that.
+    /// From arrival until the last attempt is sent.
+    before_send: Histogram<u64>,
+    /// From sending the last attempt to the first byte of the response.
+    after_send: Histogram<u64>,
+    /// Estimate of `after_send`.
     expected: Histogram<u64>,
 }
 
 impl Default for Row {
     fn default() -> Row {
-        let times = || Histogram::new_with_max(LONGEST_MS, DIGITS).expect("sound bounds");
+        let times =
+            || Histogram::new_with_max(MAX_RECORDED_MS, SIGNIFICANT_DIGITS).expect("valid bounds");
         Row {
             answered: 0,
-            repeated: 0,
+            retried: 0,
             refused: 0,
-            here: times(),
-            there: times(),
+            before_send: times(),
+            after_send: times(),
             expected: times(),
         }
     }
 }
 
-/// Prints the report of some logs.
+/// Returns the report on some logs.
 ///
 /// # Errors
 ///
-/// Returns which file can't be read.
+/// Returns which file can't be read, and why.
 pub fn run(cmd: &Waits) -> Result<Outcome> {
     let columns = [
         "by",
@@ -96,15 +99,16 @@
         "there_95",
         "expected_50",
     ];
-    let named = cmd.by.as_deref().unwrap_or("route");
-    let Some(by) = By::parse(named) else {
-        let message = format!("--by {named}: route, customer, instance, upstream or second\n");
+    let name = cmd.by.as_deref().unwrap_or("route");
+    let Some(by) = GroupBy::parse(name) else {
+        let message =
+            format!("invalid value {name:?} of --by: expected route, customer, instance, upstream or second\n");
         return Ok(Outcome::Failure(message));
     };
     log_report::run_report(&cmd.logs, cmd.json, &columns, |lines| rows(lines, by))
 }
 
-fn rows(lines: &[(String, LogLine)], by: By) -> Vec<Value> {
+fn rows(lines: &[(String, LogLine)], by: GroupBy) -> Vec<Value> {
     let first = &lines[0].1;
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
     for (source, line) in lines {
@@ -116,34 +120,34 @@
         let row = rows.entry(by.key(source, second, &line.detail));
         let row = row.or_default();
         if answered {
-            row.answer(&line.detail);
+            row.record_answered(&line.detail);
         } else {
             row.refused += 1;
         }
     }
-    rows.iter().map(|(key, row)| row.show(key)).collect()
+    rows.iter().map(|(key, row)| row.to_json(key)).collect()
 }
 
 impl Row {
-    fn answer(&mut self, detail: &str) {
+    fn record_answered(&mut self, detail: &str) {
         let get = |key| number(detail, key).unwrap_or_default();
         self.answered += 1;
-        self.repeated += u64::from(get("attempts") > 1);
-        let (sent, came) = (get("sent_ms"), get("first_ms"));
-        // Times beyond the longest count as that.
-        self.here.saturating_record(sent);
-        if came >= sent {
-            self.there.saturating_record(came - sent);
+        self.retried += u64::from(get("attempts") > 1);
+        let (sent, first) = (get("sent_ms"), get("first_ms"));
+        // Records times above the maximum as the maximum.
+        self.before_send.saturating_record(sent);
+        if first >= sent {
+            self.after_send.saturating_record(first - sent);
         }
         self.expected.saturating_record(get("expected_ms"));
     }
 
-    fn show(&self, key: &str) -> Value {
+    fn to_json(&self, key: &str) -> Value {
         let at = |times: &Histogram<u64>, q: f64| times.value_at_quantile(q);
         json!({
-            "by": key, "answered": self.answered, "repeated": self.repeated, "refused": self.refused,
-            "here_50": at(&self.here, 0.5), "here_95": at(&self.here, 0.95),
-            "there_50": at(&self.there, 0.5), "there_95": at(&self.there, 0.95),
+            "by": key, "answered": self.answered, "repeated": self.retried, "refused": self.refused,
+            "here_50": at(&self.before_send, 0.5), "here_95": at(&self.before_send, 0.95),
+            "there_50": at(&self.after_send, 0.5), "there_95": at(&self.after_send, 0.95),
             "expected_50": at(&self.expected, 0.5),
         })
     }
