--- a/crates/oriolehitch/src/admin.rs
+++ b/crates/oriolehitch/src/admin.rs
@@ -1,4 +1,4 @@
-//! Operators' commands: each asks an instance over its operators' listener.
+//! The commands for operators. Each calls the admin API of an instance.
 
 use std::io::Read;
 use std::path::Path;
@@ -18,27 +18,27 @@
 use crate::table::format_table;
 use crate::Outcome;
 
-const TIMEOUT: Duration = Duration::from_secs(30);
-const CONFLICT: u16 = 412;
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
+const CONFLICT_STATUS: u16 = 412;
 
-/// A connection to the operators' listener of an instance.
+/// A client of the admin API of an instance.
 pub struct AdminClient {
     http: reqwest::Client,
     url: String,
     key: Option<String>,
 }
 
-/// An answer of the operators' listener.
+/// A response of the admin API.
 #[derive(Debug)]
 pub struct AdminResponse {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
-    /// The body.
+    /// Body; null if it is not JSON.
     pub body: Value,
 }
 
 impl AdminClient {
-    /// Opens a connection; nothing is sent yet.
+    /// Creates a client, which does not connect until it sends a request.
     pub fn new(url: &str, key: Option<String>) -> AdminClient {
         AdminClient {
             http: reqwest::Client::new(),
@@ -47,11 +47,12 @@
         }
     }
 
-    /// Sends a request.
+    /// Sends a request. A change of the configuration is accepted only if `expected` is the current
+    /// revision.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns why there is no response.
     pub async fn send(
         &self,
         method: &str,
@@ -63,7 +64,7 @@
         let mut req = self
             .http
             .request(web::method(method), &url)
-            .timeout(TIMEOUT);
+            .timeout(REQUEST_TIMEOUT);
         if let Some(key) = &self.key {
             req = req.bearer_auth(key);
         }
@@ -73,53 +74,57 @@
         if let Some(body) = body {
             req = req.json(body);
         }
-        let res = req.send().await.with_context(|| anyhow!("{url}"))?;
+        let res = req
+            .send()
+            .await
+            .with_context(|| anyhow!("request to {url} failed"))?;
         let status = res.status().as_u16();
         let body = res.json().await.unwrap_or_default();
         Ok(AdminResponse { status, body })
     }
 
     async fn get(&self, path: &str) -> Result<Value> {
-        let answer = self.send("GET", path, None, None).await?;
-        if answer.status != 200 {
-            bail!("{}", message(&answer.body));
+        let response = self.send("GET", path, None, None).await?;
+        if response.status != 200 {
+            bail!("{}", error_message(&response.body));
         }
-        Ok(answer.body)
+        Ok(response.body)
     }
 
-    /// Returns the configuration in force and its revision.
+    /// Returns the configuration in force and its revision; an empty one with revision 0 if the
+    /// instance has none yet.
     async fn config(&self) -> Result<(Config, u64)> {
-        let answer = self.send("GET", "/admin/v1/config", None, None).await?;
-        match answer.status {
+        let response = self.send("GET", "/admin/v1/config", None, None).await?;
+        match response.status {
             200 => {
-                let revision = answer.body["revision"].as_u64().unwrap_or_default();
+                let revision = response.body["revision"].as_u64().unwrap_or_default();
                 Ok((
-                    serde_json::from_value(answer.body["config"].clone())?,
+                    serde_json::from_value(response.body["config"].clone())?,
                     revision,
                 ))
             }
             503 => Ok((Config::default(), 0)),
-            _ => bail!("{}", message(&answer.body)),
+            _ => bail!("{}", error_message(&response.body)),
         }
     }
 
-    async fn put(&self, change: Change, expected: u64) -> Result<Outcome> {
+    async fn put_config(&self, change: Change, expected: u64) -> Result<Outcome> {
         let body = json!({
             "config": change.config,
             "change_id": change.id.unwrap_or_else(|| Uuid::now_v7().to_string()),
-            "who": change.who.unwrap_or_else(user),
+            "who": change.who.unwrap_or_else(user_name),
             "what": change.what,
             "dry_run": change.dry_run,
         });
         let path = "/admin/v1/config";
-        let answer = self.send("PUT", path, Some(&body), Some(expected)).await?;
-        let revision = &answer.body["revision"];
-        Ok(match answer.status {
+        let response = self.send("PUT", path, Some(&body), Some(expected)).await?;
+        let revision = &response.body["revision"];
+        Ok(match response.status {
             200 if change.dry_run => {
                 Outcome::Success(format!("valid; would be revision {revision}\n"))
             }
             200 => Outcome::Success(format!("revision {revision} accepted\n")),
-            _ => failed(&answer),
+            _ => failure(&response),
         })
     }
 }
@@ -132,68 +137,70 @@
     dry_run: bool,
 }
 
-fn user() -> String {
+fn user_name() -> String {
     std::env::var("USER").unwrap_or_else(|_| "operator".to_string())
 }
 
-fn message(body: &Value) -> String {
+fn error_message(body: &Value) -> String {
     let message = body["error"]["message"].as_str();
-    message.unwrap_or("no answer").to_string()
+    message
+        .unwrap_or("the response has no error message")
+        .to_string()
 }
 
-fn failed(answer: &AdminResponse) -> Outcome {
-    let text = format!("{}\n", message(&answer.body));
-    if answer.status == CONFLICT {
+fn failure(response: &AdminResponse) -> Outcome {
+    let text = format!("{}\n", error_message(&response.body));
+    if response.status == CONFLICT_STATUS {
         Outcome::Conflict(text)
     } else {
         Outcome::Failure(text)
     }
 }
 
-fn pretty(value: &Value) -> String {
+fn pretty_json(value: &Value) -> String {
     format!("{value:#}\n")
 }
 
-/// Prints rows as a table, or as JSON for programs.
-fn print(json: bool, rows: &Value, columns: &[&str]) -> Outcome {
+/// Formats rows as a table, or as JSON for programs.
+fn list_output(json: bool, rows: &Value, columns: &[&str]) -> Outcome {
     let text = match rows.as_array() {
         Some(list) if !json => format_table(list, columns),
-        _ => pretty(rows),
+        _ => pretty_json(rows),
     };
     Outcome::Success(text)
 }
 
 fn read_json(file: &Path) -> Result<Value> {
     let text = std::fs::read_to_string(file)
-        .with_context(|| anyhow!("{} can't be read", file.display()))?;
-    serde_json::from_str(&text).with_context(|| anyhow!("{} is not JSON", file.display()))
+        .with_context(|| anyhow!("failed to read {}", file.display()))?;
+    serde_json::from_str(&text).with_context(|| anyhow!("{} is not valid JSON", file.display()))
 }
 
 /// Runs `config`.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
+/// Returns why a file can't be read, or why a request failed.
 pub async fn config(flags: crate::flags::config::Config) -> Result<Outcome> {
-    let operator = AdminClient::new(&flags.admin, flags.key);
+    let client = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
-        ConfigCmd::Show(_) => Ok(Outcome::Success(pretty(
-            &operator.get("/admin/v1/config").await?,
+        ConfigCmd::Show(_) => Ok(Outcome::Success(pretty_json(
+            &client.get("/admin/v1/config").await?,
         ))),
         ConfigCmd::History(_) => {
-            let rows = operator.get("/admin/v1/history").await?;
+            let rows = client.get("/admin/v1/history").await?;
             let columns = ["revision", "at_ms", "who", "change_id", "what"];
-            Ok(print(flags.json, &rows, &columns))
+            Ok(list_output(flags.json, &rows, &columns))
         }
         ConfigCmd::Diff(cmd) => {
-            let (config, revision) = operator.config().await?;
+            let (config, revision) = client.config().await?;
             let lines = diff(&serde_json::to_value(config)?, &read_json(&cmd.file)?);
             Ok(Outcome::Success(format!(
                 "against revision {revision}\n{lines}"
             )))
         }
         ConfigCmd::Apply(cmd) => {
-            let (old, current) = operator.config().await?;
+            let (old, current) = client.config().await?;
             let config = read_json(&cmd.file)?;
             let lines = diff(&serde_json::to_value(old)?, &config);
             let change = Change {
@@ -203,19 +210,21 @@
                 what: format!("{} fields of {}", lines.lines().count(), cmd.file.display()),
                 dry_run: cmd.dry_run,
             };
-            operator.put(change, cmd.expect.unwrap_or(current)).await
+            client
+                .put_config(change, cmd.expect.unwrap_or(current))
+                .await
         }
     }
 }
 
-/// Returns a line for every value that differs, by its path.
+/// Returns a line with path, old and new value for each value that differs.
 fn diff(old: &Value, new: &Value) -> String {
     let mut out = String::new();
-    walk("", old, new, &mut out);
+    diff_values("", old, new, &mut out);
     out
 }
 
-fn walk(path: &str, old: &Value, new: &Value, out: &mut String) {
+fn diff_values(path: &str, old: &Value, new: &Value, out: &mut String) {
     if old == new {
         return;
     }
@@ -227,30 +236,34 @@
     names.sort();
     names.dedup();
     for name in names {
-        walk(&format!("{path}/{name}"), &old[name], &new[name], out);
+        diff_values(&format!("{path}/{name}"), &old[name], &new[name], out);
     }
 }
 
-/// Changes one named part of the configuration, or deletes it.
-async fn change_part(
-    operator: &AdminClient,
-    part: &str,
+/// Sets one named entry in a section of the configuration, or deletes it if there is no value.
+async fn change_entry(
+    client: &AdminClient,
+    section: &str,
     name: &str,
     value: Option<Value>,
     expect: Option<u64>,
     who: Option<String>,
 ) -> Result<Outcome> {
-    let (config, current) = operator.config().await?;
+    let (config, current) = client.config().await?;
     let mut config = serde_json::to_value(config)?;
-    let parts = config[part].as_object_mut();
-    let parts = parts.ok_or_else(|| anyhow!("no {part} in the configuration"))?;
+    let entries = config[section].as_object_mut();
+    let entries = entries.ok_or_else(|| anyhow!("the configuration has no {section}"))?;
     let what = match value {
         Some(value) => {
-            parts.insert(name.to_string(), value);
-            format!("{part}/{name} set")
+            entries.insert(name.to_string(), value);
+            format!("{section}/{name} set")
+        }
+        None if entries.remove(name).is_some() => format!("{section}/{name} deleted"),
+        None => {
+            return Ok(Outcome::Failure(format!(
+                "{section}/{name} does not exist\n"
+            )))
         }
-        None if parts.remove(name).is_some() => format!("{part}/{name} deleted"),
-        None => return Ok(Outcome::Failure(format!("there is no {part}/{name}\n"))),
     };
     let change = Change {
         config,
@@ -259,22 +272,22 @@
         what,
         dry_run: false,
     };
-    operator.put(change, expect.unwrap_or(current)).await
+    client.put_config(change, expect.unwrap_or(current)).await
 }
 
-async fn list_part(
-    operator: &AdminClient,
-    part: &str,
+async fn list_entries(
+    client: &AdminClient,
+    section: &str,
     json: bool,
     columns: &[&str],
 ) -> Result<Outcome> {
-    let (config, _) = operator.config().await?;
+    let (config, _) = client.config().await?;
     let config = serde_json::to_value(config)?;
     if json {
-        return Ok(Outcome::Success(pretty(&config[part])));
+        return Ok(Outcome::Success(pretty_json(&config[section])));
     }
     let mut rows = Vec::new();
-    for (name, value) in config[part].as_object().into_iter().flatten() {
+    for (name, value) in config[section].as_object().into_iter().flatten() {
         let mut row = value.clone();
         row["name"] = json!(name);
         rows.push(row);
@@ -286,9 +299,9 @@
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
+/// Returns why a file can't be read, or why a request failed.
 pub async fn template(flags: Template) -> Result<Outcome> {
-    let operator = AdminClient::new(&flags.admin, flags.key);
+    let client = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
         TemplateCmd::List(_) => {
             let columns = [
@@ -299,22 +312,14 @@
                 "max_tokens",
                 "weight",
             ];
-            list_part(&operator, "templates", flags.json, &columns).await
+            list_entries(&client, "templates", flags.json, &columns).await
         }
         TemplateCmd::Set(cmd) => {
             let value = Some(read_json(&cmd.file)?);
-            change_part(
-                &operator,
-                "templates",
-                &cmd.name,
-                value,
-                cmd.expect,
-                cmd.who,
-            )
-            .await
+            change_entry(&client, "templates", &cmd.name, value, cmd.expect, cmd.who).await
         }
         TemplateCmd::Delete(cmd) => {
-            change_part(&operator, "templates", &cmd.name, None, None, cmd.who).await
+            change_entry(&client, "templates", &cmd.name, None, None, cmd.who).await
         }
     }
 }
@@ -323,28 +328,20 @@
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
+/// Returns why a file or the key can't be read, or why a request failed.
 pub async fn customer(flags: Customer) -> Result<Outcome> {
-    let operator = AdminClient::new(&flags.admin, flags.key);
+    let client = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
         CustomerCmd::List(_) => {
             let columns = ["name", "template", "priority", "models"];
-            list_part(&operator, "customers", flags.json, &columns).await
+            list_entries(&client, "customers", flags.json, &columns).await
         }
         CustomerCmd::Set(cmd) => {
             let value = Some(read_json(&cmd.file)?);
-            change_part(
-                &operator,
-                "customers",
-                &cmd.name,
-                value,
-                cmd.expect,
-                cmd.who,
-            )
-            .await
+            change_entry(&client, "customers", &cmd.name, value, cmd.expect, cmd.who).await
         }
         CustomerCmd::Delete(cmd) => {
-            change_part(&operator, "customers", &cmd.name, None, None, cmd.who).await
+            change_entry(&client, "customers", &cmd.name, None, None, cmd.who).await
         }
         CustomerCmd::HashKey(_) => {
             let mut key = String::new();
@@ -361,35 +358,35 @@
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
+/// Returns why a request failed.
 pub async fn budget(flags: Budget) -> Result<Outcome> {
-    let operator = AdminClient::new(&flags.admin, flags.key);
+    let client = AdminClient::new(&flags.admin, flags.key);
     let path = "/admin/v1/budgets";
     match flags.subcommand {
         BudgetCmd::List(_) => {
             let columns = [
                 "customer", "total", "spent", "left", "free", "held", "stranded",
             ];
-            Ok(print(flags.json, &operator.get(path).await?, &columns))
+            Ok(list_output(flags.json, &client.get(path).await?, &columns))
         }
         BudgetCmd::Show(cmd) => {
-            let row = operator.get(&format!("{path}/{}", cmd.customer)).await?;
-            Ok(Outcome::Success(pretty(&row)))
+            let row = client.get(&format!("{path}/{}", cmd.customer)).await?;
+            Ok(Outcome::Success(pretty_json(&row)))
         }
         BudgetCmd::Bills(cmd) => {
-            let rows = operator
+            let rows = client
                 .get(&format!("{path}/{}/bills", cmd.customer))
                 .await?;
             let columns = ["request", "tokens", "at_ms", "holder"];
-            Ok(print(flags.json, &rows, &columns))
+            Ok(list_output(flags.json, &rows, &columns))
         }
         BudgetCmd::TopUp(cmd) => {
             let body = json!({"id": cmd.id, "tokens": cmd.tokens});
             let path = format!("{path}/{}/topups", cmd.customer);
-            let answer = operator.send("POST", &path, Some(&body), None).await?;
-            Ok(match answer.status {
+            let response = client.send("POST", &path, Some(&body), None).await?;
+            Ok(match response.status {
                 200 => Outcome::Success(format!("{}: {} tokens added\n", cmd.customer, cmd.tokens)),
-                _ => failed(&answer),
+                _ => failure(&response),
             })
         }
     }
@@ -399,26 +396,30 @@
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
+/// Returns why a request failed.
 pub async fn stranded(flags: Stranded) -> Result<Outcome> {
-    let operator = AdminClient::new(&flags.admin, flags.key);
+    let client = AdminClient::new(&flags.admin, flags.key);
     match flags.subcommand {
         StrandedCmd::List(_) => {
-            let rows = operator.get("/admin/v1/stranded").await?;
-            Ok(print(flags.json, &rows, &["customer", "holder", "tokens"]))
+            let rows = client.get("/admin/v1/stranded").await?;
+            Ok(list_output(
+                flags.json,
+                &rows,
+                &["customer", "holder", "tokens"],
+            ))
         }
         StrandedCmd::Release(cmd) => {
             let body = json!({
                 "id": format!("release-{}-{}", cmd.customer, cmd.holder),
                 "holder": cmd.holder,
                 "reason": cmd.reason,
-                "who": cmd.who.unwrap_or_else(user),
+                "who": cmd.who.unwrap_or_else(user_name),
             });
             let path = format!("/admin/v1/stranded/{}/release", cmd.customer);
-            let answer = operator.send("POST", &path, Some(&body), None).await?;
-            Ok(match answer.status {
-                200 => Outcome::Success(format!("{} tokens released\n", answer.body["tokens"])),
-                _ => failed(&answer),
+            let response = client.send("POST", &path, Some(&body), None).await?;
+            Ok(match response.status {
+                200 => Outcome::Success(format!("{} tokens released\n", response.body["tokens"])),
+                _ => failure(&response),
             })
         }
     }
@@ -428,12 +429,12 @@
 ///
 /// # Errors
 ///
-/// Returns why there is no answer.
+/// Returns why a request failed.
 pub async fn dump(flags: Dump) -> Result<Outcome> {
-    let operator = AdminClient::new(&flags.admin, flags.key);
+    let client = AdminClient::new(&flags.admin, flags.key);
     let path = match flags.request {
         Some(id) => format!("/dump/requests/{id}"),
         None => "/dump".to_string(),
     };
-    Ok(Outcome::Success(pretty(&operator.get(&path).await?)))
+    Ok(Outcome::Success(pretty_json(&client.get(&path).await?)))
 }
--- a/crates/oriolehitch/src/check.rs
+++ b/crates/oriolehitch/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files with settings or configuration, and lists every fault.
+//! The command `check`: lists every fault of settings and configuration files.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
 
 /// Runs the command.
 pub fn run(flags: &Check) -> Outcome {
-    let faults: String = flags.files.iter().map(|f| check(f)).collect();
+    let faults: String = flags.files.iter().map(|f| check_file(f)).collect();
     if faults.is_empty() {
         Outcome::Success(String::new())
     } else {
@@ -18,8 +18,8 @@
     }
 }
 
-/// Returns a line for each fault of a file.
-fn check(file: &Path) -> String {
+/// Returns a line for each fault of a file, or one that tells why the file can't be read.
+fn check_file(file: &Path) -> String {
     let text = match std::fs::read_to_string(file) {
         Ok(text) => text,
         Err(e) => return format!("{}: {e}\n", file.display()),
@@ -32,13 +32,13 @@
     format_faults(file, &faults.unwrap_or_default())
 }
 
-/// A file with templates or customers is a configuration, any other one has settings.
+/// A file with templates or customers is a configuration, any other file contains settings.
 fn is_config(text: &str) -> bool {
     let value: Value = serde_json::from_str(text).unwrap_or_default();
     value.get("templates").is_some() || value.get("customers").is_some()
 }
 
-/// Returns a line for each fault.
+/// Formats faults of a file, one per line.
 pub fn format_faults(file: &Path, faults: &[Fault]) -> String {
     let line = |f: &Fault| format!("{}: {f}\n", file.display());
     faults.iter().map(line).collect()
--- a/crates/oriolehitch/src/dev.rs
+++ b/crates/oriolehitch/src/dev.rs
@@ -1,4 +1,5 @@
-//! The embedded default: stand-ins and instances in one process.
+//! The command `dev`: runs stubs and instances in one process, with a sample configuration unless
+//! another one is given.
 
 use std::time::Duration;
 
@@ -18,25 +19,25 @@
 
 const ZONES: [&str; 3] = ["hall-keflavik", "hall-grindavik", "hall-sandgerdi"];
 const INSTANCES: usize = 3;
-const SAMPLE: &str = include_str!("../../../examples/config.json");
+const SAMPLE_CONFIG: &str = include_str!("../../../examples/config.json");
 const SAMPLE_KEY: &str = "sample-key";
 const SAMPLE_TOKENS: u64 = 1_000_000;
 const STEP_MS: u64 = 4;
 const SLOTS: usize = 32;
-const READY_TRIES: u32 = 200;
-const READY_LOOK: Duration = Duration::from_millis(50);
+const MAX_READY_CHECKS: u32 = 200;
+const READY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs the command.
 ///
 /// # Errors
 ///
-/// Returns what can't start.
+/// Returns why a file can't be read, or why a stub or an instance can't start.
 pub async fn run(flags: Dev) -> Result<Outcome> {
     logging::init_stderr(flags.log.as_deref());
     let config = match &flags.config {
-        None => SAMPLE.to_string(),
+        None => SAMPLE_CONFIG.to_string(),
         Some(file) => std::fs::read_to_string(file)
-            .with_context(|| anyhow!("{} can't be read", file.display()))?,
+            .with_context(|| anyhow!("failed to read {}", file.display()))?,
     };
     let parsed = match Config::parse(&config) {
         Ok(parsed) => parsed,
@@ -58,19 +59,19 @@
     let platform = Platform::bind(loopback_addr(None)).await;
     let platform = platform.map_err(|e| anyhow!(e))?;
     let url = format!("http://{}", platform.addr());
-    stand_ins(&url, &parsed).await?;
+    start_stubs(&url, &parsed).await?;
     let count = flags.instances.unwrap_or(INSTANCES).max(1);
-    let instances = spawn(base, &url, count, flags.port).await?;
+    let instances = spawn_instances(base, &url, count, flags.port).await?;
     let admin = format!("http://{}", instances[0].admin_addr());
-    prepare(&admin, &parsed).await?;
+    apply_config(&admin, &parsed).await?;
     wait_ready(&instances).await?;
     println!("ready http://{} admin {admin}", instances[0].addr());
-    let body = sample(&parsed);
+    let body = sample_request(&parsed);
     println!(
         "curl -s http://{}/v1/chat/completions -H 'Authorization: Bearer {SAMPLE_KEY}' -d '{body}'",
         instances[0].addr()
     );
-    println!("answer {}", ask(&instances[0], &body).await?);
+    println!("answer {}", send_request(&instances[0], &body).await?);
     signals.recv().await;
     for instance in instances {
         instance.stop(signals.recv()).await;
@@ -78,11 +79,13 @@
     Ok(Outcome::Success(String::new()))
 }
 
-async fn stand_ins(platform: &str, config: &Config) -> Result<()> {
+async fn start_stubs(platform: &str, config: &Config) -> Result<()> {
     let mut models: Vec<String> = Vec::new();
     let mut services: Vec<String> = Vec::new();
     for name in config.customers.keys() {
-        let policy = config.policy(name).expect("the configuration was checked");
+        let policy = config
+            .policy(name)
+            .expect("each customer of a valid configuration has a policy");
         models.extend(policy.models);
         services.extend(policy.services);
     }
@@ -116,7 +119,7 @@
     Ok(())
 }
 
-async fn spawn(
+async fn spawn_instances(
     base: Settings,
     platform: &str,
     count: usize,
@@ -137,35 +140,36 @@
     Ok(instances)
 }
 
-/// Puts the configuration in force and gives each customer some tokens.
-async fn prepare(admin: &str, config: &Config) -> Result<()> {
-    let operator = AdminClient::new(admin, None);
+/// Applies the configuration, and adds prepaid tokens to each customer's budget.
+async fn apply_config(admin: &str, config: &Config) -> Result<()> {
+    let client = AdminClient::new(admin, None);
     let body = json!({
         "config": config, "change_id": "dev", "who": "dev", "what": "sample configuration",
     });
-    operator
+    client
         .send("PUT", "/admin/v1/config", Some(&body), Some(0))
         .await?;
     for name in config.customers.keys() {
         let path = format!("/admin/v1/budgets/{name}/topups");
         let body = json!({"id": "dev", "tokens": SAMPLE_TOKENS});
-        operator.send("POST", &path, Some(&body), None).await?;
+        client.send("POST", &path, Some(&body), None).await?;
     }
     Ok(())
 }
 
 async fn wait_ready(instances: &[Instance]) -> Result<()> {
-    for _ in 0..READY_TRIES {
+    for _ in 0..MAX_READY_CHECKS {
         if instances.iter().all(Instance::is_ready) {
             return Ok(());
         }
-        tokio::time::sleep(READY_LOOK).await;
+        tokio::time::sleep(READY_CHECK_INTERVAL).await;
     }
-    bail!("the instances did not get their configuration");
+    bail!("the instances did not become ready in time");
 }
 
-/// Returns a request of the first customer.
-fn sample(config: &Config) -> Value {
+/// Returns a request that the first customer may send. The stub engine reads the length of its
+/// response from `len`.
+fn sample_request(config: &Config) -> Value {
     let first = config.customers.keys().next();
     let policy = first.and_then(|n| config.policy(n));
     let model = policy.and_then(|p| p.models.first().cloned());
@@ -176,8 +180,8 @@
     })
 }
 
-/// Sends the sample request once, as its caller would.
-async fn ask(instance: &Instance, body: &Value) -> Result<String> {
+/// Sends a request as a caller would, and returns the response body.
+async fn send_request(instance: &Instance, body: &Value) -> Result<String> {
     let url = format!("http://{}/v1/chat/completions", instance.addr());
     let req = reqwest::Client::new()
         .post(url)
--- a/crates/oriolehitch/src/lib.rs
+++ b/crates/oriolehitch/src/lib.rs
@@ -1,4 +1,4 @@
-//! The commands of the program; `main` only prints what they return.
+//! The commands of the program. Each returns its result, which `main` prints.
 
 pub mod admin;
 pub mod calls;
@@ -18,19 +18,20 @@
 use flags::{Flags, OriolehitchCmd};
 use tokio::runtime::Builder;
 
-/// How a command ended.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is done; the text is for standard output.
+    /// The command succeeded; the text goes to standard output.
     Success(String),
-    /// It was refused, or what it was given is invalid.
+    /// The command failed, or its input is invalid; the text goes to standard error.
     Failure(String),
-    /// Another operator was faster; the text says what is current.
+    /// The current state does not allow the change, for example because another operator's change
+    /// came first; the text tells why.
     Conflict(String),
 }
 
 impl Outcome {
-    /// Returns the exit code.
+    /// Returns the exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
             Outcome::Success(_) => 0,
@@ -44,7 +45,7 @@
 ///
 /// # Errors
 ///
-/// Returns what kept it from running at all.
+/// Returns why the command could not be carried out.
 pub fn run(flags: Flags) -> anyhow::Result<Outcome> {
     let runtime = match &flags {
         Flags::TopLevel(f) if uses_one_thread(&f.subcommand) => Builder::new_current_thread(),
@@ -54,7 +55,8 @@
     runtime.block_on(dispatch(flags))
 }
 
-/// Returns whether a command runs on a part of one core, where a second thread only costs switches.
+/// Returns whether a command needs only one thread. Instances with the dialect `platform` run on a
+/// fraction of one core, where a second thread would only add context switches.
 fn uses_one_thread(cmd: &OriolehitchCmd) -> bool {
     match cmd {
         OriolehitchCmd::Serve(cmd) => serve::file_has_platform_dialect(&cmd.settings),
--- a/crates/oriolehitch/src/serve.rs
+++ b/crates/oriolehitch/src/serve.rs
@@ -1,4 +1,4 @@
-//! Runs one instance until it is told to stop.
+//! The command `serve`: runs one instance until a signal stops it.
 
 use std::path::Path;
 
@@ -10,18 +10,18 @@
 use crate::flags::Serve;
 use crate::{logging, serve_platform, Outcome};
 
-/// The signals that end a process.
+/// The signals that stop the process, SIGINT and SIGTERM.
 pub struct ShutdownSignals {
     interrupt: Signal,
     terminate: Signal,
 }
 
 impl ShutdownSignals {
-    /// Starts to listen.
+    /// Starts listening for the signals.
     ///
     /// # Errors
     ///
-    /// Returns why the system refuses.
+    /// Returns why the handlers can't be installed.
     pub fn new() -> Result<ShutdownSignals> {
         Ok(ShutdownSignals {
             interrupt: signal(SignalKind::interrupt())?,
@@ -42,7 +42,7 @@
 ///
 /// # Errors
 ///
-/// Returns why the instance can't start.
+/// Returns why the settings can't be read, or why the instance can't start.
 pub async fn run(flags: Serve) -> Result<Outcome> {
     let mut settings = match read_settings(&flags.settings)? {
         Ok(settings) => settings,
@@ -65,17 +65,20 @@
         instance.id(),
     );
     signals.recv().await;
-    let whole = instance.stop(signals.recv()).await;
-    Ok(if whole {
+    // A second signal cuts the planned stop short.
+    let completed = instance.stop(signals.recv()).await;
+    Ok(if completed {
         Outcome::Success(String::new())
     } else {
-        Outcome::Failure("the stop was cut short; the log says what it cut off\n".to_string())
+        Outcome::Failure(
+            "planned stop did not complete; see the log for what was cut off\n".to_string(),
+        )
     })
 }
 
-/// Returns whether the settings are those of a fleet on the users' platform.
+/// Returns whether a settings file selects the dialect `platform`.
 pub fn file_has_platform_dialect(file: &Path) -> bool {
-    // Faults are reported when the command runs.
+    // Errors are reported when the command reads the file again.
     matches!(read_settings(file), Ok(Ok(settings)) if has_platform_dialect(&settings))
 }
 
@@ -83,13 +86,13 @@
     settings.dialect.as_deref() == Some("platform")
 }
 
-/// Reads settings; the inner error lists their faults.
+/// Reads a settings file; the inner error lists the faults of its content.
 ///
 /// # Errors
 ///
 /// Returns why the file can't be read.
 pub fn read_settings(file: &Path) -> Result<Result<Settings, String>> {
     let text = std::fs::read_to_string(file)
-        .with_context(|| anyhow!("{} can't be read", file.display()))?;
+        .with_context(|| anyhow!("failed to read {}", file.display()))?;
     Ok(Settings::parse(&text).map_err(|faults| crate::check::format_faults(file, &faults)))
 }
--- a/crates/oriolehitch/src/serve_platform.rs
+++ b/crates/oriolehitch/src/serve_platform.rs
@@ -1,4 +1,4 @@
-//! Runs one instance of a fleet on the users' platform.
+//! Runs one instance with the dialect `platform`.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -13,10 +13,10 @@
 use crate::serve::{self, ShutdownSignals};
 use crate::{logging, Outcome};
 
-/// How often the settings file is looked at: it may change without a signal.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Interval at which the settings file is read again, because it may change without a signal.
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Serves until it is told to stop.
+/// Runs the instance until a signal stops it.
 ///
 /// # Errors
 ///
@@ -26,8 +26,8 @@
     proxy::exit_on_panic();
     let mut signals = ShutdownSignals::new()?;
     let mut hangup = signal(SignalKind::hangup())?;
-    let mut look = interval(LOOK_EVERY);
-    look.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut poll = interval(SETTINGS_POLL_INTERVAL);
+    poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut current = settings.clone();
     let instance = Instance::spawn(Dependencies {
         store: Arc::new(platform::StoreClient::new(&settings.platform)),
@@ -39,27 +39,34 @@
         tokio::select! {
             () = signals.recv() => break,
             _ = hangup.recv() => {}
-            _ = look.tick() => {}
+            _ = poll.tick() => {}
         }
-        reload(file, &mut current, &instance);
+        check_settings(file, &mut current, &instance);
     }
     Ok(if instance.stop().await {
         Outcome::Success(String::new())
     } else {
-        Outcome::Failure("the stop was cut short; the log says what it cut off\n".to_string())
+        Outcome::Failure(
+            "planned stop did not complete; see the log for what was cut off\n".to_string(),
+        )
     })
 }
 
-/// Reads the settings again. Addresses and bounds hold from the start of a process to its end, so a
-/// change is only logged; faulty settings never end what runs.
-fn reload(file: &Path, current: &mut Settings, instance: &Instance) {
+/// Reads the settings file again and logs whether it changed. Addresses and limits are fixed while a
+/// process runs, so a change takes effect at the next start. Invalid settings never stop a running
+/// instance.
+fn check_settings(file: &Path, current: &mut Settings, instance: &Instance) {
     match serve::read_settings(file) {
         Ok(Ok(settings)) if settings == *current => {}
         Ok(Ok(settings)) => {
             *current = settings;
-            instance.log_settings_reload("changed; in force from the next start");
+            instance.log_settings_reload("changed; takes effect at the next start");
+        }
+        Ok(Err(faults)) => {
+            instance.log_settings_reload(&format!("invalid, current settings kept: {faults}"))
+        }
+        Err(e) => {
+            instance.log_settings_reload(&format!("not readable, current settings kept: {e:#}"))
         }
-        Ok(Err(faults)) => instance.log_settings_reload(&format!("faulty, unchanged: {faults}")),
-        Err(e) => instance.log_settings_reload(&format!("unreadable, unchanged: {e:#}")),
     }
 }
--- a/crates/oriolehitch/src/stubs.rs
+++ b/crates/oriolehitch/src/stubs.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process.
+//! The command `stub`: runs one stub as a process.
 
 use std::net::SocketAddr;
 
@@ -11,14 +11,14 @@
 use crate::serve::ShutdownSignals;
 use crate::{logging, Outcome};
 
-const STEP_MS: u64 = 4;
-const SLOTS: usize = 32;
+const DEFAULT_STEP_MS: u64 = 4;
+const DEFAULT_SLOTS: usize = 32;
 
 /// Runs the command.
 ///
 /// # Errors
 ///
-/// Returns why the stand-in can't start.
+/// Returns why the stub can't start.
 pub async fn run(flags: Stub) -> Result<Outcome> {
     logging::init_stderr(None);
     let mut signals = ShutdownSignals::new()?;
@@ -30,8 +30,8 @@
                 name: cmd.name,
                 zone: cmd.zone,
                 models: cmd.models.split(',').map(str::to_string).collect(),
-                step_ms: cmd.step_ms.unwrap_or(STEP_MS),
-                slots: cmd.slots.unwrap_or(SLOTS),
+                step_ms: cmd.step_ms.unwrap_or(DEFAULT_STEP_MS),
+                slots: cmd.slots.unwrap_or(DEFAULT_SLOTS),
                 platform: cmd.platform,
                 fenced: !cmd.unfenced,
             };
@@ -54,7 +54,7 @@
     Ok(Outcome::Success(String::new()))
 }
 
-/// Returns a loopback address with a port, or a free one.
+/// Returns a loopback address with the given port; without one, the system picks a free port.
 pub fn loopback_addr(port: Option<u16>) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port.unwrap_or(0)))
 }
--- a/crates/oriolehitch/src/table.rs
+++ b/crates/oriolehitch/src/table.rs
@@ -1,11 +1,15 @@
-//! Prints lists of JSON objects as tables.
+//! Formats lists of JSON objects as tables.
 
 use serde_json::Value;
 
-/// Returns a table with the given columns; a column may be a path with dots.
+/// Returns a table with the given columns. A column is the name of a field, or a path of names
+/// separated by dots; its header is the last name.
 pub fn format_table(rows: &[Value], columns: &[&str]) -> String {
-    let head: Vec<String> = columns.iter().map(|c| last(c).to_uppercase()).collect();
-    let mut lines = vec![head];
+    let header: Vec<String> = columns
+        .iter()
+        .map(|c| last_name(c).to_uppercase())
+        .collect();
+    let mut lines = vec![header];
     for row in rows {
         lines.push(columns.iter().map(|c| cell(row, c)).collect());
     }
@@ -21,12 +25,12 @@
     out
 }
 
-fn last(path: &str) -> &str {
+fn last_name(path: &str) -> &str {
     path.rsplit('.').next().unwrap_or(path)
 }
 
 fn cell(row: &Value, path: &str) -> String {
-    let value = path.split('.').fold(row, |v, part| &v[part]);
+    let value = path.split('.').fold(row, |v, name| &v[name]);
     match value {
         Value::Null => "-".to_string(),
         Value::String(s) => s.clone(),
