--- a/crates/oriolehitch/tests/reports/main.rs
+++ b/crates/oriolehitch/tests/reports/main.rs
@@ -1,4 +1,4 @@
-//! Reports on small logs.
+//! Tests of the reports on small logs.
 
 use std::path::PathBuf;
 
@@ -13,10 +13,11 @@
     )
 }
 
-fn log() -> String {
+fn sample_log() -> String {
     let grant = "customer=c granted=900 returned=100 spent=500 rate=1 balance=300 charged=800 \
                  all_spent=500 prepaid=1000";
-    let refused = |tokens| {
+    // Logs of older builds have this text.
+    let refusal = |tokens| {
         format!("code=budget_out_of_reach ran=No retry_ms=Some(4) why=no tokens in reach for {tokens} tokens of c, waited_ms=0")
     };
     [
@@ -28,34 +29,34 @@
             2501,
             "route=r customer=c upstream=e attempts=1 code=ok tokens=400",
         ),
-        // The process is gone; what it held stays charged.
+        // The next incarnation starts; the tokens of the previous one are still charged.
         line(5, "a", 2001, "id=a.2"),
-        line(6, "a", 2502, &refused(300)),
-        line(6, "a", 2502, &refused(700)),
-        "not a line of an instance\n".to_string(),
+        line(6, "a", 2502, &refusal(300)),
+        line(6, "a", 2502, &refusal(700)),
+        "not a log line of an instance\n".to_string(),
     ]
     .concat()
 }
 
 fn run(args: &[&str]) -> Outcome {
     let args = args.iter().map(Into::into).collect();
-    let flags = Flags::parse(args).expect("sound arguments");
+    let flags = Flags::parse(args).expect("valid arguments");
     oriolehitch_cli::run(flags).expect("a report")
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_file(name: &str, text: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let file = dir.join(name);
-    std::fs::write(&file, text).expect("a file");
+    std::fs::write(&file, text).expect("the file is written");
     file
 }
 
 #[test]
-fn tokens_of_the_dead_and_refusals_that_they_caused_are_told_apart() {
-    let file = file("fleet.log", &log());
-    let file = file.to_str().expect("a name in letters");
+fn tokens_of_ended_incarnations_and_refusals_are_shown_separately() {
+    let file = write_file("fleet.log", &sample_log());
+    let file = file.to_str().expect("a path in UTF-8");
     let Outcome::Success(text) = run(&["tokens", file, "--every", "4", "--json"]) else {
-        panic!("refused");
+        panic!("the report failed");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
     let of = |row: &Value, field: &str| row[field].as_u64().expect("a number");
@@ -83,9 +84,9 @@
     )
 }
 
-/// Symptom: the report shows 300 tokens in living hands that nobody gets, though all of them are spent. Sequence: one
-/// instance takes 500 and passes 300 of them on to another one, which spends them and says so in its own line.
-/// Cause: each instance was added up by itself, what it spent beyond its own tokens as nothing.
+/// Guards against showing spent tokens as held by running instances. One instance takes 500 tokens and transfers 300 of
+/// them to another one, which spends them and reports that in its own entry. Each instance was added up by itself, and
+/// what it spent beyond its own tokens was ignored.
 #[test]
 fn tokens_that_moved_between_instances_count_once() {
     let log = [
@@ -95,14 +96,13 @@
         line(2, "b", 2601, &grant(400, 600, 900, 600)),
         line(3, "a", 2601, &grant(500, 200, 900, 800)),
     ];
-    assert_eq!(held("moved.log", &log.concat()), [[100, 0]]);
+    assert_eq!(held_tokens("moved.log", &log.concat()), [[100, 0]]);
 }
 
-/// Symptom: tokens of a process that was killed count as held by the living. Sequence: the log of its last seconds is
-/// lost; the next process reads its predecessor's line in the store and logs it. Cause: only the lost lines told
-/// of them.
+/// Guards against counting the tokens of a killed process as held by running instances. The log of its last seconds is
+/// lost, and only that log showed these tokens. The next process logs the entry of its predecessor from the store.
 #[test]
-fn what_a_successor_found_in_the_store_is_held_by_the_dead() {
+fn the_previous_incarnations_entry_counts_as_held_by_an_ended_incarnation() {
     let log = [
         line(1, "a", 2001, "id=a.2"),
         line(
@@ -113,15 +113,15 @@
         ),
         line(3, "a", 2601, &grant(100, 0, 700, 200)),
     ];
-    assert_eq!(held("successor.log", &log.concat()), [[100, 400]]);
+    assert_eq!(held_tokens("successor.log", &log.concat()), [[100, 400]]);
 }
 
-/// Returns the tokens held by the living and by the dead, row by row of eight seconds.
-fn held(name: &str, text: &str) -> Vec<[u64; 2]> {
-    let file = file(name, text);
-    let file = file.to_str().expect("a name in letters");
+/// Returns the tokens held by running and by ended incarnations, in rows of eight seconds.
+fn held_tokens(name: &str, text: &str) -> Vec<[u64; 2]> {
+    let file = write_file(name, text);
+    let file = file.to_str().expect("a path in UTF-8");
     let Outcome::Success(text) = run(&["tokens", file, "--every", "8", "--json"]) else {
-        panic!("refused");
+        panic!("the report failed");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
     let of = |row: &Value, field: &str| row[field].as_u64().expect("a number");
@@ -132,14 +132,14 @@
 
 #[test]
 fn a_file_without_a_log_is_refused() {
-    let file = file("no.log", "nothing\n");
-    let file = file.to_str().expect("a name in letters");
+    let file = write_file("no.log", "nothing\n");
+    let file = file.to_str().expect("a path in UTF-8");
     assert!(matches!(run(&["tokens", file]), Outcome::Failure(_)));
 }
 
-/// Totals of a process go on; those of the next one at the same name begin anew.
+/// The totals of a process increase, and those of the next process with the same name start from zero.
 #[test]
-fn calls_of_the_store_are_added_up_over_instances_and_restarts() {
+fn store_calls_are_added_up_over_instances_and_restarts() {
     let log = [
         line(1, "a", 2001, "id=a.1"),
         line(5, "a", 2204, "config.watch.nothing.in_reach=2"),
@@ -153,21 +153,21 @@
         line(16, "a", 2204, "config.watch.nothing.in_reach=3"),
         line(16, "b", 2204, "config.watch.nothing.out=7"),
     ];
-    let file = file("calls.log", &log.concat());
-    let file = file.to_str().expect("a name in letters");
+    let file = write_file("calls.log", &log.concat());
+    let file = file.to_str().expect("a path in UTF-8");
     let shown = |args: &[&str]| -> Vec<(u64, String, u64)> {
         let Outcome::Success(text) = run(args) else {
-            panic!("refused");
+            panic!("the report failed");
         };
         let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
         let row = |r: &Value| {
-            let sort = ["task", "call", "end", "store"].map(|f| r[f].as_str().expect("a word"));
+            let kind = ["task", "call", "end", "store"].map(|f| r[f].as_str().expect("a string"));
             let number = |f: &str| r[f].as_u64().expect("a number");
-            (number("second"), sort.join("."), number("calls"))
+            (number("second"), kind.join("."), number("calls"))
         };
         rows.iter().map(row).collect()
     };
-    let row = |second, sort: &str, calls| (second, sort.to_string(), calls);
+    let row = |second, kind: &str, calls| (second, kind.to_string(), calls);
     let all = [
         row(0, "budgets.write.lost.in_reach", 1),
         row(0, "config.watch.nothing.in_reach", 7),
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn waits_are_told_apart_by_where_they_were() {
+fn waits_at_instances_and_at_upstreams_are_shown_separately() {
     let answered = |instance: &str, sent: u32, first: u32, attempts: u32| {
         let detail = format!(
             "route=r customer=c upstream=e attempts={attempts} code=ok ms=900 sent_ms={sent} first_ms={first} expected_ms=60"
@@ -198,10 +198,10 @@
         line(3, "b", 2502, "code=overloaded ran=No"),
     ]
     .concat();
-    let file = file("waits.log", &text);
-    let file = file.to_str().expect("a name in letters");
+    let file = write_file("waits.log", &text);
+    let file = file.to_str().expect("a path in UTF-8");
     let Outcome::Success(text) = run(&["waits", file, "--by", "instance", "--json"]) else {
-        panic!("refused");
+        panic!("the report failed");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
     let of = |row: &Value, field: &str| row[field].as_u64().expect("a number");
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn load_shows_the_middle_and_the_busiest_instance() {
+fn load_shows_the_median_and_the_instance_with_the_maximum() {
     let detail = |memory: u64, sent: u64| {
         format!(
             "memory_kb={memory} head.zone.messages={sent} head.zone.bytes={}",
@@ -231,10 +231,10 @@
         line(12, "c", 2303, &detail(90, 1)),
     ]
     .concat();
-    let file = file("load.log", &log);
-    let file = file.to_str().expect("a name in letters");
+    let file = write_file("load.log", &log);
+    let file = file.to_str().expect("a path in UTF-8");
     let Outcome::Success(text) = run(&["load", file, "--json"]) else {
-        panic!("refused");
+        panic!("the report failed");
     };
     let rows: Vec<Value> = serde_json::from_str(&text).expect("JSON");
     let row = |what: &str| {
