--- a/crates/oriolehitch/src/stubs.rs
+++ b/crates/oriolehitch/src/stubs.rs
@@ -1,4 +1,4 @@
-//! Runs one stand-in as a process.
+//! The command `stub`: runs one stub as a process.
 
 use std::net::SocketAddr;
 
@@ -8,30 +8,30 @@
 use stub::service::{self, Service};
 
 use crate::flags::{Stub, StubCmd};
-use crate::serve::Signals;
-use crate::{log, Outcome};
+use crate::serve::ShutdownSignals;
+use crate::{logging, Outcome};
 
-const STEP_MS: u64 = 4;
-const SLOTS: usize = 32;
+const DEFAULT_STEP_MS: u64 = 4;
+const DEFAULT_SLOTS: usize = 32;
 
 /// Runs the command.
 ///
 /// # Errors
 ///
-/// Returns why the stand-in can't start.
+/// Returns why the stub can't start.
 pub async fn run(flags: Stub) -> Result<Outcome> {
-    log::start(None);
-    let mut signals = Signals::open()?;
+    logging::init_stderr(None);
+    let mut signals = ShutdownSignals::new()?;
     let bound = match flags.subcommand {
-        StubCmd::Platform(cmd) => Platform::bind(loopback(cmd.port)).await,
+        StubCmd::Platform(cmd) => Platform::bind(loopback_addr(cmd.port)).await,
         StubCmd::Engine(cmd) => {
             let setup = engine::Setup {
-                addr: loopback(cmd.port),
+                addr: loopback_addr(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
                 models: cmd.models.split(',').map(str::to_string).collect(),
-                step_ms: cmd.step_ms.unwrap_or(STEP_MS),
-                slots: cmd.slots.unwrap_or(SLOTS),
+                step_ms: cmd.step_ms.unwrap_or(DEFAULT_STEP_MS),
+                slots: cmd.slots.unwrap_or(DEFAULT_SLOTS),
                 platform: cmd.platform,
                 fenced: !cmd.unfenced,
             };
@@ -39,7 +39,7 @@
         }
         StubCmd::Service(cmd) => {
             let setup = service::Setup {
-                addr: loopback(cmd.port),
+                addr: loopback_addr(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
                 service: cmd.service,
@@ -50,11 +50,11 @@
     };
     let handle = bound.map_err(|e| anyhow!(e))?;
     println!("ready http://{}", handle.addr());
-    signals.next().await;
-    Ok(Outcome::Done(String::new()))
+    signals.recv().await;
+    Ok(Outcome::Success(String::new()))
 }
 
-/// Returns a loopback address with a port, or a free one.
-pub fn loopback(port: Option<u16>) -> SocketAddr {
+/// Returns a loopback address with the given port; without one, the system picks a free port.
+pub fn loopback_addr(port: Option<u16>) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], port.unwrap_or(0)))
 }
