--- a/crates/oriolehitch/tests/scenario/act.rs
+++ b/crates/oriolehitch/tests/scenario/actions.rs
@@ -1,4 +1,4 @@
-//! What a line of a scenario does.
+//! Runs the lines of scenarios.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -10,53 +10,53 @@
 use serde_json::{json, Value};
 use uuid::{NoContext, Timestamp, Uuid};
 
+use crate::env::{RequestResult, TestEnv};
 use crate::expect;
 use crate::line::Line;
-use crate::stage::{Got, Stage};
 
-const TIMEOUT: Duration = Duration::from_secs(90);
-const RETRY: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(90);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 const DAY_SECS: u64 = 86_400;
 
-/// Carries out one line.
-pub(crate) async fn act(stage: &mut Stage, line: &Line) -> Result<(), String> {
+/// Runs one line.
+pub(crate) async fn run_line(env: &mut TestEnv, line: &Line) -> Result<(), String> {
     match line.word(0)? {
         "platform" => {
             let args = ["stub", "platform", "--port", "0"].map(String::from);
-            stage.start(line.word(1)?, "", args.to_vec())
+            env.start_process(line.word(1)?, "", args.to_vec())
         }
-        "engine" => engine(stage, line),
-        "service" => service(stage, line),
-        "instance" => instance(stage, line),
-        "config" => config(stage, line).await,
-        "topup" => top_up(stage, line).await,
-        "chat" | "call" => request(stage, line).await,
-        "load" => load(stage, line),
-        "wait" => wait(stage, line.word(1)?).await,
-        "kill" => kill(stage, line.word(1)?),
-        "freeze" => stage.signal(line.word(1)?, Signal::STOP),
-        "thaw" => stage.signal(line.word(1)?, Signal::CONT),
-        "stop" => stage.signal(line.word(1)?, Signal::TERM),
-        "restart" => stage.restart(line.word(1)?),
-        "fault" => fault(stage, line).await,
-        "order" => order(stage, line).await,
-        "cut" => cut(stage, Some(line.word(1)?)).await,
-        "heal" => cut(stage, None).await,
+        "engine" => start_engine(env, line),
+        "service" => start_service(env, line),
+        "instance" => start_instance(env, line),
+        "config" => apply_config(env, line).await,
+        "topup" => top_up(env, line).await,
+        "chat" | "call" => send_request(env, line).await,
+        "load" => start_load(env, line),
+        "wait" => wait(env, line.word(1)?).await,
+        "kill" => kill(env, line.word(1)?),
+        "freeze" => env.signal(line.word(1)?, Signal::STOP),
+        "thaw" => env.signal(line.word(1)?, Signal::CONT),
+        "stop" => env.signal(line.word(1)?, Signal::TERM),
+        "restart" => env.restart(line.word(1)?),
+        "fault" => set_faults(env, line).await,
+        "order" => send_order(env, line).await,
+        "cut" => partition(env, Some(line.word(1)?)).await,
+        "heal" => partition(env, None).await,
         "sleep" => {
             let ms = line.word(1)?.parse().map_err(|_| "not a number")?;
             tokio::time::sleep(Duration::from_millis(ms)).await;
             Ok(())
         }
-        "cli" => cli(stage, line),
-        "expect" => expect::expect(stage, line).await,
-        other => Err(format!("there is no {other:?}")),
+        "cli" => run_cli(env, line),
+        "expect" => expect::expect(env, line).await,
+        other => Err(format!("unknown action {other:?}")),
     }
 }
 
-fn engine(stage: &mut Stage, line: &Line) -> Result<(), String> {
+fn start_engine(env: &mut TestEnv, line: &Line) -> Result<(), String> {
     let name = line.word(1)?;
     let zone = line.field("zone").unwrap_or("hall-keflavik");
-    let url = stage.process("p")?.url.clone();
+    let url = env.process("p")?.url.clone();
     let step = line.number("step", 4)?.to_string();
     let slots = line.number("slots", 32)?.to_string();
     let models = line.field("models").unwrap_or("birch-7b");
@@ -66,48 +66,48 @@
     if line.field("fenced") == Some("no") {
         args.push("--unfenced");
     }
-    stage.start(name, zone, args.iter().map(ToString::to_string).collect())
+    env.start_process(name, zone, args.iter().map(ToString::to_string).collect())
 }
 
-fn service(stage: &mut Stage, line: &Line) -> Result<(), String> {
+fn start_service(env: &mut TestEnv, line: &Line) -> Result<(), String> {
     let name = line.word(1)?;
     let zone = line.field("zone").unwrap_or("hall-keflavik");
-    let url = stage.process("p")?.url.clone();
+    let url = env.process("p")?.url.clone();
     let service = line.field("service").unwrap_or("orders");
     let mut args = vec!["stub", "service", "--name", name, "--zone", zone];
     args.extend(["--service", service, "--platform", &url]);
-    stage.start(name, zone, args.iter().map(ToString::to_string).collect())
+    env.start_process(name, zone, args.iter().map(ToString::to_string).collect())
 }
 
-/// Starts an instance; fields other than the zone are settings.
-fn instance(stage: &mut Stage, line: &Line) -> Result<(), String> {
-    let mut more = json!({});
+/// Starts an instance. Fields other than `zone` are settings; `peers` names other instances.
+fn start_instance(env: &mut TestEnv, line: &Line) -> Result<(), String> {
+    let mut settings = json!({});
     for (name, value) in &line.fields {
         if name == "peers" {
             let peers: Result<Vec<String>, String> = value
                 .split(',')
-                .map(|n| Ok(stage.process(n)?.peer.clone()))
+                .map(|n| Ok(env.process(n)?.peer.clone()))
                 .collect();
-            more["peers"] = json!(peers?);
+            settings["peers"] = json!(peers?);
         } else if name != "zone" {
-            more[name] = serde_json::from_str(value).unwrap_or(json!(value));
+            settings[name] = serde_json::from_str(value).unwrap_or(json!(value));
         }
     }
-    stage.instance(
+    env.start_instance(
         line.word(1)?,
         line.field("zone").unwrap_or("hall-keflavik"),
-        more,
+        settings,
     )
 }
 
-fn data(file: &str) -> std::path::PathBuf {
+fn data_file(file: &str) -> std::path::PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/data")
         .join(file)
 }
 
-/// Checks an answer's status: 200, unless the line states another.
-fn answered(res: reqwest::Result<reqwest::Response>, line: &Line) -> Result<(), String> {
+/// Checks that the status of a response is the one that the line states, or 200.
+fn check_status(res: reqwest::Result<reqwest::Response>, line: &Line) -> Result<(), String> {
     let status = res.map_err(|e| e.to_string())?.status().as_u16();
     if u64::from(status) == line.number("status", 200)? {
         Ok(())
@@ -116,34 +116,34 @@
     }
 }
 
-/// Puts a file in force through an instance.
-async fn config(stage: &mut Stage, line: &Line) -> Result<(), String> {
-    let file = data(line.word(1)?);
+/// Applies a configuration file through an instance.
+async fn apply_config(env: &mut TestEnv, line: &Line) -> Result<(), String> {
+    let file = data_file(line.word(1)?);
     let text = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
     let config: Value = serde_json::from_str(&text).map_err(|e| e.to_string())?;
-    let at = &stage.process(line.field("at").unwrap_or("a"))?.admin;
+    let at = &env.process(line.field("at").unwrap_or("a"))?.admin;
     let id = line.field("change").unwrap_or("change-1");
     let body = json!({"config": config, "change_id": id, "who": "test", "what": line.word(1)?});
-    let req = stage.http.put(format!("{at}/admin/v1/config")).json(&body);
+    let req = env.http.put(format!("{at}/admin/v1/config")).json(&body);
     let res = req
         .header("if-match", line.field("expect").unwrap_or("0"))
         .send()
         .await;
-    answered(res, line)
+    check_status(res, line)
 }
 
-async fn top_up(stage: &mut Stage, line: &Line) -> Result<(), String> {
-    let at = &stage.process(line.field("at").unwrap_or("a"))?.admin;
+async fn top_up(env: &mut TestEnv, line: &Line) -> Result<(), String> {
+    let at = &env.process(line.field("at").unwrap_or("a"))?.admin;
     let customer = line.word(1)?;
     let tokens: u64 = line.word(2)?.parse().map_err(|_| "not a number")?;
     let url = format!("{at}/admin/v1/budgets/{customer}/topups");
     let body = json!({"id": line.field("id").unwrap_or("t1"), "tokens": tokens});
-    let res = stage.http.post(url).json(&body).send().await;
-    answered(res, line)
+    let res = env.http.post(url).json(&body).send().await;
+    check_status(res, line)
 }
 
-/// Returns the id that a line wants: a new one, an old one, another request's, or a given one.
-fn id(stage: &Stage, line: &Line) -> Result<Option<String>, String> {
+/// Returns the request id that a line states: a new one, an old one, that of another request, or a literal one.
+fn request_id(env: &TestEnv, line: &Line) -> Result<Option<String>, String> {
     Ok(match line.field("id") {
         None => None,
         Some("new") => Some(Uuid::now_v7().to_string()),
@@ -152,18 +152,18 @@
             let secs = now.map_err(|e| e.to_string())?.as_secs() - 3 * DAY_SECS;
             Some(Uuid::new_v7(Timestamp::from_unix(NoContext, secs, 0)).to_string())
         }
-        Some(other) => match stage.ids.get(other) {
+        Some(other) => match env.request_ids.get(other) {
             Some(id) => Some(id.clone()),
             None => Some(other.to_string()),
         },
     })
 }
 
-/// What one request sends.
+/// A request to be sent.
 #[derive(Clone)]
-struct Send {
-    /// Instances to try, one after another.
-    at: Vec<String>,
+struct RequestSpec {
+    /// Instances for the first attempt and for retries, in order.
+    instances: Vec<String>,
     urls: Arc<Mutex<BTreeMap<String, String>>>,
     path: String,
     key: String,
@@ -173,10 +173,10 @@
     timeout_ms: Option<String>,
 }
 
-async fn request(stage: &mut Stage, line: &Line) -> Result<(), String> {
+async fn send_request(env: &mut TestEnv, line: &Line) -> Result<(), String> {
     let name = line.word(1)?.to_string();
     let at = line.field("at").unwrap_or("a").to_string();
-    let id = id(stage, line)?;
+    let id = request_id(env, line)?;
     let chat = line.word(0)? == "chat";
     let path = if chat {
         "/v1/chat/completions".to_string()
@@ -192,9 +192,9 @@
     } else {
         line.field("body").unwrap_or("{\"sku\":1}").to_string()
     };
-    let send = Send {
-        at: vec![at],
-        urls: Arc::clone(&stage.urls),
+    let spec = RequestSpec {
+        instances: vec![at],
+        urls: Arc::clone(&env.urls),
         path,
         key: line.field("key").unwrap_or("sample-key").to_string(),
         id: id.clone(),
@@ -202,16 +202,16 @@
         stream: line.field("stream") == Some("yes"),
         timeout_ms: line.field("timeout").map(str::to_string),
     };
-    stage.ids.extend(id.map(|id| (name.clone(), id)));
-    let task = tokio::spawn(send_one(stage.http.clone(), send));
+    env.request_ids.extend(id.map(|id| (name.clone(), id)));
+    let task = tokio::spawn(send_with_retries(env.http.clone(), spec));
     if line.field("leave").is_some() {
         tokio::time::sleep(Duration::from_millis(line.number("leave", 0)?)).await;
         task.abort();
         return Ok(());
     }
-    stage.open.insert(name.clone(), task);
+    env.in_flight.insert(name.clone(), task);
     if line.field("background") != Some("yes") {
-        wait(stage, &name).await?;
+        wait(env, &name).await?;
     }
     Ok(())
 }
@@ -232,103 +232,105 @@
     .to_string())
 }
 
-/// Sends a request; a broken connection is tried again at the next address, if there is one.
-async fn send_one(http: reqwest::Client, send: Send) -> Got {
-    let mut got = Got::default();
-    for (i, name) in send.at.iter().enumerate() {
+/// Sends a request. If the connection breaks or the status allows a retry, it is sent again to the next instance, if
+/// there is one.
+async fn send_with_retries(http: reqwest::Client, spec: RequestSpec) -> RequestResult {
+    let mut result = RequestResult::default();
+    for (i, name) in spec.instances.iter().enumerate() {
         if i > 0 {
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        let url = send
+        let url = spec
             .urls
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .get(name)
             .cloned();
-        let url = format!("{}{}", url.unwrap_or_default(), send.path);
-        got = attempt(&http, &url, &send).await;
-        let comes_back = matches!(got.status, Some(503 | 409 | 429 | 502));
-        let broken = got.status.is_none() || (got.status == Some(200) && !got.ended);
-        if !broken && !comes_back {
+        let url = format!("{}{}", url.unwrap_or_default(), spec.path);
+        result = send_once(&http, &url, &spec).await;
+        let may_retry = matches!(result.status, Some(503 | 409 | 429 | 502));
+        let broken = result.status.is_none() || (result.status == Some(200) && !result.ended);
+        if !broken && !may_retry {
             break;
         }
     }
-    got
+    result
 }
 
-async fn attempt(http: &reqwest::Client, url: &str, send: &Send) -> Got {
+async fn send_once(http: &reqwest::Client, url: &str, spec: &RequestSpec) -> RequestResult {
     let mut req = http
         .post(url)
-        .bearer_auth(&send.key)
-        .body(send.body.clone())
-        .timeout(TIMEOUT);
-    if let Some(id) = &send.id {
+        .bearer_auth(&spec.key)
+        .body(spec.body.clone())
+        .timeout(REQUEST_TIMEOUT);
+    if let Some(id) = &spec.id {
         req = req.header("idempotency-key", id);
     }
-    if let Some(ms) = &send.timeout_ms {
+    if let Some(ms) = &spec.timeout_ms {
         req = req.header("x-timeout-ms", ms);
     }
-    let mut got = Got {
-        id: send.id.clone().unwrap_or_default(),
-        ..Got::default()
+    let mut result = RequestResult {
+        id: spec.id.clone().unwrap_or_default(),
+        ..RequestResult::default()
     };
     let Ok(mut res) = req.send().await else {
-        return got;
+        return result;
     };
     let header = |name: &str| {
         let value = res.headers().get(name).and_then(|v| v.to_str().ok());
         value.map(str::to_string)
     };
-    got.status = Some(res.status().as_u16());
-    got.retry_after = header("retry-after");
-    got.id = header("x-request-id").unwrap_or(got.id);
+    result.status = Some(res.status().as_u16());
+    result.retry_after = header("retry-after");
+    result.id = header("x-request-id").unwrap_or(result.id);
     let mut body = Vec::new();
-    let mut whole = false;
+    let mut complete = false;
     while let Ok(chunk) = res.chunk().await {
         match chunk {
             Some(bytes) => body.extend_from_slice(&bytes),
             None => {
-                whole = true;
+                complete = true;
                 break;
             }
         }
     }
     read_body(
-        &mut got,
+        &mut result,
         &String::from_utf8_lossy(&body),
-        whole,
-        send.stream,
+        complete,
+        spec.stream,
     );
-    got
+    result
 }
 
-fn read_body(got: &mut Got, body: &str, whole: bool, stream: bool) {
-    if stream && got.status == Some(200) {
+fn read_body(result: &mut RequestResult, body: &str, complete: bool, stream: bool) {
+    if stream && result.status == Some(200) {
         for line in body.lines() {
             let Some(data) = line.strip_prefix("data: ") else {
                 continue;
             };
-            got.ended |= data == "[DONE]";
+            result.ended |= data == "[DONE]";
             let event: Value = serde_json::from_str(data).unwrap_or_default();
             let part = event["choices"][0]["delta"]["content"].as_str();
-            got.text.push_str(part.unwrap_or_default());
-            got.code = event["error"]["code"]
+            result.text.push_str(part.unwrap_or_default());
+            result.code = event["error"]["code"]
                 .as_str()
                 .map(str::to_string)
-                .or(got.code.take());
+                .or(result.code.take());
         }
         return;
     }
     let value: Value = serde_json::from_str(body).unwrap_or_default();
-    got.ended = whole;
-    got.code = value["error"]["code"].as_str().map(str::to_string);
-    got.ran = value["error"]["ran"].as_str().map(str::to_string);
+    result.ended = complete;
+    result.code = value["error"]["code"].as_str().map(str::to_string);
+    result.ran = value["error"]["ran"].as_str().map(str::to_string);
     let content = value["choices"][0]["message"]["content"].as_str();
-    got.text = content.map_or_else(|| body.to_string(), str::to_string);
+    result.text = content.map_or_else(|| body.to_string(), str::to_string);
 }
 
-/// Starts many chats, evenly over time and over instances; each comes back once elsewhere.
-fn load(stage: &mut Stage, line: &Line) -> Result<(), String> {
+/// Starts many chat requests, evenly distributed over time and instances. Each has `tries` attempts, at one instance
+/// after another.
+fn start_load(env: &mut TestEnv, line: &Line) -> Result<(), String> {
     let name = line.word(1)?.to_string();
     let at = line.field("at").unwrap_or("a").split(',');
     let at: Vec<String> = at.map(str::to_string).collect();
@@ -338,13 +340,13 @@
     let mut names = Vec::new();
     for i in 0..count {
         let wait = Duration::from_millis(over_ms * i / count);
-        let at = (0..tries)
+        let instances = (0..tries)
             .map(|t| at[(i as usize + t) % at.len()].clone())
             .collect();
         let id = Uuid::now_v7().to_string();
-        let send = Send {
-            at,
-            urls: Arc::clone(&stage.urls),
+        let spec = RequestSpec {
+            instances,
+            urls: Arc::clone(&env.urls),
             path: "/v1/chat/completions".to_string(),
             key: line.field("key").unwrap_or("sample-key").to_string(),
             id: Some(id.clone()),
@@ -352,40 +354,40 @@
             stream: line.field("stream") == Some("yes"),
             timeout_ms: None,
         };
-        let http = stage.http.clone();
+        let http = env.http.clone();
         let one = format!("{name}-{i}");
-        stage.ids.insert(one.clone(), id);
+        env.request_ids.insert(one.clone(), id);
         let task = tokio::spawn(async move {
             tokio::time::sleep(wait).await;
-            send_one(http, send).await
+            send_with_retries(http, spec).await
         });
-        stage.open.insert(one.clone(), task);
+        env.in_flight.insert(one.clone(), task);
         names.push(one);
     }
-    stage.loads.insert(name, names);
+    env.loads.insert(name, names);
     Ok(())
 }
 
-async fn wait(stage: &mut Stage, name: &str) -> Result<(), String> {
-    let names = stage
+async fn wait(env: &mut TestEnv, name: &str) -> Result<(), String> {
+    let names = env
         .loads
         .get(name)
         .cloned()
         .unwrap_or_else(|| vec![name.to_string()]);
     for name in names {
-        let task = stage
-            .open
+        let task = env
+            .in_flight
             .remove(&name)
             .ok_or(format!("no request {name}"))?;
-        let got = task.await.map_err(|e| e.to_string())?;
-        stage.got.insert(name, got);
+        let result = task.await.map_err(|e| e.to_string())?;
+        env.results.insert(name, result);
     }
     Ok(())
 }
 
-fn kill(stage: &mut Stage, name: &str) -> Result<(), String> {
-    stage.signal(name, Signal::KILL)?;
-    let process = stage
+fn kill(env: &mut TestEnv, name: &str) -> Result<(), String> {
+    env.signal(name, Signal::KILL)?;
+    let process = env
         .processes
         .get_mut(name)
         .ok_or(format!("no process {name}"))?;
@@ -393,9 +395,9 @@
     Ok(())
 }
 
-async fn fault(stage: &Stage, line: &Line) -> Result<(), String> {
-    let url = format!("{}/fault", stage.process(line.word(1)?)?.url);
-    let res = stage.http.post(url).body(line.rest.clone()).send().await;
+async fn set_faults(env: &TestEnv, line: &Line) -> Result<(), String> {
+    let url = format!("{}/fault", env.process(line.word(1)?)?.url);
+    let res = env.http.post(url).body(line.rest.clone()).send().await;
     let res = res.map_err(|e| e.to_string())?;
     if res.status().is_success() {
         Ok(())
@@ -404,32 +406,32 @@
     }
 }
 
-/// Gives an engine an order, as an instance would.
-async fn order(stage: &Stage, line: &Line) -> Result<(), String> {
-    let url = format!("{}/orders", stage.process(line.word(1)?)?.url);
+/// Sends an order to an engine, as an instance would.
+async fn send_order(env: &TestEnv, line: &Line) -> Result<(), String> {
+    let url = format!("{}/orders", env.process(line.word(1)?)?.url);
     let fence = line.number("fence", 0)?;
     let body = json!({"model": "birch-7b", "version": line.word(2)?, "fence": fence});
-    let res = stage.http.post(url).json(&body).send().await;
-    answered(res, line)
+    let res = env.http.post(url).json(&body).send().await;
+    check_status(res, line)
 }
 
-/// Cuts a zone from the others, or heals all cuts.
-async fn cut(stage: &Stage, zone: Option<&str>) -> Result<(), String> {
-    let instances = stage.instances();
+/// Partitions a zone from the others; without a zone, ends all partitions.
+async fn partition(env: &TestEnv, zone: Option<&str>) -> Result<(), String> {
+    let instances = env.instance_names();
     for name in &instances {
-        let me = stage.process(name)?;
-        let apart = |p: &str| zone.is_some_and(|z| (p == z) != (me.zone == z));
-        let mut cut = Vec::new();
+        let instance = env.process(name)?;
+        let is_separated = |other: &str| zone.is_some_and(|z| (other == z) != (instance.zone == z));
+        let mut unreachable = Vec::new();
         for other in &instances {
-            let other = stage.process(other)?;
-            if apart(&other.zone) {
-                cut.push(other.peer.clone());
+            let other = env.process(other)?;
+            if is_separated(&other.zone) {
+                unreachable.push(other.peer.clone());
             }
         }
-        let sent = stage
+        let sent = env
             .http
-            .post(format!("{}/fault", me.admin))
-            .json(&cut)
+            .post(format!("{}/fault", instance.admin))
+            .json(&unreachable)
             .send();
         let res = sent.await.map_err(|e| e.to_string())?;
         if !res.status().is_success() {
@@ -439,19 +441,18 @@
     Ok(())
 }
 
-/// Runs an operator's command; `@a` stands for the operators' address of instance `a`.
-fn cli(stage: &Stage, line: &Line) -> Result<(), String> {
+/// Runs a command for operators. `@a` stands for the URL of instance `a` for operators, `@id-of-a` for its incarnation,
+/// and `data/` for the folder of the test data.
+fn run_cli(env: &TestEnv, line: &Line) -> Result<(), String> {
     let mut args = Vec::new();
     for word in &line.words[1..] {
         args.push(match (word.strip_prefix('@'), word.strip_prefix("data/")) {
-            (Some(name), _) if stage.processes.contains_key(name) => {
-                stage.process(name)?.admin.clone()
-            }
+            (Some(name), _) if env.processes.contains_key(name) => env.process(name)?.admin.clone(),
             (Some(name), _) => match name.strip_prefix("id-of-") {
-                Some(name) => stage.process(name)?.id.clone(),
+                Some(name) => env.process(name)?.id.clone(),
                 None => return Err(format!("no process {name}")),
             },
-            (_, Some(file)) => data(file).display().to_string(),
+            (_, Some(file)) => data_file(file).display().to_string(),
             _ => word.clone(),
         });
     }
--- a/crates/oriolehitch/tests/scenario/stage.rs
+++ b/crates/oriolehitch/tests/scenario/env.rs
@@ -1,4 +1,4 @@
-//! The processes of a scenario, and what its requests got.
+//! The processes and requests of a scenario.
 
 use std::collections::BTreeMap;
 use std::fs::File;
@@ -12,12 +12,14 @@
 use tokio::task::JoinHandle;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_oriolehitch");
-const LOG_SHOWN: usize = 3_000;
+/// Bytes at the end of each process's log that a failure shows.
+const MAX_LOG_BYTES: usize = 3_000;
 
-/// One process.
+/// A process of the scenario.
 pub(crate) struct Process {
     pub(crate) child: Child,
-    /// What it prints when it is ready, by its words: `ready URL admin URL peer ADDR id ID`.
+    /// This and the next three are read from the line that a process prints when it is ready:
+    /// `ready URL admin URL peer ADDR id ID`. All but the first are empty for stubs.
     pub(crate) url: String,
     pub(crate) admin: String,
     pub(crate) peer: String,
@@ -26,53 +28,54 @@
     args: Vec<String>,
 }
 
-/// What a request got.
+/// The result of a request.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Got {
+pub(crate) struct RequestResult {
     pub(crate) id: String,
-    /// None when the connection broke.
+    /// Status of the response; none if the connection broke before.
     pub(crate) status: Option<u16>,
     pub(crate) code: Option<String>,
     pub(crate) ran: Option<String>,
     pub(crate) retry_after: Option<String>,
     pub(crate) text: String,
-    /// Whether the end mark came, or the whole body.
+    /// Whether the response is complete: a stream has its `[DONE]` event, any other response its whole body.
     pub(crate) ended: bool,
 }
 
-/// All that a scenario has started.
-pub(crate) struct Stage {
+/// The processes that a scenario has started, and its requests.
+pub(crate) struct TestEnv {
     dir: PathBuf,
     pub(crate) processes: BTreeMap<String, Process>,
-    /// Where each process listens now; requests under way look here, as behind a balancer.
+    /// Current URL of each process. Requests read it for each attempt, as if they were sent through a load balancer.
     pub(crate) urls: Arc<Mutex<BTreeMap<String, String>>>,
-    pub(crate) open: BTreeMap<String, JoinHandle<Got>>,
-    pub(crate) got: BTreeMap<String, Got>,
-    pub(crate) ids: BTreeMap<String, String>,
+    pub(crate) in_flight: BTreeMap<String, JoinHandle<RequestResult>>,
+    pub(crate) results: BTreeMap<String, RequestResult>,
+    pub(crate) request_ids: BTreeMap<String, String>,
+    /// Names of the requests of each load.
     pub(crate) loads: BTreeMap<String, Vec<String>>,
     pub(crate) http: reqwest::Client,
 }
 
-impl Stage {
-    pub(crate) fn open() -> Result<Stage, String> {
+impl TestEnv {
+    pub(crate) fn new() -> Result<TestEnv, String> {
         let unique = uuid::Uuid::new_v4().simple().to_string();
         let dir = std::env::temp_dir().join(format!("oriolehitch-{unique}"));
         std::fs::create_dir_all(&dir).map_err(|e| e.to_string())?;
         let http = reqwest::Client::builder().no_proxy().build();
-        Ok(Stage {
+        Ok(TestEnv {
             dir,
             processes: BTreeMap::new(),
             urls: Arc::default(),
-            open: BTreeMap::new(),
-            got: BTreeMap::new(),
-            ids: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            results: BTreeMap::new(),
+            request_ids: BTreeMap::new(),
             loads: BTreeMap::new(),
             http: http.map_err(|e| e.to_string())?,
         })
     }
 
     /// Starts a process and waits until it is ready.
-    pub(crate) fn start(
+    pub(crate) fn start_process(
         &mut self,
         name: &str,
         zone: &str,
@@ -111,40 +114,45 @@
             child,
         };
         if process.url.is_empty() {
-            return Err(format!("{name} did not get ready: {ready:?}"));
+            return Err(format!("{name} did not become ready: {ready:?}"));
         }
         let url = process.url.clone();
         self.urls
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .insert(name.to_string(), url);
         self.processes.insert(name.to_string(), process);
         Ok(())
     }
 
-    /// Starts a process again with what it was started with.
+    /// Starts a process again, with the same arguments.
     pub(crate) fn restart(&mut self, name: &str) -> Result<(), String> {
         let old = self
             .processes
             .remove(name)
             .ok_or(format!("no process {name}"))?;
-        self.start(name, &old.zone, old.args.clone())
+        self.start_process(name, &old.zone, old.args.clone())
     }
 
     /// Writes an instance's settings and starts it.
-    pub(crate) fn instance(&mut self, name: &str, zone: &str, more: Value) -> Result<(), String> {
+    pub(crate) fn start_instance(
+        &mut self,
+        name: &str,
+        zone: &str,
+        more_settings: Value,
+    ) -> Result<(), String> {
         let mut settings = json!({
             "name": name, "region": "reykjanes", "zone": zone, "faults": true,
             "platform": self.process("p")?.url, "request_secs": 60, "orphan_grace_ms": 2000,
         });
-        for (field, value) in more.as_object().into_iter().flatten() {
+        for (field, value) in more_settings.as_object().into_iter().flatten() {
             settings[field] = value.clone();
         }
         let file = self.dir.join(format!("{name}.json"));
         std::fs::write(&file, settings.to_string()).map_err(|e| e.to_string())?;
         let file = file.display().to_string();
         let args = ["serve", "--settings", &file, "--log", "json"];
-        self.start(name, zone, args.iter().map(ToString::to_string).collect())
+        self.start_process(name, zone, args.iter().map(ToString::to_string).collect())
     }
 
     pub(crate) fn process(&self, name: &str) -> Result<&Process, String> {
@@ -156,20 +164,20 @@
         kill_process(pid, signal).map_err(|e| e.to_string())
     }
 
-    /// Returns the instances' names.
-    pub(crate) fn instances(&self) -> Vec<String> {
-        let is = |p: &&Process| !p.admin.is_empty();
-        let all = self.processes.iter().filter(|(_, p)| is(p));
-        all.map(|(n, _)| n.clone()).collect()
+    /// Returns the names of the instances.
+    pub(crate) fn instance_names(&self) -> Vec<String> {
+        let is_instance = |p: &&Process| !p.admin.is_empty();
+        let instances = self.processes.iter().filter(|(_, p)| is_instance(p));
+        instances.map(|(n, _)| n.clone()).collect()
     }
 
-    /// Returns the ends of the processes' logs, for a failure's report.
-    pub(crate) fn logs(&self) -> String {
+    /// Returns the ends of the processes' logs, for the message of a failure.
+    pub(crate) fn log_tails(&self) -> String {
         let mut out = String::new();
         for name in self.processes.keys() {
             let file = self.dir.join(format!("{name}.log"));
             let text = std::fs::read_to_string(file).unwrap_or_default();
-            let mut from = text.len().saturating_sub(LOG_SHOWN);
+            let mut from = text.len().saturating_sub(MAX_LOG_BYTES);
             while !text.is_char_boundary(from) {
                 from += 1;
             }
@@ -179,10 +187,10 @@
     }
 }
 
-impl Drop for Stage {
+impl Drop for TestEnv {
     fn drop(&mut self) {
         for process in self.processes.values_mut() {
-            // Ends also those that are stopped; one that has ended already is no fault.
+            // SIGKILL also ends frozen processes. A process that has ended already is no error.
             let _ = process.child.kill();
             let _ = process.child.wait();
         }
--- a/crates/oriolehitch/tests/scenario/line.rs
+++ b/crates/oriolehitch/tests/scenario/line.rs
@@ -1,20 +1,20 @@
-//! One line of a scenario: words, then fields.
+//! Parses the lines of scenarios.
 
 use std::collections::BTreeMap;
 
-/// One line of a scenario.
+/// One line of a scenario, which consists of words and of fields `name=value`, separated by blanks.
 #[derive(Clone, Debug)]
 pub(crate) struct Line {
-    /// Words before the first field.
+    /// The words, in order.
     pub(crate) words: Vec<String>,
-    /// Fields, `name=value`; a value goes on to the next blank.
+    /// The fields by name.
     pub(crate) fields: BTreeMap<String, String>,
-    /// Everything after the first two words.
+    /// The text after the first two words.
     pub(crate) rest: String,
 }
 
 impl Line {
-    /// Reads a line; blank lines and comments are none.
+    /// Parses a line; returns nothing for blank lines and comments.
     pub(crate) fn parse(text: &str) -> Option<Line> {
         let text = text.trim();
         if text.is_empty() || text.starts_with('#') {
@@ -38,19 +38,19 @@
         })
     }
 
-    /// Returns a word.
+    /// Returns the word at a position.
     pub(crate) fn word(&self, at: usize) -> Result<&str, String> {
         let word = self.words.get(at);
         word.map(String::as_str)
             .ok_or(format!("word {at} is missing"))
     }
 
-    /// Returns a field.
+    /// Returns the value of a field.
     pub(crate) fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 
-    /// Returns a field that is a number.
+    /// Returns the value of a field as a number, or the default if the line does not have the field.
     pub(crate) fn number(&self, name: &str, default: u64) -> Result<u64, String> {
         match self.field(name) {
             None => Ok(default),
--- a/crates/oriolehitch/tests/scenario/main.rs
+++ b/crates/oriolehitch/tests/scenario/main.rs
@@ -1,16 +1,16 @@
-//! Runs the scenarios: text files that start real processes, break things and state what they expect.
+//! Runs the scenarios: text files that start real processes, inject failures and state the expected results.
 
-mod act;
+mod actions;
+mod env;
 mod expect;
 mod line;
-mod stage;
 
 use std::path::Path;
 
+use env::TestEnv;
 use line::Line;
-use stage::Stage;
 
-/// Runs one scenario; its failure names the line.
+/// Runs one scenario. The message of a failure contains the line and the ends of the processes' logs.
 fn run(path: &Path) -> datatest_stable::Result<()> {
     let text = std::fs::read_to_string(path)?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -18,13 +18,13 @@
         .enable_all()
         .build()?;
     runtime.block_on(async {
-        let mut stage = Stage::open()?;
+        let mut env = TestEnv::new()?;
         for (number, text) in text.lines().enumerate() {
             let Some(line) = Line::parse(text) else {
                 continue;
             };
-            let done = act::act(&mut stage, &line).await;
-            done.map_err(|e| format!("line {}: {text}\n{e}\n{}", number + 1, stage.logs()))?;
+            let result = actions::run_line(&mut env, &line).await;
+            result.map_err(|e| format!("line {}: {text}\n{e}\n{}", number + 1, env.log_tails()))?;
         }
         Ok(())
     })
