--- a/crates/dial/src/pool.rs
+++ b/crates/dial/src/pool.rs
@@ -39,7 +39,7 @@
     /// Its address.
     pub addr: SocketAddr,
     /// Connections that it may have from here.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 /// Why there is no connection; nothing was sent.
@@ -91,7 +91,7 @@
 
 impl Dialer {
     /// Returns a kept connection that is clean, the latest used first.
-    pub fn kept(&self, upstream: &str) -> Option<Conn> {
+    pub fn take_idle(&self, upstream: &str) -> Option<Conn> {
         let now = Instant::now();
         loop {
             // Dropped outside of the lock, which their drop takes.
@@ -110,7 +110,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub async fn open(&self, to: Target<'_>, deadline: Instant) -> Result<Conn, ConnectError> {
+    pub async fn connect(&self, to: Target<'_>, deadline: Instant) -> Result<Conn, ConnectError> {
         self.take_place(to)?;
         let place = Place {
             pools: &self.0,
@@ -148,7 +148,7 @@
     fn take_place(&self, to: Target<'_>) -> Result<(), ConnectError> {
         let mut pools = self.0.lock().expect("no panic inside");
         let pool = pools.0.entry(to.upstream.to_string()).or_default();
-        if pool.open >= to.most.max(1) {
+        if pool.open >= to.max_connections.max(1) {
             return Err(ConnectError::Full);
         }
         pool.open += 1;
@@ -157,7 +157,7 @@
 
     /// Keeps a connection whose answer was read to its end; `keep_alive` is the upstream's word on
     /// how long it keeps idle ones.
-    pub fn keep(&self, conn: Conn, keep_alive: Option<Duration>) {
+    pub fn put_idle(&self, conn: Conn, keep_alive: Option<Duration>) {
         let keep = match keep_alive {
             Some(named) => named.saturating_sub(IDLE_MARGIN).min(IDLE_MOST),
             None => IDLE_DEFAULT,
@@ -174,7 +174,7 @@
     }
 
     /// Closes the kept connections of an upstream that is gone.
-    pub fn forget(&self, upstream: &str) {
+    pub fn close_idle(&self, upstream: &str) {
         let dropped = {
             let mut pools = self.0.lock().expect("no panic inside");
             let pool = pools.0.get_mut(upstream);
@@ -185,7 +185,7 @@
 
     /// Closes all connections of an upstream whose incarnation has ended, those in use too: what waits on them
     /// for an answer learns at once that none will come.
-    pub fn cut(&self, upstream: &str) {
+    pub fn close_all(&self, upstream: &str) {
         let tasks = {
             let mut pools = self.0.lock().expect("no panic inside");
             let pool = pools.0.get_mut(upstream);
@@ -194,11 +194,11 @@
         for task in tasks.unwrap_or_default() {
             task.abort();
         }
-        self.forget(upstream);
+        self.close_idle(upstream);
     }
 
     /// Closes the kept connections that have been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired(&self) {
         let now = Instant::now();
         let mut dropped = Vec::new();
         {
@@ -216,7 +216,7 @@
     }
 
     /// Returns how many connections are open.
-    pub fn count(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         let pools = self.0.lock().expect("no panic inside");
         pools.0.values().map(|p| p.open).sum()
     }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -264,7 +264,7 @@
         let guard = AttemptGuard::new(ctx, choice);
         let spec = &guard.choice.spec;
         let incarnation = spec.incarnation();
-        if let Some(conn) = ctx.router.dialer.kept(&incarnation) {
+        if let Some(conn) = ctx.router.dialer.take_idle(&incarnation) {
             return Ok((guard, conn));
         }
         let sharers = ctx.router.fleet.instance_count();
@@ -272,11 +272,11 @@
         let target = Target {
             upstream: &incarnation,
             addr: spec.addr,
-            most: max.unwrap_or(usize::MAX),
+            max_connections: max.unwrap_or(usize::MAX),
         };
         let until = ctx.router.clock.at(ctx.deadline);
         ctx.router.metrics.connection_attempts.inc();
-        match ctx.router.dialer.open(target, until).await {
+        match ctx.router.dialer.connect(target, until).await {
             Ok(conn) if guard.may_send() => return Ok((guard, conn)),
             // The upstream is leaving, paused, evacuated or cold by now. Nothing was sent, so
             // another one is chosen.
--- a/crates/proxy/src/buffered.rs
+++ b/crates/proxy/src/buffered.rs
@@ -122,7 +122,7 @@
     } else {
         Outcome::Success
     });
-    ctx.router.dialer.keep(conn, info.keep_alive);
+    ctx.router.dialer.put_idle(conn, info.keep_alive);
     ctx.router
         .with_link(|l, now| l.record_response(now, bytes.len()));
     let res = new_response(ctx, &head, bytes);
@@ -182,7 +182,7 @@
         match forwarded {
             Ok(Ok(())) => {
                 open.guard.end(Outcome::Success);
-                router.dialer.keep(open.conn, open.info.keep_alive);
+                router.dialer.put_idle(open.conn, open.info.keep_alive);
             }
             Ok(Err(why)) => {
                 open.guard.end(Outcome::InvalidResponse);
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -380,7 +380,7 @@
     tokio::spawn(async move {
         loop {
             sleep(SWEEP_INTERVAL).await;
-            dialer.sweep();
+            dialer.close_expired();
         }
     });
 }
--- a/crates/proxy/src/ops.rs
+++ b/crates/proxy/src/ops.rs
@@ -76,7 +76,7 @@
             "store_out": router.reach.is_unavailable(),
             "instances": router.fleet.live_incarnations(),
             "inflight": *router.in_flight.borrow(),
-            "connections": router.dialer.count(),
+            "connections": router.dialer.connection_count(),
             "log_lines_cut": router.log.dropped_lines(),
             "budgets": router.bank.dump(),
             "upstreams": upstreams,
--- a/crates/proxy/src/stream.rs
+++ b/crates/proxy/src/stream.rs
@@ -80,7 +80,7 @@
     /// Records the success of the attempt, and keeps the connection for later requests.
     fn finish(self, ctx: &RequestContext) {
         self.guard.end(Outcome::Success);
-        ctx.router.dialer.keep(self.conn, self.info.keep_alive);
+        ctx.router.dialer.put_idle(self.conn, self.info.keep_alive);
     }
 }
 
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -122,7 +122,7 @@
         let target = Target {
             upstream: &incarnation,
             addr,
-            most: usize::MAX,
+            max_connections: usize::MAX,
         };
         let mut delay = CRASH_CHECK_DELAY;
         loop {
@@ -131,10 +131,10 @@
                 return;
             }
             let until = Instant::now() + CRASH_CHECK_RETRY_DELAY;
-            match self.0.dialer.open(target, until).await {
+            match self.0.dialer.connect(target, until).await {
                 Ok(conn) => {
                     self.update(|table, _| table.upstream_alive(&incarnation));
-                    return self.0.dialer.keep(conn, None);
+                    return self.0.dialer.put_idle(conn, None);
                 }
                 Err(ConnectError::Refused(_)) => return self.upstream_crashed(&incarnation),
                 // The network path may be down: a later check or the list of upstreams will show.
--- a/crates/proxy/src/traffic.rs
+++ b/crates/proxy/src/traffic.rs
@@ -59,7 +59,7 @@
                     "memory_kb={} instances={} connections={}",
                     resident_kb(),
                     fleet.instance_count(),
-                    dialer.count(),
+                    dialer.connection_count(),
                 );
                 traffic.describe(&mut detail);
                 log.event(Event::ResourceUsage, detail);
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -119,7 +119,7 @@
             .expect("lock not poisoned")
             .mark_leaving(incarnation);
         if is_new {
-            self.0.dialer.forget(incarnation);
+            self.0.dialer.close_idle(incarnation);
             let detail = format_args!("upstream={incarnation} source={source}");
             self.0.log.event(Event::UpstreamLeaving, detail);
         }
@@ -352,12 +352,12 @@
         let event = match change {
             EntryChange::Unchanged => return None,
             EntryChange::Restarted { ended } => {
-                self.0.dialer.cut(&ended);
+                self.0.dialer.close_all(&ended);
                 self.0.suspects.upstream_crashed(&ended);
                 Event::UpstreamRestarted
             }
             EntryChange::New | EntryChange::Leaving if leaving => {
-                self.0.dialer.forget(&incarnation);
+                self.0.dialer.close_idle(&incarnation);
                 Event::UpstreamLeaving
             }
             EntryChange::New | EntryChange::Leaving => return Some(detail),
@@ -383,7 +383,7 @@
         let id = self.0.dialect.upstream_id(key);
         let ended = self.0.pool.lock().expect("lock not poisoned").delist(id);
         if let Some(incarnation) = ended {
-            self.0.dialer.forget(&incarnation);
+            self.0.dialer.close_idle(&incarnation);
             let detail = format_args!("upstream={incarnation}");
             self.0.log.event(Event::UpstreamRemoved, detail);
             self.0.suspects.upstream_crashed(&incarnation);
