--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which upstream serves a request, who waits, who is refused, and what may be tried again.
+//! Choice of an upstream for a request, admission queues, load limits, retries and ejection.
 
 pub mod pool;
 pub mod queue;
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,34 +1,36 @@
-//! A budget of retries, so that a failing pool is not drowned in them.
+//! The retry budget, which keeps retries from overloading a failing pool.
 
-/// Percentage of the requests that may be retried.
-const RETRY_PCT: f64 = 0.1;
-/// Retries that may be saved up.
-const SAVED_MOST: f64 = 10.0;
+/// Retries that each first attempt adds to the budget.
+const RETRY_RATIO: f64 = 0.1;
+/// Maximum number of retries that accumulate.
+const MAX_RETRIES: f64 = 10.0;
 
-/// Retries in store.
+/// A budget of retries, filled by first attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    available: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { saved: SAVED_MOST }
+        RetryBudget {
+            available: MAX_RETRIES,
+        }
     }
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Records the first attempt of a request.
     pub fn record_request(&mut self) {
-        self.saved = (self.saved + RETRY_PCT).min(SAVED_MOST);
+        self.available = (self.available + RETRY_RATIO).min(MAX_RETRIES);
     }
 
-    /// Takes a retry; returns whether there was one.
+    /// Takes a retry from the budget; returns whether one was available.
     pub fn try_acquire(&mut self) -> bool {
-        let may = self.saved >= 1.0;
-        if may {
-            self.saved -= 1.0;
+        let acquired = self.available >= 1.0;
+        if acquired {
+            self.available -= 1.0;
         }
-        may
+        acquired
     }
 }
--- a/crates/route/src/upstream.rs
+++ b/crates/route/src/upstream.rs
@@ -1,20 +1,20 @@
-//! One upstream: what the instance list, its own reports and our own requests say of it.
+//! State of one upstream, from the instance list, its load reports and the requests of this instance.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Failures in a row after which an upstream is left alone for a while.
-const EJECT_FAILURES: u32 = 3;
-/// First time-out of an ejected upstream, in milliseconds; doubles each time.
-const EJECT_MS: u64 = 2_000;
-/// Longest time-out of an ejected upstream, in milliseconds.
-const EJECT_MAX_MS: u64 = 30_000;
-/// A load report older than this says nothing any more, in milliseconds.
+/// Consecutive failures after which an upstream is ejected.
+const EJECTION_FAILURES: u32 = 3;
+/// Duration of the first ejection in milliseconds, before jitter; doubles with each consecutive one.
+const MIN_EJECTION_MS: u64 = 2_000;
+/// Maximum duration of an ejection in milliseconds, before jitter.
+const MAX_EJECTION_MS: u64 = 30_000;
+/// A load report older than this is ignored, in milliseconds.
 const REPORT_STALE_MS: u64 = 10_000;
 
-/// Names an upstream in its pool.
+/// Identifies an upstream in its pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct UpstreamKey(pub u32);
 
@@ -22,32 +22,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum UpstreamKind {
-    /// Models.
+    /// An inference engine, which serves models.
     Engine,
     /// A plain service.
     Service,
 }
 
-/// An upstream as the instance list shows it.
+/// Entry of an upstream in the instance list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spec {
-    /// Its name; an upstream that restarts has a new one.
+    /// Name; changes when the upstream restarts.
     pub id: String,
     /// What it serves.
     pub kind: UpstreamKind,
-    /// Its HTTP address.
+    /// HTTP address.
     pub url: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Models or the service that it serves.
+    /// Models, or the service, that it serves.
     pub serves: Vec<String>,
-    /// Whether it is leaving.
+    /// Whether it is leaving, and takes no new requests.
     #[serde(default)]
     pub leaving: bool,
 }
 
 impl Spec {
-    /// Makes the entry of an engine that serves one model.
+    /// Creates the entry of an engine that serves one model, without an address.
     pub fn engine(id: &str, zone: &str, model: &str) -> Spec {
         Spec {
             id: id.to_string(),
@@ -60,50 +60,52 @@
     }
 }
 
-/// A load report.
+/// A load report of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that it runs at once.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests in its queue.
     pub waiting: u32,
-    /// Whether it takes no new work.
+    /// Whether it takes no new requests.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// One upstream.
+/// An upstream with its state.
+///
+/// The operators' dump contains all fields except `id_hash`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Upstream {
-    /// As the instance list shows it.
+    /// Entry in the instance list.
     pub spec: Spec,
-    /// Hash of its name.
+    /// Hash of the name.
     #[serde(skip)]
     pub id_hash: u64,
-    /// Versions of models that it says it serves.
+    /// Model versions that it reports to serve, by model.
     pub versions: BTreeMap<String, String>,
-    /// Its last report.
+    /// Last load report.
     pub load: Load,
-    /// When that came, in milliseconds.
+    /// When the last load report was received, in milliseconds.
     pub load_at: Option<u64>,
-    /// Own requests that run there.
+    /// Requests of this instance that are in progress there.
     pub inflight: u32,
-    /// Own requests sent since the last report.
+    /// Requests of this instance sent there since the last load report.
     pub since_report: u32,
-    /// Failures in a row.
+    /// Consecutive failures since the last ejection.
     pub failures: u32,
-    /// Until when it is left alone, in milliseconds.
+    /// When the ejection ends, in milliseconds.
     pub ejected_until: u64,
-    /// How often it was ejected in a row.
+    /// Ejections since the last successful request.
     pub ejections: u32,
-    /// Whether any source said that it is leaving; never taken back.
+    /// Whether it is leaving according to any source; never reset.
     pub leaving: bool,
 }
 
 impl Upstream {
-    /// Makes an upstream of which only the list has spoken.
+    /// Creates an upstream of which only the list entry is known.
     pub fn new(spec: Spec) -> Upstream {
         Upstream {
             leaving: spec.leaving,
@@ -120,7 +122,7 @@
         }
     }
 
-    /// Takes a load report.
+    /// Records a load report.
     pub fn record_load(&mut self, now: u64, load: Load) {
         self.load = load;
         self.load_at = Some(now);
@@ -128,7 +130,8 @@
         self.leaving |= load.draining;
     }
 
-    /// Returns the requests that it probably has: its own word, aged by what we sent since.
+    /// Returns the estimated number of requests at the upstream: those in its last report, if that is
+    /// not stale, plus those sent since, but not less than this instance's requests in progress.
     pub fn occupancy(&self, now: u64) -> u32 {
         let fresh = self.load_at.is_some_and(|at| now < at + REPORT_STALE_MS);
         let reported = if fresh {
@@ -139,25 +142,26 @@
         reported.max(self.inflight)
     }
 
-    /// Returns the requests that it runs at once, as far as known.
+    /// Returns the number of requests that it can run concurrently; 1 if unknown.
     pub fn slots(&self) -> u32 {
         self.load.slots.max(1)
     }
 
-    /// Counts a request sent there.
+    /// Records that a request is sent to the upstream.
     pub fn record_start(&mut self) {
         self.inflight += 1;
         self.since_report += 1;
     }
 
-    /// Counts the end of a request.
+    /// Records the end of a request, and ejects the upstream after repeated failures. `jitter` is a
+    /// random number that extends the ejection to at most twice its duration.
     ///
     /// # Panics
     ///
-    /// Panics when more requests end than began: an end counted twice would let in more than the
-    /// upstream can bear.
+    /// Panics if more requests end than were started: an end counted twice would let in more requests
+    /// than the upstream can handle.
     pub fn record_end(&mut self, now: u64, ok: bool, jitter: u64) {
-        assert!(self.inflight > 0, "{}: an end too many", self.spec.id);
+        assert!(self.inflight > 0, "{}: no request in flight", self.spec.id);
         self.inflight -= 1;
         if ok {
             self.failures = 0;
@@ -165,15 +169,15 @@
             return;
         }
         self.failures += 1;
-        if self.failures >= EJECT_FAILURES {
-            let wait = (EJECT_MS << self.ejections.min(5)).min(EJECT_MAX_MS);
-            self.ejected_until = now + wait + jitter % wait;
+        if self.failures >= EJECTION_FAILURES {
+            let duration = (MIN_EJECTION_MS << self.ejections.min(5)).min(MAX_EJECTION_MS);
+            self.ejected_until = now + duration + jitter % duration;
             self.ejections += 1;
             self.failures = 0;
         }
     }
 
-    /// Returns whether it is left alone for a while.
+    /// Returns whether it is ejected.
     pub fn is_ejected(&self, now: u64) -> bool {
         now < self.ejected_until
     }
--- a/crates/route/tests/decide.rs
+++ b/crates/route/tests/decide.rs
@@ -1,4 +1,4 @@
-//! Decisions on upstreams, queues and retries.
+//! Tests of the choice of upstreams, the queue and the retry budget.
 
 use route::pool::Criteria;
 use route::queue::{AdmissionDecision, Queue};
@@ -19,7 +19,7 @@
     pool
 }
 
-fn ask(random: u64, prefix: Option<u64>) -> Criteria<'static> {
+fn criteria(random: u64, prefix: Option<u64>) -> Criteria<'static> {
     Criteria {
         kind: UpstreamKind::Engine,
         target: "m",
@@ -31,26 +31,24 @@
     }
 }
 
-/// Symptom: an upstream that is leaving gets new work.
-/// Sequence: one source says that it leaves, then an older list shows it as live.
-/// Cause: the later word took the earlier one back.
+/// A leaving upstream must not get new requests again when an outdated instance list still shows it
+/// as active.
 #[test]
-fn leaving_is_never_taken_back() {
+fn leaving_is_never_reset() {
     let mut pool = pool(2);
     assert!(pool.mark_leaving("e0"));
     let specs = pool.iter().map(|(_, u)| u.spec.clone()).collect();
     pool.apply_list(specs);
     for random in 0..100 {
-        let choice = pool.choose(1, &ask(random << 32 | random, None));
-        assert_eq!(choice.expect("one is left").id, "e1");
+        let choice = pool.choose(1, &criteria(random << 32 | random, None));
+        assert_eq!(choice.expect("one upstream is not leaving").id, "e1");
     }
 }
 
-/// Symptom: no upstream is left although they work.
-/// Sequence: the network hiccups and every upstream fails a few times.
-/// Cause: ejection without a floor.
+/// A network disruption makes requests fail at every upstream. If all of them were ejected, no
+/// upstream would be available, although they work.
 #[test]
-fn ejection_leaves_a_floor() {
+fn ejection_leaves_candidates() {
     let mut pool = pool(4);
     for i in 0..4 {
         let key = pool.find(&format!("e{i}")).expect("listed");
@@ -59,16 +57,18 @@
             pool.get_mut(key).record_end(1, false, 0);
         }
     }
-    assert!(pool.choose(2, &ask(7, None)).is_some());
+    assert!(pool.choose(2, &criteria(7, None)).is_some());
 }
 
 #[test]
-fn prefix_sticks_until_its_upstream_is_loaded() {
+fn prefix_keeps_its_upstream_until_that_is_loaded() {
     let mut pool = pool(6);
-    let first = pool.choose(1, &ask(1, Some(42))).expect("some");
+    let first = pool.choose(1, &criteria(1, Some(42))).expect("an upstream");
     for random in 0..20 {
         assert_eq!(
-            pool.choose(1, &ask(random, Some(42))).expect("some").id,
+            pool.choose(1, &criteria(random, Some(42)))
+                .expect("an upstream")
+                .id,
             first.id
         );
     }
@@ -76,16 +76,18 @@
         pool.get_mut(first.key).record_start();
     }
     assert_ne!(
-        pool.choose(1, &ask(1, Some(42))).expect("some").id,
+        pool.choose(1, &criteria(1, Some(42)))
+            .expect("an upstream")
+            .id,
         first.id
     );
 }
 
-/// Symptom: quick questions wait behind long reads, or low priorities never run.
-/// Sequence: requests of several priorities wait; later ones of the highest keep coming.
-/// Cause: order by arrival alone, or by priority alone.
+/// Short requests must not wait behind long ones of a lower priority, as they would in order of
+/// arrival. Requests of a low priority must run eventually while urgent ones keep arriving, which
+/// they would not in order of priority alone.
 #[test]
-fn queue_goes_by_priority_and_starves_nobody() {
+fn queue_orders_by_priority_without_starvation() {
     let mut queue = Queue::default();
     let wait =
         |queue: &mut Queue, priority| match queue.admit(0, &Capacity::uniform(0), priority, 60_000)
@@ -104,14 +106,15 @@
         }
         before += 1;
     }
-    assert!((1..8).contains(&before), "{before} went before the oldest");
+    assert!(
+        (1..8).contains(&before),
+        "{before} requests were released before the oldest"
+    );
 }
 
-/// Symptom: a request waits to its deadline and is refused then.
-/// Sequence: the backlog is longer than the time that the request has.
-/// Cause: nobody worked out the wait when it came.
+/// A request must not wait until its deadline if the backlog at its arrival is longer than that.
 #[test]
-fn hopeless_request_is_refused_at_once() {
+fn request_that_cannot_be_served_in_time_is_refused_immediately() {
     let mut queue = Queue::default();
     for _ in 0..100 {
         assert!(matches!(
