--- a/crates/kv/src/client.rs
+++ b/crates/kv/src/client.rs
@@ -1,4 +1,5 @@
-//! The client: bounded calls, each with one of three ends — done, refused, or unknown.
+//! Client of the etcd v3 JSON protocol. Except for watches, calls have a timeout. Each call succeeds, is
+//! refused, or has an unknown outcome.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
@@ -14,16 +15,16 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call has no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreError {
-    /// The service was not reached, or refused: nothing took effect.
+    /// The service could not be reached or refused the call: nothing took effect.
     Refused(String),
-    /// The call may have taken effect.
+    /// The call failed, but may have taken effect.
     Unknown(String),
 }
 
-/// A value with the revision of its last write.
+/// A key with its value and the revision of its last write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// The key.
@@ -34,25 +35,25 @@
     pub revision: i64,
 }
 
-/// The end of a compare-and-swap.
+/// Result of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SwapResult {
-    /// It took effect and made this revision.
+    /// The write took effect at this revision.
     Done(i64),
-    /// The key has changed meanwhile, or is gone.
+    /// The key was changed or deleted in the meantime; contains its current value.
     Conflict(Option<KeyValue>),
 }
 
-/// How many calls of each sort were made.
+/// Number of calls by type.
 #[derive(Debug, Default)]
 pub struct CallCounts {
     /// Reads.
     pub reads: AtomicU64,
-    /// Writes.
+    /// Writes, including those of leases.
     pub writes: AtomicU64,
     /// Watches started.
     pub watches: AtomicU64,
-    /// Calls without an answer.
+    /// Failed calls, except for watches.
     pub failures: AtomicU64,
 }
 
@@ -62,22 +63,22 @@
     counts: CallCounts,
 }
 
-/// A handle on the platform's service; clones share it.
+/// Handle on a client of the platform's key-value service; clones share it.
 #[derive(Clone)]
 pub struct Client(Arc<Inner>);
 
 impl Client {
-    /// Opens a client; nothing is sent yet.
+    /// Creates a client without connecting to the service.
     ///
     /// # Panics
     ///
-    /// Panics when the HTTP library can't be set up.
+    /// Panics if the HTTP client can't be set up.
     pub fn open(url: &str) -> Client {
         let http = reqwest::Client::builder()
             .connect_timeout(CONNECT_TIMEOUT)
             .no_proxy()
             .build()
-            .expect("a plain HTTP client");
+            .expect("valid HTTP client settings");
         Client(Arc::new(Inner {
             url: url.to_string(),
             http,
@@ -85,21 +86,22 @@
         }))
     }
 
-    /// Returns the counts of calls.
+    /// Returns the number of calls by type.
     pub fn counts(&self) -> &CallCounts {
         &self.0.counts
     }
 
     pub(crate) async fn call(&self, path: &str, body: &Value) -> Result<Value, StoreError> {
         let url = format!("{}{path}", self.0.url);
-        let sent = self.0.http.post(url).json(body).timeout(CALL_TIMEOUT);
-        let res = match sent.send().await {
+        let req = self.0.http.post(url).json(body).timeout(CALL_TIMEOUT);
+        let res = match req.send().await {
             Ok(res) if res.status().is_success() => res.json::<Value>().await,
             Ok(res) if res.status().is_client_error() => {
                 return self.fail(StoreError::Refused(format!("status {}", res.status())));
             }
             Ok(res) => {
-                // The service may have lost the answer only: a 5xx says nothing about the write.
+                // The write may have taken effect although the status is 5xx: perhaps only the response
+                // to it was lost.
                 return self.fail(StoreError::Unknown(format!("status {}", res.status())));
             }
             Err(e) if e.is_connect() => return self.fail(StoreError::Refused(e.to_string())),
@@ -111,60 +113,60 @@
         }
     }
 
-    fn fail<T>(&self, failure: StoreError) -> Result<T, StoreError> {
+    fn fail<T>(&self, error: StoreError) -> Result<T, StoreError> {
         self.0.counts.failures.fetch_add(1, Ordering::Relaxed);
-        Err(failure)
+        Err(error)
     }
 
     /// Reads one key.
     ///
     /// # Errors
     ///
-    /// Returns the failure when there is no answer.
+    /// Returns an error if the call fails.
     pub async fn get(&self, key: &str) -> Result<Option<KeyValue>, StoreError> {
         self.0.counts.reads.fetch_add(1, Ordering::Relaxed);
         let body = json!({"key": wire::encode_base64(key.as_bytes())});
         let res = self.call("/v3/kv/range", &body).await?;
-        Ok(found(&res["kvs"]).pop())
+        Ok(parse_key_values(&res["kvs"]).pop())
     }
 
     /// Reads all keys with a prefix, and the store's revision.
     ///
     /// # Errors
     ///
-    /// Returns the failure when there is no answer.
+    /// Returns an error if the call fails.
     pub async fn list(&self, prefix: &str) -> Result<(Vec<KeyValue>, i64), StoreError> {
         self.read_range(prefix, Consistency::Linearizable).await
     }
 
-    /// Reads all keys with a prefix, as new as is wanted.
+    /// Reads all keys with a prefix at a consistency level, and the store's revision.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns an error if the call fails.
     pub async fn read_range(
         &self,
         prefix: &str,
-        reading: Consistency,
+        consistency: Consistency,
     ) -> Result<(Vec<KeyValue>, i64), StoreError> {
         self.0.counts.reads.fetch_add(1, Ordering::Relaxed);
         let body = json!({
             "key": wire::encode_base64(prefix.as_bytes()),
             "range_end": wire::encode_base64(&wire::prefix_end(prefix)),
-            "serializable": reading == Consistency::Serializable,
+            "serializable": consistency == Consistency::Serializable,
         });
         let res = self.call("/v3/kv/range", &body).await?;
         Ok((
-            found(&res["kvs"]),
+            parse_key_values(&res["kvs"]),
             wire::parse_int(&res["header"]["revision"]),
         ))
     }
 
-    /// Writes one key if its revision is still the given one; 0 means absent.
+    /// Writes one key if its revision is still the given one; 0 means that the key does not exist.
     ///
     /// # Errors
     ///
-    /// Returns the failure when there is no answer; after `Unknown` the write may have taken
+    /// Returns an error if the call fails. After [`StoreError::Unknown`] the write may have taken
     /// effect, or may still do so.
     pub async fn compare_and_swap(
         &self,
@@ -181,15 +183,15 @@
                 &res["header"]["revision"],
             )));
         }
-        let now = found(&res["responses"][0]["response_range"]["kvs"]).pop();
-        Ok(SwapResult::Conflict(now))
+        let current = parse_key_values(&res["responses"][0]["response_range"]["kvs"]).pop();
+        Ok(SwapResult::Conflict(current))
     }
 
-    /// Makes a lease of some seconds.
+    /// Creates a lease with a time to live, and returns its id.
     ///
     /// # Errors
     ///
-    /// Returns the failure when there is no answer.
+    /// Returns an error if the call fails.
     pub async fn create_lease(&self, ttl_secs: u64) -> Result<i64, StoreError> {
         self.0.counts.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({"TTL": ttl_secs.to_string()});
@@ -197,11 +199,11 @@
         Ok(wire::parse_int(&res["ID"]))
     }
 
-    /// Renews a lease; returns whether it still lives.
+    /// Renews a lease; returns whether it still existed.
     ///
     /// # Errors
     ///
-    /// Returns the failure when there is no answer.
+    /// Returns an error if the call fails.
     pub async fn keep_alive(&self, lease: i64) -> Result<bool, StoreError> {
         self.0.counts.writes.fetch_add(1, Ordering::Relaxed);
         let body = json!({"ID": lease.to_string()});
@@ -209,11 +211,12 @@
         Ok(wire::parse_int(&res["result"]["TTL"]) > 0)
     }
 
-    /// Watches a prefix: each message says that something changed, until the watch breaks.
+    /// Watches a prefix. The receiver gets a message whenever something may have changed, including one
+    /// when the watch is created, and is closed when the watch breaks.
     ///
     /// # Errors
     ///
-    /// Returns the failure when the watch can't be started.
+    /// Returns an error if the watch can't be started.
     pub async fn watch(&self, prefix: &str) -> Result<mpsc::Receiver<()>, StoreError> {
         self.0.counts.watches.fetch_add(1, Ordering::Relaxed);
         let body = json!({"create_request": {
@@ -221,13 +224,13 @@
             "range_end": wire::encode_base64(&wire::prefix_end(prefix)),
         }});
         let url = format!("{}/v3/watch", self.0.url);
-        let sent = self.0.http.post(url).json(&body).send().await;
-        let res = sent.map_err(|e| StoreError::Refused(e.to_string()))?;
+        let res = self.0.http.post(url).json(&body).send().await;
+        let res = res.map_err(|e| StoreError::Refused(e.to_string()))?;
         let (tx, rx) = mpsc::channel(1);
-        let mut lines = res.bytes_stream();
+        let mut chunks = res.bytes_stream();
         tokio::spawn(async move {
-            while let Some(Ok(_)) = lines.next().await {
-                // A full channel already holds a sign of change.
+            while let Some(Ok(_)) = chunks.next().await {
+                // If the channel is full, a message is pending already.
                 let _ = tx.try_send(());
                 if tx.is_closed() {
                     return;
@@ -238,13 +241,13 @@
     }
 }
 
-/// Reads the keys of an answer.
-pub(crate) fn found(kvs: &Value) -> Vec<KeyValue> {
+/// Parses the keys in a response; returns none if they are invalid.
+pub(crate) fn parse_key_values(kvs: &Value) -> Vec<KeyValue> {
     let list: Vec<EncodedKeyValue> = serde_json::from_value(kvs.clone()).unwrap_or_default();
-    let one = |kv: EncodedKeyValue| KeyValue {
+    let decode = |kv: EncodedKeyValue| KeyValue {
         key: String::from_utf8_lossy(&wire::decode_base64(&kv.key)).into_owned(),
         value: wire::decode_base64(&kv.value),
         revision: wire::parse_int(&kv.mod_revision),
     };
-    list.into_iter().map(one).collect()
+    list.into_iter().map(decode).collect()
 }
--- a/crates/kv/src/etcd.rs
+++ b/crates/kv/src/etcd.rs
@@ -1,11 +1,11 @@
-//! The store's trait over the etcd v3 JSON protocol.
+//! Implements the `Store` trait by the etcd v3 JSON protocol.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
 use serde_json::{json, Value};
 
-use crate::client::{found, Client, KeyValue, StoreError};
+use crate::client::{parse_key_values, Client, KeyValue, StoreError};
 use crate::store::{Change, Consistency, Listing, Store, StoreFuture, Txn, TxnResult, WatchResult};
 use crate::wire;
 
@@ -14,19 +14,23 @@
         Box::pin(Client::get(self, key))
     }
 
-    fn list<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
+    fn list<'a>(&'a self, prefix: &'a str, consistency: Consistency) -> StoreFuture<'a, Listing> {
         Box::pin(async move {
-            let (items, revision) = self.read_range(prefix, reading).await?;
+            let (entries, revision) = self.read_range(prefix, consistency).await?;
             Ok(Listing {
-                entries: items,
+                entries,
                 revision,
                 has_more: false,
             })
         })
     }
 
-    fn first_page<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
-        Store::list(self, prefix, reading)
+    fn first_page<'a>(
+        &'a self,
+        prefix: &'a str,
+        consistency: Consistency,
+    ) -> StoreFuture<'a, Listing> {
+        Store::list(self, prefix, consistency)
     }
 
     fn watch<'a>(
@@ -59,29 +63,30 @@
     }
 }
 
-/// Waits for the sign of a change, then lists: the protocol's watch is used as a bell only.
+/// Waits until something may have changed, then lists the keys. The protocol's watch is used as a signal
+/// only; what it returns is not parsed. Deletions are therefore not reported.
 async fn watch(
     client: &Client,
     prefix: &str,
     after: i64,
     wait_ms: u64,
 ) -> Result<WatchResult, StoreError> {
-    let mut bell = Client::watch(client, prefix).await?;
+    let mut signals = Client::watch(client, prefix).await?;
     let listed = Client::list(client, prefix).await?;
-    let changed = |items: &[KeyValue]| items.iter().any(|f| f.revision > after);
-    let (items, revision) = if changed(&listed.0) {
+    let changed = |entries: &[KeyValue]| entries.iter().any(|kv| kv.revision > after);
+    let (entries, revision) = if changed(&listed.0) {
         listed
     } else {
         let wait = Duration::from_millis(wait_ms);
-        // The first line says that the watch stands; the end of the wait is no fault.
-        let _ = tokio::time::timeout(wait, bell.recv()).await;
+        // The first signal only confirms that the watch was created. A timeout is not an error.
+        let _ = tokio::time::timeout(wait, signals.recv()).await;
         Client::list(client, prefix).await?
     };
-    let newer = items.into_iter().filter(|f| f.revision > after);
-    let changes = newer.map(|f| Change {
-        key: f.key.clone(),
-        revision: f.revision,
-        current: Some(f),
+    let newer = entries.into_iter().filter(|kv| kv.revision > after);
+    let changes = newer.map(|kv| Change {
+        key: kv.key.clone(),
+        revision: kv.revision,
+        current: Some(kv),
     });
     Ok(WatchResult::Changes {
         changes: changes.collect(),
@@ -97,6 +102,6 @@
         return Ok(TxnResult::Done(revision));
     }
     let ranges = res["responses"].as_array().cloned().unwrap_or_default();
-    let one = |r: &Value| found(&r["response_range"]["kvs"]);
-    Ok(TxnResult::Conflict(ranges.iter().flat_map(one).collect()))
+    let parse = |r: &Value| parse_key_values(&r["response_range"]["kvs"]);
+    Ok(TxnResult::Conflict(ranges.iter().flat_map(parse).collect()))
 }
--- a/crates/kv/src/lib.rs
+++ b/crates/kv/src/lib.rs
@@ -1,6 +1,7 @@
-//! The key-value store: the trait that the product uses, and a client of the etcd v3 JSON protocol.
+//! The trait of the key-value store that routers use, and a client of the etcd v3 JSON protocol that
+//! implements it.
 //!
-//! Every call is counted.
+//! The client counts its calls.
 
 pub mod client;
 mod etcd;
--- a/crates/kv/src/store.rs
+++ b/crates/kv/src/store.rs
@@ -1,49 +1,49 @@
-//! What the product asks of a key-value store; every client of one implements it.
+//! The trait of a key-value store, which every client of one implements.
 
 use std::future::Future;
 use std::pin::Pin;
 
 use crate::client::{KeyValue, StoreError};
 
-/// Conditions, writes and deletions that one transaction holds together at most: the platform's store
-/// refuses a larger one whole.
+/// Maximum number of preconditions, writes and deletions of a transaction altogether. The platform's
+/// store refuses a larger transaction as a whole.
 pub const MAX_TXN_OPS: usize = 32;
 
-/// The future answer of a call.
+/// The future result of a call.
 pub type StoreFuture<'a, T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send + 'a>>;
 
 /// The keys under a prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The keys with their values, in the order of the keys.
+    /// The keys with their values, sorted by key.
     pub entries: Vec<KeyValue>,
-    /// The store's revision at which they were read: a watch goes on from here.
+    /// Revision of the store at which they were read; a watch continues from it.
     pub revision: i64,
-    /// Whether there are more keys than were read.
+    /// Whether there are further keys that were not read.
     pub has_more: bool,
 }
 
-/// How new a read must be.
+/// Consistency of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// It shows every write that was answered before it.
+    /// The result contains every write that was acknowledged before the read.
     Linearizable,
-    /// It may be seconds old, costs the store less, and is answered where rates are used up. A watch from
-    /// its revision brings what it lacks.
+    /// The result may be seconds old. It costs the store less, and is returned even if request rates are
+    /// used up. A watch from its revision returns what it lacks.
     Serializable,
 }
 
-/// What a watch brought.
+/// Result of a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchResult {
-    /// What has changed since, oldest first; nothing when the wait ended.
+    /// The changes since the given revision, oldest first; empty if the wait timed out.
     Changes {
-        /// Keys with their new values.
+        /// Changed keys with their new values.
         changes: Vec<Change>,
-        /// The revision up to which this is everything.
+        /// Revision up to which the changes are complete.
         revision: i64,
     },
-    /// The store no longer keeps that part of its history: the keys must be listed again.
+    /// The store has discarded that part of its history: the keys must be listed again.
     Compacted,
 }
 
@@ -52,9 +52,9 @@
 pub struct Change {
     /// The key.
     pub key: String,
-    /// The store's revision of the write or deletion.
+    /// Revision of the write or deletion.
     pub revision: i64,
-    /// The value written; none when the key was deleted.
+    /// The key with its new value; `None` if it was deleted.
     pub current: Option<KeyValue>,
 }
 
@@ -65,23 +65,24 @@
     pub key: String,
     /// The value.
     pub value: Vec<u8>,
-    /// The lease with which the key ends; 0 for none.
+    /// The lease that the key is attached to; 0 for none. The key is deleted when the lease ends.
     pub lease: i64,
 }
 
-/// A condition on one key.
+/// A condition on the revision of one key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Precondition {
     /// The key.
     pub key: String,
-    /// The revision of its last write; 0 when it must be absent.
+    /// Expected revision of its last write; 0 if the key must not exist.
     pub revision: i64,
 }
 
-/// Conditions and the writes that happen when all of them hold: all or nothing.
+/// A transaction: its writes and deletions take effect atomically if all preconditions hold, else none
+/// does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Txn {
-    /// The conditions.
+    /// The preconditions.
     pub preconditions: Vec<Precondition>,
     /// The writes.
     pub puts: Vec<Put>,
@@ -90,38 +91,44 @@
 }
 
 impl Txn {
-    /// Returns how many conditions, writes and deletions it holds.
+    /// Returns the number of preconditions, writes and deletions.
     pub fn op_count(&self) -> usize {
         self.preconditions.len() + self.puts.len() + self.deletes.len()
     }
 }
 
-/// The end of a transaction.
+/// Result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TxnResult {
-    /// It took effect and made this revision.
+    /// It took effect at this revision.
     Done(i64),
-    /// A condition did not hold; the keys of the conditions as they are now, absent ones left out.
+    /// A precondition did not hold. Contains the current values of the keys in the preconditions; keys
+    /// that do not exist are left out.
     Conflict(Vec<KeyValue>),
-    /// A lease that it names has ended; nothing was written.
+    /// A lease that it refers to has ended; nothing was written.
     LeaseEnded,
 }
 
 /// A key-value store with revisions, leases and watches.
 ///
-/// Each call has its own timeout. After `Failure::Unknown` a write may have taken effect, or may
-/// still do so as long as its conditions hold.
+/// Each call has its own timeout. After [`StoreError::Unknown`] a write may have taken effect, or may
+/// still do so as long as its preconditions hold.
 pub trait Store: Send + Sync + 'static {
     /// Reads one key.
     fn get<'a>(&'a self, key: &'a str) -> StoreFuture<'a, Option<KeyValue>>;
 
     /// Reads all keys with a prefix.
-    fn list<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing>;
+    fn list<'a>(&'a self, prefix: &'a str, consistency: Consistency) -> StoreFuture<'a, Listing>;
 
-    /// Reads the first page of the keys with a prefix: one call, however many there are.
-    fn first_page<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing>;
+    /// Reads the first page of the keys with a prefix, with a single call.
+    fn first_page<'a>(
+        &'a self,
+        prefix: &'a str,
+        consistency: Consistency,
+    ) -> StoreFuture<'a, Listing>;
 
-    /// Waits until a key with a prefix changes after a revision, or for `wait_ms`.
+    /// Returns the changes of keys with a prefix after a revision; if there are none, waits for the next
+    /// one, but at most `wait_ms`.
     fn watch<'a>(
         &'a self,
         prefix: &'a str,
@@ -132,12 +139,12 @@
     /// Runs a transaction.
     fn commit(&self, txn: Txn) -> StoreFuture<'_, TxnResult>;
 
-    /// Makes a lease.
+    /// Creates a lease with a time to live, and returns its id.
     fn grant_lease(&self, ttl_ms: u64) -> StoreFuture<'_, i64>;
 
-    /// Renews a lease; returns whether it still lives.
+    /// Renews a lease; returns whether it still existed.
     fn renew_lease(&self, lease: i64) -> StoreFuture<'_, bool>;
 
-    /// Ends a lease, and its keys with it.
+    /// Revokes a lease, which deletes the keys attached to it.
     fn revoke_lease(&self, lease: i64) -> StoreFuture<'_, ()>;
 }
--- a/crates/kv/src/wire.rs
+++ b/crates/kv/src/wire.rs
@@ -1,4 +1,4 @@
-//! The few messages of the etcd v3 JSON protocol that are used.
+//! Encoding of the messages of the etcd v3 JSON protocol that the client uses.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use serde::{Deserialize, Serialize};
@@ -6,17 +6,17 @@
 
 use crate::store::{Precondition, Put, Txn};
 
-/// Encodes bytes as the protocol wants them.
+/// Encodes bytes as the protocol requires.
 pub fn encode_base64(bytes: &[u8]) -> String {
     BASE64_STANDARD.encode(bytes)
 }
 
-/// Decodes a field; what is not base64 is empty.
+/// Decodes a field; returns no bytes if it is not valid base64.
 pub fn decode_base64(text: &str) -> Vec<u8> {
     BASE64_STANDARD.decode(text).unwrap_or_default()
 }
 
-/// Reads a number that the protocol writes as a text.
+/// Parses an integer, which the protocol encodes as a string; returns 0 if it is invalid.
 pub fn parse_int(value: &Value) -> i64 {
     match value {
         Value::String(s) => s.parse().unwrap_or_default(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A stored key with its value.
+/// A stored key with its value, as the protocol encodes it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct EncodedKeyValue {
     /// The key, in base64.
@@ -33,12 +33,12 @@
     /// The value, in base64.
     #[serde(default)]
     pub value: String,
-    /// The store's revision of the last write to the key.
+    /// Revision of the last write to the key.
     #[serde(default)]
     pub mod_revision: Value,
 }
 
-/// Returns the end of the range that holds all keys with a prefix.
+/// Returns the end, itself excluded, of the range of all keys with a prefix.
 pub fn prefix_end(prefix: &str) -> Vec<u8> {
     let mut end = prefix.as_bytes().to_vec();
     if let Some(last) = end.last_mut() {
@@ -47,40 +47,42 @@
     end
 }
 
-/// Returns the body of a compare-and-swap of one key; revision 0 means that the key is absent.
+/// Returns the body of a compare-and-swap of one key; revision 0 means that the key does not exist.
 pub fn compare_and_swap(key: &str, revision: i64, value: &[u8], lease: i64) -> Value {
     let put = Put {
         key: key.to_string(),
         value: value.to_vec(),
         lease,
     };
-    let expect = Precondition {
+    let precondition = Precondition {
         key: key.to_string(),
         revision,
     };
     txn(&Txn {
-        preconditions: vec![expect],
+        preconditions: vec![precondition],
         puts: vec![put],
         deletes: Vec::new(),
     })
 }
 
-/// Returns the body of a transaction; when it is lost, it reads the keys of its conditions.
+/// Returns the body of a transaction, which reads the keys of its preconditions if one does not hold.
 pub fn txn(txn: &Txn) -> Value {
-    let compare = |e: &Precondition| {
+    let compare = |c: &Precondition| {
         json!({
-            "key": encode_base64(e.key.as_bytes()), "target": "MOD", "result": "EQUAL",
-            "mod_revision": e.revision.to_string(),
+            "key": encode_base64(c.key.as_bytes()), "target": "MOD", "result": "EQUAL",
+            "mod_revision": c.revision.to_string(),
         })
     };
     let put = |p: &Put| {
         json!({"request_put": {
-            "key": encode_base64(p.key.as_bytes()), "value": encode_base64(&p.value), "lease": p.lease.to_string(),
+            "key": encode_base64(p.key.as_bytes()),
+            "value": encode_base64(&p.value),
+            "lease": p.lease.to_string(),
         }})
     };
     let delete = |k: &String| json!({"request_delete_range": {"key": encode_base64(k.as_bytes())}});
     let read =
-        |e: &Precondition| json!({"request_range": {"key": encode_base64(e.key.as_bytes())}});
+        |c: &Precondition| json!({"request_range": {"key": encode_base64(c.key.as_bytes())}});
     let success = txn
         .puts
         .iter()
