--- a/crates/conf/src/bundle.rs
+++ b/crates/conf/src/bundle.rs
@@ -1,7 +1,7 @@
-//! A configuration in the platform's service: one head that names chunks by their hash.
+//! A configuration as stored in the platform's key-value service: a head that refers to chunks by hash.
 //!
-//! The head alone decides what is in force. A chunk never changes, so a head whose chunks are all
-//! present is whole, and half of a change can't be in force.
+//! The head alone determines what is in force. Chunks are immutable, so a head whose chunks are all
+//! present is complete, and a change can't be in force partially.
 
 use std::collections::BTreeMap;
 
@@ -11,30 +11,30 @@
 
 use crate::customer::{hex, Config};
 
-/// Customers are spread over this many chunks, so that a change rewrites few bytes.
+/// Number of chunks that the customers are distributed over, so that a change rewrites few bytes.
 const CUSTOMER_CHUNKS: u64 = 128;
-/// Changes that the head remembers.
-const HISTORY: usize = 64;
+/// Maximum number of changes in the head's history.
+const MAX_HISTORY: usize = 64;
 
-/// One accepted change.
+/// An accepted change of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// The revision that the change made.
+    /// The revision that resulted from the change.
     pub revision: u64,
-    /// Chosen by the operator's tool; finds the change again when its answer was lost.
+    /// Chosen by the operator's tool, which finds the change by it if the response was lost.
     pub change_id: String,
-    /// Who made it.
+    /// Author.
     pub who: String,
-    /// When, in milliseconds since the Unix epoch.
+    /// Time, in milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What changed, in a line.
+    /// One-line description.
     pub what: String,
 }
 
-/// The head record: the one thing that a change swaps.
+/// The head record, the only one that a change replaces.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// Goes up by one with each change.
+    /// Increases by one with each change.
     pub revision: u64,
     /// Hashes of the chunks.
     pub chunks: Vec<String>,
@@ -45,13 +45,13 @@
 /// A part of a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The hash of the text.
+    /// Hash of the text.
     pub hash: String,
-    /// A configuration with some of the templates and customers, as JSON.
+    /// Partial configuration in JSON: either the templates and model versions, or some of the customers.
     pub text: String,
 }
 
-/// A head with all its chunks.
+/// A head with its chunks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Bundle {
     /// The head.
@@ -61,8 +61,8 @@
 }
 
 impl Bundle {
-    /// Splits a configuration into chunks under a new head.
-    pub fn build(old: &Head, config: &Config, change: Change) -> Bundle {
+    /// Splits a configuration into chunks, with a new head that follows `previous`.
+    pub fn build(previous: &Head, config: &Config, change: Change) -> Bundle {
         let mut parts: BTreeMap<u64, Config> = BTreeMap::new();
         let shared = parts.entry(0).or_default();
         shared.templates = config.templates.clone();
@@ -74,53 +74,61 @@
         }
         let mut bundle = Bundle::default();
         for part in parts.values() {
-            let text = serde_json::to_string(part).expect("a configuration is JSON");
+            let text = serde_json::to_string(part).expect("serializable configuration");
             let hash = chunk_hash(&text);
             bundle.head.chunks.push(hash.clone());
             bundle.chunks.insert(hash, text);
         }
-        bundle.head.revision = old.revision + 1;
-        bundle.head.history = old.history.clone();
+        bundle.head.revision = previous.revision + 1;
+        bundle.head.history = previous.history.clone();
         bundle.head.history.push(change);
-        let extra = bundle.head.history.len().saturating_sub(HISTORY);
-        bundle.head.history.drain(..extra);
+        let excess = bundle.head.history.len().saturating_sub(MAX_HISTORY);
+        bundle.head.history.drain(..excess);
         bundle
     }
 
-    /// Joins the chunks into the configuration.
+    /// Assembles the configuration from the chunks.
     ///
     /// # Errors
     ///
-    /// Returns what is missing or broken.
+    /// Returns which chunk is missing, or why one can't be parsed.
     pub fn assemble(&self) -> Result<Config, String> {
-        let mut whole = Config::default();
+        let mut config = Config::default();
         for hash in &self.head.chunks {
-            let text = self.chunks.get(hash).ok_or(format!("no chunk {hash}"))?;
+            let text = self
+                .chunks
+                .get(hash)
+                .ok_or(format!("chunk {hash} is missing"))?;
             let part: Config = serde_json::from_str(text).map_err(|e| e.to_string())?;
-            whole.templates.extend(part.templates);
-            whole.customers.extend(part.customers);
-            whole.versions.extend(part.versions);
+            config.templates.extend(part.templates);
+            config.customers.extend(part.customers);
+            config.versions.extend(part.versions);
         }
-        Ok(whole)
+        Ok(config)
     }
 
-    /// Adds a chunk if it is what its hash says; returns whether it was.
+    /// Adds a chunk if its text matches its hash; returns whether it does.
     pub fn add_chunk(&mut self, chunk: Chunk) -> bool {
-        let fits = chunk_hash(&chunk.text) == chunk.hash;
-        if fits {
+        let matches = chunk_hash(&chunk.text) == chunk.hash;
+        if matches {
             self.chunks.insert(chunk.hash, chunk.text);
         }
-        fits
+        matches
     }
 
-    /// Returns the hashes that the head names and that are not here.
+    /// Returns the hashes in the head whose chunks are missing.
     pub fn missing_chunks(&self) -> Vec<String> {
-        let has = |h: &&String| !self.chunks.contains_key(*h);
-        self.head.chunks.iter().filter(has).cloned().collect()
+        let is_missing = |h: &&String| !self.chunks.contains_key(*h);
+        self.head
+            .chunks
+            .iter()
+            .filter(is_missing)
+            .cloned()
+            .collect()
     }
 }
 
-/// Returns a chunk's hash.
+/// Returns the hash of a chunk's text.
 pub fn chunk_hash(text: &str) -> String {
     hex(&Sha256::digest(text.as_bytes()))
 }
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks a JSON document against its shape and reports every fault with its path.
+//! Validates a JSON document against a schema, and reports every error with its path.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -7,12 +7,12 @@
 
 use crate::schema::{Field, Schema};
 
-/// One fault of a document.
+/// An error in a document.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// Where, as a JSON pointer.
+    /// Location, as a JSON pointer.
     pub path: String,
-    /// What is wrong and what is allowed.
+    /// What is wrong, and what is allowed instead.
     pub message: String,
 }
 
@@ -27,76 +27,76 @@
     }
 }
 
-/// Parses a text and checks it against a shape.
+/// Parses a document and validates it against a schema.
 ///
 /// # Errors
 ///
-/// Returns every fault found.
-pub fn parse(text: &str, shape: &Schema) -> Result<Value, Vec<ValidationError>> {
+/// Returns all errors found.
+pub fn parse(text: &str, schema: &Schema) -> Result<Value, Vec<ValidationError>> {
     let value: Value = serde_json::from_str(text).map_err(|e| {
         vec![ValidationError {
             path: String::new(),
-            message: format!("not JSON: {e}"),
+            message: format!("invalid JSON: {e}"),
         }]
     })?;
-    let faults = validate(&value, shape);
-    if faults.is_empty() {
+    let errors = validate(&value, schema);
+    if errors.is_empty() {
         Ok(value)
     } else {
-        Err(faults)
+        Err(errors)
     }
 }
 
-/// Returns every fault of a value.
-pub fn validate(value: &Value, shape: &Schema) -> Vec<ValidationError> {
-    let mut out = Vec::new();
-    walk(value, shape, "", &mut out);
-    out
+/// Returns all errors of a value.
+pub fn validate(value: &Value, schema: &Schema) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
+    validate_value(value, schema, "", &mut errors);
+    errors
 }
 
-fn walk(value: &Value, shape: &Schema, path: &str, out: &mut Vec<ValidationError>) {
-    match shape {
+fn validate_value(value: &Value, schema: &Schema, path: &str, errors: &mut Vec<ValidationError>) {
+    match schema {
         Schema::Array(item) => match value.as_array() {
             Some(list) => {
                 for (i, v) in list.iter().enumerate() {
-                    walk(v, item, &format!("{path}/{i}"), out);
+                    validate_value(v, item, &format!("{path}/{i}"), errors);
                 }
             }
-            None => wrong(value, "a list", path, out),
+            None => push_mismatch(value, "an array", path, errors),
         },
         Schema::Map(item) => match value.as_object() {
             Some(map) => {
                 for (name, v) in map {
-                    walk(v, item, &child(path, name), out);
+                    validate_value(v, item, &child_path(path, name), errors);
                 }
             }
-            None => wrong(value, "an object", path, out),
+            None => push_mismatch(value, "an object", path, errors),
         },
         Schema::Object(groups) => match value.as_object() {
-            Some(map) => object(map, groups, path, out),
-            None => wrong(value, "an object", path, out),
+            Some(map) => validate_fields(map, groups, path, errors),
+            None => push_mismatch(value, "an object", path, errors),
         },
-        leaf => {
-            if let Some(allowed) = leaf_fault(value, leaf) {
-                wrong(value, &allowed, path, out);
+        scalar => {
+            if let Some(allowed) = scalar_mismatch(value, scalar) {
+                push_mismatch(value, &allowed, path, errors);
             }
         }
     }
 }
 
-fn object(
+fn validate_fields(
     map: &serde_json::Map<String, Value>,
     groups: &[&[Field]],
     path: &str,
-    out: &mut Vec<ValidationError>,
+    errors: &mut Vec<ValidationError>,
 ) {
     let fields = || groups.iter().copied().flatten();
     for field in fields() {
         match map.get(field.name) {
-            Some(v) => walk(v, &field.schema, &child(path, field.name), out),
-            None if field.required => out.push(ValidationError {
-                path: child(path, field.name),
-                message: "missing, but required".to_string(),
+            Some(v) => validate_value(v, &field.schema, &child_path(path, field.name), errors),
+            None if field.required => errors.push(ValidationError {
+                path: child_path(path, field.name),
+                message: "required field is missing".to_string(),
             }),
             None => {}
         }
@@ -104,23 +104,26 @@
     for name in map.keys() {
         if !fields().any(|f| f.name == name) {
             let known: Vec<_> = fields().map(|f| f.name).collect();
-            out.push(ValidationError {
-                path: child(path, name),
-                message: format!("unknown field; allowed are {}", known.join(", ")),
+            errors.push(ValidationError {
+                path: child_path(path, name),
+                message: format!("unknown field; allowed fields are {}", known.join(", ")),
             });
         }
     }
 }
 
-/// Returns what is allowed instead, when the value does not fit.
-fn leaf_fault(value: &Value, shape: &Schema) -> Option<String> {
+/// Returns what is allowed instead if a value does not match the schema; `None` if it does.
+fn scalar_mismatch(value: &Value, schema: &Schema) -> Option<String> {
     let text = value.as_str().unwrap_or_default();
-    let (fits, allowed) = match shape {
-        Schema::NonEmptyString => (!text.is_empty(), "a text that is not empty".to_string()),
-        Schema::Name => (is_name(text), "letters, digits, - and _".to_string()),
+    let (matches, allowed) = match schema {
+        Schema::NonEmptyString => (!text.is_empty(), "a non-empty string".to_string()),
+        Schema::Name => (
+            is_name(text),
+            "a name of letters, digits, - and _".to_string(),
+        ),
         Schema::Integer(lo, hi) => (
             value.as_u64().is_some_and(|n| n >= *lo && n <= *hi),
-            format!("a whole number from {lo} to {hi}"),
+            format!("an integer from {lo} to {hi}"),
         ),
         Schema::Number(lo, hi) => (
             value.as_f64().is_some_and(|n| n >= *lo && n <= *hi),
@@ -129,16 +132,16 @@
         Schema::Bool => (value.is_boolean(), "true or false".to_string()),
         Schema::SocketAddr => (
             text.parse::<SocketAddr>().is_ok(),
-            "an IP address with a port, as 127.0.0.1:8080".to_string(),
+            "an IP address with a port, such as 127.0.0.1:8080".to_string(),
         ),
         Schema::Url => (
             text.strip_prefix("http://")
                 .is_some_and(|a| a.parse::<SocketAddr>().is_ok()),
-            "http:// with an IP address and a port".to_string(),
+            "an http:// URL with an IP address and a port".to_string(),
         ),
         Schema::KeyHash => (
             is_key_hash(text),
-            "sha256: and 64 hexadecimal digits".to_string(),
+            "sha256: followed by 64 hexadecimal digits".to_string(),
         ),
         Schema::Enum(words) => (
             words.contains(&text),
@@ -146,12 +149,12 @@
         ),
         Schema::Array(_) | Schema::Map(_) | Schema::Object(_) => (true, String::new()),
     };
-    (!fits).then_some(allowed)
+    (!matches).then_some(allowed)
 }
 
 fn is_name(text: &str) -> bool {
-    let plain = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    !text.is_empty() && text.bytes().all(plain)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    !text.is_empty() && text.bytes().all(is_allowed)
 }
 
 fn is_key_hash(text: &str) -> bool {
@@ -159,17 +162,18 @@
     digits.len() == 64 && digits.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-fn wrong(value: &Value, allowed: &str, path: &str, out: &mut Vec<ValidationError>) {
+fn push_mismatch(value: &Value, allowed: &str, path: &str, errors: &mut Vec<ValidationError>) {
     let mut shown = value.to_string();
     if shown.len() > 40 {
         shown = shown.chars().take(40).collect::<String>() + "…";
     }
-    out.push(ValidationError {
+    errors.push(ValidationError {
         path: path.to_string(),
         message: format!("{shown} is not {allowed}"),
     });
 }
 
-fn child(path: &str, name: &str) -> String {
+/// Returns the JSON pointer of a field.
+fn child_path(path: &str, name: &str) -> String {
     format!("{path}/{}", name.replace('~', "~0").replace('/', "~1"))
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of a process and the operators' configuration, checked whole.
+//! Settings of a process and the operators' configuration, with their validation.
 
 pub mod bundle;
 pub mod check;
--- a/crates/conf/src/routing.rs
+++ b/crates/conf/src/routing.rs
@@ -1,95 +1,99 @@
-//! The operators' routes: which service answers which path, for whom, and within which bounds.
+//! The operators' routing configuration: which services handle which paths, for whom, and with which
+//! limits.
 
 use std::collections::{BTreeMap, HashMap};
 
-/// What may be done with a request besides sending it once.
+/// Whether the requests of a route may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryMode {
-    /// It may run any number of times.
+    /// A request may run any number of times.
     Idempotent,
-    /// It runs once at most.
+    /// A request must run at most once.
     Never,
-    /// Its answer is a stream of events that another run may go on with after the last one.
+    /// The response is an event stream, which another run may continue after the last event received.
     Resumable,
 }
 
-/// Part of a route's requests that goes to one service.
+/// The share of a route's requests that is sent to one service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrafficShare {
     /// The service.
     pub service: String,
-    /// Its weight among the route's shares.
+    /// Weight relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// One route.
+/// A route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// The host that it belongs to.
+    /// Host name that requests are addressed to.
     pub host: String,
-    /// The beginning of its paths; begins and ends with a slash.
+    /// Prefix of the paths; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be retried.
     pub retry_mode: RetryMode,
-    /// Whether its answers are streams of events.
+    /// Whether responses are event streams.
     pub streamed: bool,
-    /// Longest time that a caller is kept waiting, in milliseconds.
+    /// Maximum duration of a request until the end of its response, in milliseconds.
     pub timeout_ms: u64,
-    /// Latency objective: time to the answer, or to its first event, in milliseconds.
+    /// Latency objective: time to the response, or to its first event, in milliseconds.
     pub latency_objective_ms: u64,
-    /// Upstreams that one request may be sent to.
+    /// Maximum number of upstreams that one request is sent to.
     pub max_attempts: u32,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub public: bool,
-    /// The services that answer it.
+    /// The services that handle the requests.
     pub traffic_split: Vec<TrafficShare>,
-    /// Regions that its requests may reach; empty where they may reach all.
+    /// Regions that requests may be sent to; empty if there is no restriction.
     pub allowed_regions: Vec<String>,
 }
 
 impl Route {
-    /// Chooses a service by the weights; `random` is uniform over all values.
+    /// Picks a service at random in proportion to the weights; `random` is uniform over all `u64` values.
+    /// Returns `None` if the weights sum up to 0.
     pub fn pick_service(&self, random: u64) -> Option<&str> {
         let total: u64 = self.traffic_split.iter().map(|s| u64::from(s.weight)).sum();
-        let mut at = random % total.max(1);
+        let mut offset = random % total.max(1);
         for share in &self.traffic_split {
             let weight = u64::from(share.weight);
-            if at < weight {
+            if offset < weight {
                 return Some(&share.service);
             }
-            at -= weight;
+            offset -= weight;
         }
         None
     }
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Connections that one of its upstreams takes from all instances together.
+    /// Maximum number of connections that one of its upstreams accepts from all instances together; 0 if
+    /// there is no limit.
     pub max_connections: u32,
-    /// Tokens in one event of a stream; 0 when unknown.
+    /// Tokens in one event of a stream; 0 if unknown.
     pub tokens_per_event: u64,
-    /// How long one of its upstreams is cold after its start, in milliseconds.
+    /// How long an upstream is cold after it started, in milliseconds.
     pub cold_start_ms: u64,
-    /// Requests a second that a cold one bears from all instances together; 0 when there is no such bound.
+    /// Requests per second that a cold upstream sustains from all instances together; 0 if there is no
+    /// limit.
     pub cold_max_per_sec: f64,
 }
 
-/// What callers may send, and for how long.
+/// Limits on the requests of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for a request's head, in milliseconds.
+    /// Maximum time to receive a request's head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest time that a connection stays open between requests, in milliseconds.
+    /// Maximum time that a connection stays open between requests, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -104,41 +108,41 @@
     }
 }
 
-/// One customer.
+/// The account of a customer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Account {
-    /// Its name.
+    /// Name of the customer.
     pub name: String,
-    /// Its keys.
+    /// API keys.
     pub api_keys: Vec<String>,
-    /// Rank, instead of the route's; 0 goes first.
+    /// Priority that replaces the route's; 0 is the highest.
     pub priority: Option<u8>,
-    /// Tokens that it may spend altogether; none for no bound.
+    /// Prepaid amount, which limits the tokens that the customer may spend; `None` if there is no limit.
     pub prepaid_tokens: Option<u64>,
-    /// Regions that its requests may reach; empty where they may reach all.
+    /// Regions that the customer's requests may be sent to; empty if there is no restriction.
     pub allowed_regions: Vec<String>,
 }
 
-/// All routes, services and customers of one version.
+/// One version of the routing configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingConfig {
-    /// The version; a higher one replaces a lower one, never the other way round.
+    /// The version. A configuration is replaced only by one with a higher version.
     pub version: u64,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// What callers may send.
+    /// Limits on the requests of callers.
     pub limits: RequestLimits,
-    /// Customers.
+    /// Accounts of the customers.
     pub accounts: Vec<Account>,
     routes: Vec<Route>,
-    /// By host, then by prefix: indices into `routes`.
+    /// Indices into `routes` by host, then by path prefix.
     by_host: HashMap<String, HashMap<String, usize>>,
-    /// By key: indices into `accounts`.
+    /// Indices into `accounts` by API key.
     by_key: HashMap<String, usize>,
 }
 
 impl RoutingConfig {
-    /// Joins the parts of one version.
+    /// Creates a configuration from its parts.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -173,7 +177,7 @@
         &self.routes
     }
 
-    /// Returns the route with the longest prefix that begins the path.
+    /// Returns the route of a host with the longest prefix that matches a path.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let prefixes = self.by_host.get(host)?;
         let mut end = path.len();
@@ -186,25 +190,27 @@
         None
     }
 
-    /// Returns the regions that a request on a route with a key may reach, empty where it may reach all; none where the
-    /// route and the key's customer allow different ones.
+    /// Returns the regions that both the route and the customer with an API key allow for a request;
+    /// empty if there is no restriction, `None` if they have no region in common.
     pub fn allowed_regions(&self, route: &Route, key: Option<&str>) -> Option<Vec<String>> {
-        let customer = key.and_then(|key| self.account_by_key(key));
-        let own = customer.map_or(&[][..], |a| &a.allowed_regions);
-        if own.is_empty() || route.allowed_regions.is_empty() {
-            return Some([own, &route.allowed_regions].concat());
+        let account = key.and_then(|key| self.account_by_key(key));
+        let by_account = account.map_or(&[][..], |a| &a.allowed_regions);
+        if by_account.is_empty() || route.allowed_regions.is_empty() {
+            return Some([by_account, &route.allowed_regions].concat());
         }
-        let both = own.iter().filter(|r| route.allowed_regions.contains(r));
-        let both: Vec<String> = both.cloned().collect();
-        (!both.is_empty()).then_some(both)
+        let common = by_account
+            .iter()
+            .filter(|r| route.allowed_regions.contains(r));
+        let common: Vec<String> = common.cloned().collect();
+        (!common.is_empty()).then_some(common)
     }
 
-    /// Returns the customer that holds a key.
+    /// Returns the account with an API key.
     pub fn account_by_key(&self, key: &str) -> Option<&Account> {
         self.by_key.get(key).map(|i| &self.accounts[*i])
     }
 
-    /// Returns a customer's prepaid tokens; none when there is no bound.
+    /// Returns the prepaid amount of a customer; `None` if there is no limit or the customer is unknown.
     pub fn prepaid_tokens(&self, customer: &str) -> Option<u64> {
         let account = self.accounts.iter().find(|a| a.name == customer)?;
         account.prepaid_tokens
--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -1,57 +1,57 @@
-//! The allowed shapes of JSON documents, as data tables.
+//! Schemas of the JSON documents, as data.
 
-/// What a value may be.
+/// Schema of a value.
 #[derive(Debug)]
 pub enum Schema {
-    /// A text that is not empty.
+    /// A non-empty string.
     NonEmptyString,
-    /// A name of letters, digits, - and _: it becomes part of keys.
+    /// A name of ASCII letters, digits, `-` and `_`, which can be part of a key in the store.
     Name,
-    /// A whole number between two bounds, both included.
+    /// An integer between two bounds, both inclusive.
     Integer(u64, u64),
-    /// A number between two bounds, both included.
+    /// A number between two bounds, both inclusive.
     Number(f64, f64),
-    /// True or false.
+    /// A boolean.
     Bool,
     /// An IP address with a port.
     SocketAddr,
-    /// An `http://` address.
+    /// An `http://` URL with an IP address and a port.
     Url,
-    /// The SHA-256 of a key, as `sha256:` and 64 hexadecimal digits.
+    /// SHA-256 hash of a key: `sha256:` followed by 64 hexadecimal digits.
     KeyHash,
-    /// One of some words.
+    /// One of several strings.
     Enum(&'static [&'static str]),
-    /// A list.
+    /// An array.
     Array(&'static Schema),
-    /// An object with free names.
+    /// An object with arbitrary field names.
     Map(&'static Schema),
-    /// An object with fixed fields, in groups that objects share.
+    /// An object with fixed fields, in groups that several objects can share.
     Object(&'static [&'static [Field]]),
 }
 
 /// A field of an object.
 #[derive(Debug)]
 pub struct Field {
-    /// The name.
+    /// Name.
     pub name: &'static str,
-    /// What its value may be.
+    /// Schema of the value.
     pub schema: Schema,
-    /// Whether it must be there.
+    /// Whether the field must be present.
     pub required: bool,
 }
 
-const fn required(name: &'static str, shape: Schema) -> Field {
+const fn required(name: &'static str, schema: Schema) -> Field {
     Field {
         name,
-        schema: shape,
+        schema,
         required: true,
     }
 }
 
-const fn optional(name: &'static str, shape: Schema) -> Field {
+const fn optional(name: &'static str, schema: Schema) -> Field {
     Field {
         name,
-        schema: shape,
+        schema,
         required: false,
     }
 }
@@ -59,7 +59,7 @@
 const DAY_SECS: u64 = 86_400;
 const MAX_TOKENS: u64 = 1_000_000_000;
 
-/// The settings of one process.
+/// Settings of one process.
 pub static SETTINGS: Schema = Schema::Object(&[&[
     required("name", Schema::Name),
     required("region", Schema::NonEmptyString),
@@ -83,7 +83,7 @@
     optional("fleet", Schema::Object(&[FLEET])),
 ]]);
 
-/// The bounds that the instances of a fleet keep together.
+/// Settings of an instance in a fleet.
 const FLEET: &[Field] = &[
     optional("ready_listen", Schema::SocketAddr),
     optional("metrics_listen", Schema::SocketAddr),
@@ -100,7 +100,7 @@
     optional("recovery_secs", Schema::Number(0.1, 3_600.0)),
 ];
 
-/// A template, or what a customer overrides of it.
+/// Fields of a template, which a customer can override.
 const POLICY: &[Field] = &[
     optional("models", Schema::Array(&Schema::NonEmptyString)),
     optional("services", Schema::Array(&Schema::NonEmptyString)),
@@ -110,7 +110,7 @@
     optional("weight", Schema::Integer(1, 100)),
 ];
 
-/// What a customer has besides.
+/// Further fields of a customer.
 const CUSTOMER: &[Field] = &[
     required("template", Schema::NonEmptyString),
     required("key_hashes", Schema::Array(&Schema::KeyHash)),
--- a/crates/conf/src/settings.rs
+++ b/crates/conf/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process: all optional but its place and the platform's address.
+//! Settings of one process. Only its name, region and zone and the platform's address are required.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 const DEFAULT_WRITES_PER_SEC: u64 = 100;
 const DEFAULT_ORPHAN_GRACE_MS: u64 = 15_000;
 
-/// What a process is told at its start.
+/// Settings that a process reads when it starts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// Name of the instance; each start adds its own incarnation to it.
+    /// Name of the instance, to which each start appends the id of its incarnation.
     pub name: String,
     /// Region.
     pub region: String,
@@ -34,74 +34,78 @@
     pub admin_listen: Option<SocketAddr>,
     /// Listener for the other instances.
     pub peer_listen: Option<SocketAddr>,
-    /// Other instances' peer addresses, for a start while the platform is out.
+    /// Peer addresses of other instances, for a start while the platform is unreachable.
     pub peers: Option<Vec<SocketAddr>>,
-    /// Key that operators must show; none restricts them to loopback.
+    /// Key that operators must present; without one, only loopback clients are accepted.
     pub admin_key: Option<String>,
-    /// Form of the logs: `text` or `json`.
+    /// Format of the log: `text` or `json`.
     pub log: Option<String>,
-    /// Number of budget shards; the same in the whole deployment.
+    /// Number of budget shards; must be the same in the whole deployment.
     pub shards: Option<u32>,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub body_limit: Option<u64>,
-    /// Longest graceful stop, in seconds.
+    /// Maximum duration of a planned stop, in seconds.
     pub drain_secs: Option<u64>,
-    /// Longest request, in seconds.
+    /// Maximum duration of a request, in seconds.
     pub request_secs: Option<u64>,
     /// How long a claim is kept, in seconds.
     pub claim_retention_secs: Option<u64>,
-    /// The fleet's share of the platform's writes, a second.
+    /// Writes to the platform per second that the whole fleet may make.
     pub writes_per_sec: Option<u64>,
-    /// Whether operators may cut this instance from others, for tests.
+    /// Whether operators may disconnect this instance from others, for tests.
     pub faults: Option<bool>,
-    /// How long a vanished entry's stream waits for its caller, in milliseconds.
+    /// How long a request whose caller has disconnected, or whose instance has failed, is kept running
+    /// for the caller to resume it, in milliseconds.
     pub orphan_grace_ms: Option<u64>,
-    /// What callers, upstreams and the platform speak: `openai` (the own interface) or `platform`.
+    /// Protocols of callers, upstreams and the platform: `openai` (the router's own interface) or
+    /// `platform`.
     pub dialect: Option<String>,
-    /// Bounds that the instances keep together.
+    /// Settings of an instance in a fleet.
     pub fleet: Option<Fleet>,
 }
 
-/// Bounds that the instances of a fleet keep together.
+/// Settings of an instance in a fleet, among them limits that apply to all instances together.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Listener that says whether new connections are wanted.
+    /// Listener that reports whether the instance wants new connections.
     pub ready_listen: Option<SocketAddr>,
-    /// Listener for metrics and the dump; none means that there are none.
+    /// Listener for metrics and the dump; they are not available if it is unset.
     pub metrics_listen: Option<SocketAddr>,
-    /// Time from the sign to stop until the process is killed, in seconds.
+    /// Time from the stop signal until the process is killed, in seconds.
     pub stop_secs: Option<f64>,
-    /// Repetitions that a service gets from all instances, as a share of its requests.
+    /// Maximum number of retries of a service's requests by all instances, as a share of its requests.
     pub retry_ratio: Option<f64>,
-    /// The span in which repetitions and requests are counted, in seconds.
+    /// Length of the window in which retries and requests are counted, in seconds.
     pub retry_window_secs: Option<f64>,
-    /// Repetitions that all instances may make in a span besides the share.
+    /// Retries of all instances that are allowed per window in addition to that share.
     pub retry_slack: Option<f64>,
-    /// Bandwidth of the instance's own link each way, in megabits a second; none means that it never
-    /// counts as full.
+    /// Bandwidth of the instance's own link in each direction, in megabits per second; if unset, the link
+    /// never counts as congested.
     pub link_mbps: Option<f64>,
-    /// Memory that the process may take, in megabytes; none means that requests under way are not
-    /// bounded by it.
+    /// Memory limit of the process, in megabytes; if unset, memory does not limit the requests in
+    /// progress.
     pub memory_mb: Option<u64>,
     /// Shortest lease that the platform grants, in milliseconds.
     pub lease_least_ms: Option<u64>,
-    /// Factor by which the rate that a cold upstream bears may be exceeded by all instances together.
+    /// Factor that multiplies the request rate which a cold upstream sustains, to get the limit for all
+    /// instances together.
     pub cold_over: Option<f64>,
-    /// Requests a second that a cold upstream may get besides from all instances together.
+    /// Requests per second that are added to that limit.
     pub cold_slack: Option<f64>,
-    /// The region of each availability zone, for routes and customers that are bound to regions.
+    /// The region of each availability zone, for routes and customers that are restricted to regions.
     pub zones: Option<BTreeMap<String, String>>,
-    /// Time in which service is to be back after a loss of all instances, in seconds: customers keep tokens for it.
+    /// Time until service is back after a failure of all instances, in seconds. Tokens are held back for
+    /// the customers' requests in that time.
     pub recovery_secs: Option<f64>,
 }
 
 impl Settings {
-    /// Parses and checks settings.
+    /// Parses and validates settings.
     ///
     /// # Errors
     ///
-    /// Returns every fault found.
+    /// Returns all errors found.
     pub fn parse(text: &str) -> Result<Settings, Vec<ValidationError>> {
         let value = check::parse(text, &schema::SETTINGS)?;
         let settings: Settings = serde_json::from_value(value).map_err(|e| {
@@ -114,7 +118,7 @@
         if settings.admin_key.is_none() && !admin.ip().is_loopback() {
             return Err(vec![ValidationError {
                 path: "/admin_listen".to_string(),
-                message: format!("{admin} is not loopback, which needs an admin_key"),
+                message: format!("{admin} is not a loopback address, which requires an admin_key"),
             }]);
         }
         Ok(settings)
@@ -140,17 +144,17 @@
         self.shards.unwrap_or(DEFAULT_SHARDS)
     }
 
-    /// Returns the largest body of a request, in bytes.
+    /// Returns the maximum size of a request's body, in bytes.
     pub fn body_limit(&self) -> u64 {
         self.body_limit.unwrap_or(DEFAULT_BODY_LIMIT)
     }
 
-    /// Returns the longest graceful stop, in milliseconds.
+    /// Returns the maximum duration of a planned stop, in milliseconds.
     pub fn drain_ms(&self) -> u64 {
         self.drain_secs.unwrap_or(DEFAULT_DRAIN_SECS) * 1000
     }
 
-    /// Returns the longest request, in milliseconds.
+    /// Returns the maximum duration of a request, in milliseconds.
     pub fn request_ms(&self) -> u64 {
         self.request_secs.unwrap_or(DEFAULT_REQUEST_SECS) * 1000
     }
@@ -162,12 +166,12 @@
             * 1000
     }
 
-    /// Returns the fleet's share of the platform's writes, a second.
+    /// Returns the writes to the platform per second that the whole fleet may make.
     pub fn writes_per_sec(&self) -> u64 {
         self.writes_per_sec.unwrap_or(DEFAULT_WRITES_PER_SEC)
     }
 
-    /// Returns how long a vanished entry's stream waits for its caller, in milliseconds.
+    /// Returns how long a request without its caller is kept running, in milliseconds.
     pub fn orphan_grace_ms(&self) -> u64 {
         self.orphan_grace_ms.unwrap_or(DEFAULT_ORPHAN_GRACE_MS)
     }
