--- a/crates/entry/tests/dump.rs
+++ b/crates/entry/tests/dump.rs
@@ -8,7 +8,7 @@
 use entry::Instance;
 use kv::Client;
 use serde_json::{json, Value};
-use stub::platform::Platform;
+use stub::platform::StubPlatform;
 
 /// Time limit of the test; long, since the machine may be busy.
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -37,7 +37,7 @@
 #[tokio::test]
 async fn dump_keeps_its_field_names() {
     let any_port = "127.0.0.1:0".parse().expect("a valid address");
-    let platform = Platform::bind(any_port).await.expect("a free port");
+    let platform = StubPlatform::bind(any_port).await.expect("a free port");
     let platform = format!("http://{}", platform.addr());
     let spec =
         r#"{"id":"e1","kind":"engine","url":"http://127.0.0.1:9","zone":"z","serves":["m"]}"#;
--- a/crates/oriolehitch/src/dev.rs
+++ b/crates/oriolehitch/src/dev.rs
@@ -6,9 +6,9 @@
 use conf::{Config, Settings};
 use entry::Instance;
 use serde_json::{json, Value};
-use stub::engine::{self, Engine};
-use stub::platform::Platform;
-use stub::service::{self, Service};
+use stub::engine::{self, StubEngine};
+use stub::platform::StubPlatform;
+use stub::service::{self, StubService};
 
 use crate::flags::Dev;
 use crate::operate::Operator;
@@ -53,7 +53,7 @@
         },
     };
     let mut signals = Signals::open()?;
-    let platform = Platform::bind(loopback(None)).await;
+    let platform = StubPlatform::bind(loopback(None)).await;
     let platform = platform.map_err(|e| anyhow!(e))?;
     let url = format!("http://{}", platform.addr());
     stand_ins(&url, &parsed).await?;
@@ -89,7 +89,7 @@
     models.sort();
     models.dedup();
     for (i, zone) in ZONES.iter().take(2).enumerate() {
-        let setup = engine::Setup {
+        let setup = engine::Options {
             addr: loopback(None),
             name: format!("engine-{}", i + 1),
             zone: (*zone).to_string(),
@@ -97,19 +97,19 @@
             step_ms: STEP_MS,
             slots: SLOTS,
             platform: Some(platform.to_string()),
-            fenced: true,
+            enforce_fencing: true,
         };
-        Engine::bind(setup).await.map_err(|e| anyhow!(e))?;
+        StubEngine::bind(setup).await.map_err(|e| anyhow!(e))?;
     }
     for name in services {
-        let setup = service::Setup {
+        let setup = service::Options {
             addr: loopback(None),
             name: format!("{name}-1"),
             zone: ZONES[0].to_string(),
             service: name,
             platform: Some(platform.to_string()),
         };
-        Service::bind(setup).await.map_err(|e| anyhow!(e))?;
+        StubService::bind(setup).await.map_err(|e| anyhow!(e))?;
     }
     Ok(())
 }
--- a/crates/oriolehitch/src/stubs.rs
+++ b/crates/oriolehitch/src/stubs.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use anyhow::{anyhow, Result};
-use stub::engine::{self, Engine};
-use stub::platform::Platform;
-use stub::service::{self, Service};
+use stub::engine::{self, StubEngine};
+use stub::platform::StubPlatform;
+use stub::service::{self, StubService};
 
 use crate::flags::{Stub, StubCmd};
 use crate::serve::Signals;
@@ -23,9 +23,9 @@
     log::start(None);
     let mut signals = Signals::open()?;
     let bound = match flags.subcommand {
-        StubCmd::Platform(cmd) => Platform::bind(loopback(cmd.port)).await,
+        StubCmd::Platform(cmd) => StubPlatform::bind(loopback(cmd.port)).await,
         StubCmd::Engine(cmd) => {
-            let setup = engine::Setup {
+            let setup = engine::Options {
                 addr: loopback(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
@@ -33,19 +33,19 @@
                 step_ms: cmd.step_ms.unwrap_or(STEP_MS),
                 slots: cmd.slots.unwrap_or(SLOTS),
                 platform: cmd.platform,
-                fenced: !cmd.unfenced,
+                enforce_fencing: !cmd.unfenced,
             };
-            Engine::bind(setup).await
+            StubEngine::bind(setup).await
         }
         StubCmd::Service(cmd) => {
-            let setup = service::Setup {
+            let setup = service::Options {
                 addr: loopback(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
                 service: cmd.service,
                 platform: cmd.platform,
             };
-            Service::bind(setup).await
+            StubService::bind(setup).await
         }
     };
     let handle = bound.map_err(|e| anyhow!(e))?;
--- a/crates/stub/src/engine.rs
+++ b/crates/stub/src/engine.rs
@@ -9,8 +9,8 @@
 use tokio::sync::{mpsc, watch};
 use web::{Req, Res};
 
-use crate::lister;
-use crate::runs::{Begin, Run, Runs, Stage};
+use crate::registration;
+use crate::scheduler::{Request, RequestState, Scheduler, SubmitResult};
 
 const BODY_LIMIT: usize = 64 << 20;
 /// Bytes of text that one token stands for.
@@ -22,7 +22,7 @@
 
 /// How a stand-in is set up.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct Options {
     /// Its address.
     pub addr: SocketAddr,
     /// Its name in the instance list.
@@ -38,7 +38,7 @@
     /// The platform whose instance list it is in.
     pub platform: Option<String>,
     /// Whether orders with an old fencing number are refused.
-    pub fenced: bool,
+    pub enforce_fencing: bool,
 }
 
 /// The switches for faults.
@@ -65,15 +65,15 @@
 }
 
 struct Inner {
-    runs: Runs,
+    runs: Scheduler,
     faults: Faults,
     cut: Vec<String>,
     versions: std::collections::BTreeMap<String, Loaded>,
 }
 
 /// A running stand-in.
-pub struct Engine {
-    setup: Setup,
+pub struct StubEngine {
+    setup: Options,
     id: String,
     inner: Mutex<Inner>,
     stepped: watch::Sender<u64>,
@@ -94,25 +94,25 @@
     max_tokens: Option<u64>,
 }
 
-impl Engine {
+impl StubEngine {
     /// Binds the stand-in.
     ///
     /// # Errors
     ///
     /// Returns why the address can't be bound.
-    pub async fn bind(setup: Setup) -> Result<web::Handle, String> {
+    pub async fn bind(setup: Options) -> Result<web::Handle, String> {
         let inner = Inner {
-            runs: Runs::default(),
+            runs: Scheduler::default(),
             faults: Faults::default(),
             cut: Vec::new(),
             versions: Default::default(),
         };
-        let engine = Arc::new(Engine {
+        let engine = Arc::new(StubEngine {
             inner: Mutex::new(inner),
             stepped: watch::channel(0).0,
             listed: watch::channel(Value::Null).0,
             url: std::sync::OnceLock::new(),
-            id: lister::unique(&setup.name),
+            id: registration::unique_id(&setup.name),
             setup,
         });
         let handle = web::bind(engine.setup.addr, BODY_LIMIT, Arc::clone(&engine)).await?;
@@ -120,7 +120,7 @@
         engine.relist();
         if let Some(platform) = &engine.setup.platform {
             let key = format!("/instances/engine/{}", engine.setup.name);
-            lister::spawn(platform, key, engine.listed.subscribe());
+            registration::spawn(platform, key, engine.listed.subscribe());
         }
         tokio::spawn(steps(engine));
         Ok(handle)
@@ -167,12 +167,12 @@
         if inner
             .runs
             .get(&request)
-            .is_some_and(|r| r.stage == Stage::Cancelled)
+            .is_some_and(|r| r.state == RequestState::Cancelled)
         {
             return fault(410, "cancelled");
         }
         let prefix = prefix(&chat);
-        if inner.runs.begin(run, prefix) == Begin::Cancelled {
+        if inner.runs.submit(run, prefix) == SubmitResult::Cancelled {
             return fault(409, "cancelled").with("x-not-run", "1");
         }
         drop(inner);
@@ -181,24 +181,24 @@
         res
     }
 
-    fn run(&self, request: &str, chat: &Chat, req: &Req) -> Run {
+    fn run(&self, request: &str, chat: &Chat, req: &Req) -> Request {
         let excess = self.inner.lock().expect("no panic inside").faults.excess;
         let most = chat.max_tokens.unwrap_or(16);
         let text: String = chat.messages.iter().map(text).collect();
         let target = wanted_length(&text).unwrap_or(most).min(most) + excess;
-        Run {
-            request: request.to_string(),
+        Request {
+            id: request.to_string(),
             customer: req.header("x-customer").unwrap_or_default().to_string(),
-            prompt: prompt_tokens(&chat.messages),
-            target: target.max(1),
-            produced: 0,
-            unread: 0,
-            cached: 0,
+            prompt_tokens: prompt_tokens(&chat.messages),
+            target_tokens: target.max(1),
+            completion_tokens: 0,
+            remaining_prefill: 0,
+            cached_tokens: 0,
             priority: req
                 .header("x-priority")
                 .and_then(|p| p.parse().ok())
                 .unwrap_or(5),
-            stage: Stage::Waiting,
+            state: RequestState::Waiting,
         }
     }
 
@@ -218,7 +218,7 @@
         Res::json(200, &usage(inner.runs.get(request)))
     }
 
-    fn get(&self, request: &str) -> Option<Run> {
+    fn get(&self, request: &str) -> Option<Request> {
         let inner = self.inner.lock().expect("no panic inside");
         inner.runs.get(request).cloned()
     }
@@ -240,10 +240,10 @@
 
     fn ledger(&self) -> Res {
         let inner = self.inner.lock().expect("no panic inside");
-        let row = |r: &Run| {
+        let row = |r: &Request| {
             json!({
-                "request": r.request, "customer": r.customer, "served": r.served(),
-                "prompt": r.prompt, "cached": r.cached, "stage": r.stage,
+                "request": r.id, "customer": r.customer, "served": r.served_tokens(),
+                "prompt": r.prompt_tokens, "cached": r.cached_tokens, "stage": r.state,
             })
         };
         let rows: Vec<Value> = inner.runs.list().into_iter().map(row).collect();
@@ -258,7 +258,7 @@
         };
         let mut inner = self.inner.lock().expect("no panic inside");
         let loaded = inner.versions.entry(order.model).or_default();
-        if self.setup.fenced && order.fence < loaded.fence {
+        if self.setup.enforce_fencing && order.fence < loaded.fence {
             return fault(409, "an older fencing number");
         }
         loaded.version = order.version;
@@ -296,7 +296,7 @@
     fence: u64,
 }
 
-impl web::Service for Engine {
+impl web::Service for StubEngine {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         match (req.method.as_str(), req.segments().as_slice()) {
             ("POST", ["v1", "chat", "completions"]) => self.chat(&req),
@@ -312,7 +312,7 @@
     }
 }
 
-async fn steps(engine: Arc<Engine>) {
+async fn steps(engine: Arc<StubEngine>) {
     let mut every = tokio::time::interval(Duration::from_millis(engine.setup.step_ms.max(1)));
     loop {
         every.tick().await;
@@ -324,14 +324,19 @@
 }
 
 /// Sends a request's tokens from an offset on, as they are produced.
-async fn stream(engine: Arc<Engine>, request: String, from: u64, tx: mpsc::Sender<bytes::Bytes>) {
+async fn stream(
+    engine: Arc<StubEngine>,
+    request: String,
+    from: u64,
+    tx: mpsc::Sender<bytes::Bytes>,
+) {
     let mut stepped = engine.stepped.subscribe();
     let mut at = from;
     loop {
         let Some(run) = engine.get(&request) else {
             return;
         };
-        while at < run.produced {
+        while at < run.completion_tokens {
             if engine.cuts(&request, at) {
                 return;
             }
@@ -350,20 +355,20 @@
     }
 }
 
-async fn end(run: &Run, tx: &mpsc::Sender<bytes::Bytes>) {
-    if run.stage == Stage::Cancelled {
+async fn end(run: &Request, tx: &mpsc::Sender<bytes::Bytes>) {
+    if run.state == RequestState::Cancelled {
         return;
     }
     let last = json!({
-        "id": run.request, "object": "chat.completion.chunk",
+        "id": run.id, "object": "chat.completion.chunk",
         "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}],
     });
     let usage = json!({
-        "id": run.request, "object": "chat.completion.chunk", "choices": [],
+        "id": run.id, "object": "chat.completion.chunk", "choices": [],
         "usage": {
-            "prompt_tokens": run.prompt,
-            "completion_tokens": run.produced,
-            "total_tokens": run.prompt + run.produced,
+            "prompt_tokens": run.prompt_tokens,
+            "completion_tokens": run.completion_tokens,
+            "total_tokens": run.prompt_tokens + run.completion_tokens,
         },
     });
     let _ = tx.send(web::event(&last)).await;
@@ -379,14 +384,14 @@
     })
 }
 
-fn usage(run: Option<&Run>) -> Value {
+fn usage(run: Option<&Request>) -> Value {
     match run {
         None => json!({"known": false, "refused_from_now": true}),
         Some(run) => json!({
             "known": true,
             "ended": run.has_ended(),
-            "total_tokens": run.served(),
-            "completion_tokens": run.produced,
+            "total_tokens": run.served_tokens(),
+            "completion_tokens": run.completion_tokens,
         }),
     }
 }
--- a/crates/stub/src/lib.rs
+++ b/crates/stub/src/lib.rs
@@ -3,8 +3,8 @@
 //! Each keeps its own ledger, which proofs read, and has switches for its faults.
 
 pub mod engine;
-pub mod lister;
 pub mod platform;
-pub mod runs;
+pub mod registration;
+pub mod scheduler;
 pub mod service;
 pub mod store;
--- a/crates/stub/src/platform.rs
+++ b/crates/stub/src/platform.rs
@@ -43,7 +43,7 @@
 }
 
 /// A running stand-in.
-pub struct Platform {
+pub struct StubPlatform {
     store: Mutex<Store>,
     faults: Mutex<Faults>,
     counts: Counts,
@@ -51,14 +51,14 @@
     changed: broadcast::Sender<Vec<u8>>,
 }
 
-impl Platform {
+impl StubPlatform {
     /// Binds the stand-in to an address.
     ///
     /// # Errors
     ///
     /// Returns why the address can't be bound.
     pub async fn bind(addr: SocketAddr) -> Result<web::Handle, String> {
-        let platform = Arc::new(Platform {
+        let platform = Arc::new(StubPlatform {
             store: Mutex::default(),
             faults: Mutex::default(),
             counts: Counts::default(),
@@ -99,7 +99,7 @@
         let value = decode_base64(put["value"].as_str().unwrap_or_default());
         let revision = parse_int(&compare["mod_revision"]);
         let mut store = self.store.lock().expect("no panic inside");
-        let succeeded = store.swap(&key, revision, value, parse_int(&put["lease"]));
+        let succeeded = store.compare_and_swap(&key, revision, value, parse_int(&put["lease"]));
         let found = store.range(&key, &[]);
         let now = store.revision();
         drop(store);
@@ -119,7 +119,7 @@
         let ttl = parse_int(&body["TTL"]).max(1) as u64;
         let now = self.now_ms();
         let mut store = self.store.lock().expect("no panic inside");
-        let id = store.grant(now, ttl * 1000);
+        let id = store.grant_lease(now, ttl * 1000);
         json!({"ID": id.to_string(), "TTL": ttl.to_string()})
     }
 
@@ -228,7 +228,7 @@
     }
 }
 
-impl web::Service for Platform {
+impl web::Service for StubPlatform {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         match req.path.as_str() {
             "/fault" => self.set_faults(&req),
@@ -255,13 +255,13 @@
     })
 }
 
-async fn expire(platform: Arc<Platform>) {
+async fn expire(platform: Arc<StubPlatform>) {
     let mut every = tokio::time::interval(EXPIRE_EVERY);
     loop {
         every.tick().await;
         let now = platform.now_ms();
         let mut store = platform.store.lock().expect("no panic inside");
-        if store.expire(now) {
+        if store.expire_leases(now) {
             let _ = platform.changed.send(Vec::new());
         }
     }
--- a/crates/stub/src/lister.rs
+++ b/crates/stub/src/registration.rs
@@ -39,7 +39,7 @@
 ///
 /// An upstream that restarts has forgotten its requests: under its old name, its "unknown" would
 /// read as a proof that a request did not run.
-pub fn unique(name: &str) -> String {
+pub fn unique_id(name: &str) -> String {
     format!("{name}.{:08x}", rand::random::<u32>())
 }
 
--- a/crates/stub/src/runs.rs
+++ b/crates/stub/src/scheduler.rs
@@ -14,7 +14,7 @@
 /// How far a request is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Stage {
+pub enum RequestState {
     /// It waits for a slot.
     Waiting,
     /// It runs.
@@ -27,46 +27,46 @@
 
 /// One request.
 #[derive(Clone, Debug, Serialize)]
-pub struct Run {
+pub struct Request {
     /// The request's id.
-    pub request: String,
+    pub id: String,
     /// The customer.
     pub customer: String,
     /// Prompt tokens, served once the prompt is read.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Tokens that it will produce.
-    pub target: u64,
+    pub target_tokens: u64,
     /// Tokens that it has produced.
-    pub produced: u64,
+    pub completion_tokens: u64,
     /// Prompt tokens that are still to be read.
-    pub unread: u64,
+    pub remaining_prefill: u64,
     /// Prompt tokens that the cache saved.
-    pub cached: u64,
+    pub cached_tokens: u64,
     /// 9 first.
     pub priority: u8,
     /// How far it is.
-    pub stage: Stage,
+    pub state: RequestState,
 }
 
-impl Run {
+impl Request {
     /// Returns the tokens that the engine counts as served.
-    pub fn served(&self) -> u64 {
-        if self.stage == Stage::Waiting || self.unread > 0 {
+    pub fn served_tokens(&self) -> u64 {
+        if self.state == RequestState::Waiting || self.remaining_prefill > 0 {
             return 0;
         }
-        self.prompt + self.produced
+        self.prompt_tokens + self.completion_tokens
     }
 
     /// Returns whether nothing more will come.
     pub fn has_ended(&self) -> bool {
-        matches!(self.stage, Stage::Done | Stage::Cancelled)
+        matches!(self.state, RequestState::Done | RequestState::Cancelled)
     }
 }
 
 /// All requests of one engine.
 #[derive(Debug, Default)]
-pub struct Runs {
-    all: BTreeMap<String, Run>,
+pub struct Scheduler {
+    all: BTreeMap<String, Request>,
     order: Vec<String>,
     running: Vec<String>,
     waiting: Vec<String>,
@@ -76,7 +76,7 @@
 
 /// What became of a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Begin {
+pub enum SubmitResult {
     /// It is new.
     New,
     /// It is known: the caller may read it from an offset.
@@ -85,42 +85,42 @@
     Cancelled,
 }
 
-impl Runs {
+impl Scheduler {
     /// Takes a request.
-    pub fn begin(&mut self, run: Run, prefix: u64) -> Begin {
-        if self.cancelled_early.contains(&run.request) {
-            return Begin::Cancelled;
+    pub fn submit(&mut self, request: Request, prefix_hash: u64) -> SubmitResult {
+        if self.cancelled_early.contains(&request.id) {
+            return SubmitResult::Cancelled;
         }
-        if self.all.contains_key(&run.request) {
-            return Begin::Known;
+        if self.all.contains_key(&request.id) {
+            return SubmitResult::Known;
         }
-        let mut run = run;
-        if self.cache.contains(&prefix) {
-            run.cached = run.prompt / BLOCK * BLOCK;
+        let mut request = request;
+        if self.cache.contains(&prefix_hash) {
+            request.cached_tokens = request.prompt_tokens / BLOCK * BLOCK;
         } else {
-            self.cache.push_back(prefix);
+            self.cache.push_back(prefix_hash);
             if self.cache.len() > CACHE_MOST {
                 self.cache.pop_front();
             }
         }
-        run.unread = (run.prompt - run.cached).max(1);
-        self.waiting.push(run.request.clone());
-        self.order.push(run.request.clone());
-        self.all.insert(run.request.clone(), run);
-        Begin::New
+        request.remaining_prefill = (request.prompt_tokens - request.cached_tokens).max(1);
+        self.waiting.push(request.id.clone());
+        self.order.push(request.id.clone());
+        self.all.insert(request.id.clone(), request);
+        SubmitResult::New
     }
 
     /// Does one step of the batch.
     pub fn step(&mut self, slots: usize) {
         while self.running.len() < slots && !self.waiting.is_empty() {
             let request = self.next_waiting();
-            self.run_mut(&request).stage = Stage::Running;
+            self.run_mut(&request).state = RequestState::Running;
             self.running.push(request);
         }
         for request in std::mem::take(&mut self.running) {
             let run = self.run_mut(&request);
             advance(run);
-            if run.stage == Stage::Running {
+            if run.state == RequestState::Running {
                 self.running.push(request);
             }
         }
@@ -133,12 +133,12 @@
         self.waiting.remove(at.unwrap_or(0))
     }
 
-    fn run_mut(&mut self, request: &str) -> &mut Run {
+    fn run_mut(&mut self, request: &str) -> &mut Request {
         self.all.get_mut(request).expect("listed requests are kept")
     }
 
     /// Cancels a request; one that never came will be refused when it does.
-    pub fn cancel(&mut self, request: &str) -> Option<Run> {
+    pub fn cancel(&mut self, request: &str) -> Option<Request> {
         self.waiting.retain(|r| r != request);
         self.running.retain(|r| r != request);
         let Some(run) = self.all.get_mut(request) else {
@@ -146,18 +146,18 @@
             return None;
         };
         if !run.has_ended() {
-            run.stage = Stage::Cancelled;
+            run.state = RequestState::Cancelled;
         }
         Some(run.clone())
     }
 
     /// Returns a request.
-    pub fn get(&self, request: &str) -> Option<&Run> {
+    pub fn get(&self, request: &str) -> Option<&Request> {
         self.all.get(request)
     }
 
     /// Returns all requests in the order in which they came.
-    pub fn list(&self) -> Vec<&Run> {
+    pub fn list(&self) -> Vec<&Request> {
         self.order.iter().map(|r| &self.all[r]).collect()
     }
 
@@ -167,13 +167,13 @@
     }
 }
 
-fn advance(run: &mut Run) {
-    if run.unread > 0 {
-        run.unread = run.unread.saturating_sub(PREFILL_PER_STEP);
+fn advance(run: &mut Request) {
+    if run.remaining_prefill > 0 {
+        run.remaining_prefill = run.remaining_prefill.saturating_sub(PREFILL_PER_STEP);
         return;
     }
-    run.produced += 1;
-    if run.produced >= run.target {
-        run.stage = Stage::Done;
+    run.completion_tokens += 1;
+    if run.completion_tokens >= run.target_tokens {
+        run.state = RequestState::Done;
     }
 }
--- a/crates/stub/src/service.rs
+++ b/crates/stub/src/service.rs
@@ -9,13 +9,13 @@
 use tokio::sync::watch;
 use web::{Req, Res};
 
-use crate::lister;
+use crate::registration;
 
 const BODY_LIMIT: usize = 16 << 20;
 
 /// How a stand-in is set up.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct Options {
     /// Its address.
     pub addr: SocketAddr,
     /// Its name in the instance list.
@@ -51,20 +51,20 @@
 }
 
 /// A running stand-in.
-pub struct Service {
-    setup: Setup,
+pub struct StubService {
+    setup: Options,
     runs: Mutex<Vec<Run>>,
     faults: Mutex<Faults>,
 }
 
-impl Service {
+impl StubService {
     /// Binds the stand-in.
     ///
     /// # Errors
     ///
     /// Returns why the address can't be bound.
-    pub async fn bind(setup: Setup) -> Result<web::Handle, String> {
-        let service = Arc::new(Service {
+    pub async fn bind(setup: Options) -> Result<web::Handle, String> {
+        let service = Arc::new(StubService {
             runs: Mutex::default(),
             faults: Mutex::default(),
             setup,
@@ -72,7 +72,7 @@
         let setup = &service.setup;
         let handle = web::bind(setup.addr, BODY_LIMIT, Arc::clone(&service)).await?;
         let value = json!({
-            "id": lister::unique(&setup.name),
+            "id": registration::unique_id(&setup.name),
             "kind": "service",
             "url": format!("http://{}", handle.addr()),
             "zone": setup.zone,
@@ -81,7 +81,7 @@
         if let Some(platform) = setup.platform.clone() {
             let key = format!("/instances/service/{}", setup.name);
             let (tx, rx) = watch::channel(value);
-            lister::spawn(&platform, key, rx);
+            registration::spawn(&platform, key, rx);
             // The list entry does not change, but its channel must stay open.
             std::mem::forget(tx);
         }
@@ -131,7 +131,7 @@
     }
 }
 
-impl web::Service for Service {
+impl web::Service for StubService {
     async fn call(self: Arc<Self>, req: Req) -> Res {
         match req.segments().as_slice() {
             ["fault"] => self.set_faults(&req),
--- a/crates/stub/src/store.rs
+++ b/crates/stub/src/store.rs
@@ -46,7 +46,13 @@
     }
 
     /// Writes a key if its revision is still the given one; 0 means absent.
-    pub fn swap(&mut self, key: &[u8], revision: i64, value: Vec<u8>, lease: i64) -> bool {
+    pub fn compare_and_swap(
+        &mut self,
+        key: &[u8],
+        revision: i64,
+        value: Vec<u8>,
+        lease: i64,
+    ) -> bool {
         let current = self.keys.get(key).map_or(0, |e| e.revision);
         if current != revision {
             return false;
@@ -67,7 +73,7 @@
     }
 
     /// Makes a lease.
-    pub fn grant(&mut self, now: u64, ttl_ms: u64) -> i64 {
+    pub fn grant_lease(&mut self, now: u64, ttl_ms: u64) -> i64 {
         self.next_lease += 1;
         let ends_at = now + ttl_ms;
         self.leases
@@ -85,7 +91,7 @@
     }
 
     /// Drops the leases that have ended, with their keys; returns whether a key went.
-    pub fn expire(&mut self, now: u64) -> bool {
+    pub fn expire_leases(&mut self, now: u64) -> bool {
         let leases = &mut self.leases;
         leases.retain(|_, l| l.ends_at > now);
         let before = self.keys.len();
