--- a/crates/stub/src/engine.rs
+++ b/crates/stub/src/engine.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a model engine: continuous batching behind the OpenAI HTTP API.
+//! Stub of a model engine: continuous batching behind the OpenAI HTTP API.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,72 +12,77 @@
 use crate::registration;
 use crate::scheduler::{Request, RequestState, Scheduler, SubmitResult};
 
-const BODY_LIMIT: usize = 64 << 20;
-/// Bytes of text that one token stands for.
+const MAX_BODY_BYTES: usize = 64 << 20;
+/// Number of bytes of text that are counted as one token.
 const BYTES_PER_TOKEN: u64 = 4;
-/// Tokens that each message costs besides its text.
-const MESSAGE_TOKENS: u64 = 4;
-/// Bytes of the first message by which the cache tells prefixes apart.
+/// Number of tokens that a message counts in addition to its text.
+const TOKENS_PER_MESSAGE: u64 = 4;
+/// Number of leading bytes of the first message by which the prefix cache tells prompts apart.
 const PREFIX_BYTES: usize = 256;
 
-/// How a stand-in is set up.
+/// Options of a stub engine.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its address.
+    /// Address to listen on.
     pub addr: SocketAddr,
-    /// Its name in the instance list.
+    /// Name in the instance list.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// The models that it serves.
+    /// Models that it serves.
     pub models: Vec<String>,
-    /// The time of one step, in milliseconds.
+    /// Duration of one step, in milliseconds.
     pub step_ms: u64,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that run at the same time.
     pub slots: usize,
-    /// The platform whose instance list it is in.
+    /// URL of the platform's key-value store, which has the instance list. Without it, the engine
+    /// is not registered.
     pub platform: Option<String>,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether version orders with an outdated fencing number are rejected.
     pub enforce_fencing: bool,
 }
 
-/// The switches for faults.
+/// Faults that the stub injects. The field names are those of the JSON object that is posted to
+/// `/fault`.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every stream's link is cut once after this many tokens; the request goes on.
+    /// The stream of each request is cut once, after this many tokens; the request keeps running.
     pub cut_after: Option<u64>,
-    /// New requests are refused as not run.
+    /// New requests are rejected as not run.
     pub refuse: bool,
-    /// No new work is taken.
+    /// New requests are rejected as not run, and the load report says that the engine is draining.
     pub draining: bool,
-    /// This many tokens more are served than asked for.
+    /// Number of tokens that are produced beyond the requested length.
     pub excess: u64,
-    /// The stand-in shows itself as leaving in the instance list.
+    /// The entry in the instance list says that the engine is leaving.
     pub list_leaving: bool,
 }
 
-/// A model as an order left it.
+/// The last accepted order for a model.
 #[derive(Clone, Debug, Default, Serialize)]
-struct Loaded {
+struct LoadedVersion {
     version: String,
     fence: u64,
 }
 
-struct Inner {
-    runs: Scheduler,
+struct State {
+    scheduler: Scheduler,
     faults: Faults,
+    /// Ids of the requests whose stream was cut.
     cut: Vec<String>,
-    versions: std::collections::BTreeMap<String, Loaded>,
+    versions: std::collections::BTreeMap<String, LoadedVersion>,
 }
 
-/// A running stand-in.
+/// A running stub engine.
 pub struct StubEngine {
-    setup: Options,
+    options: Options,
     id: String,
-    inner: Mutex<Inner>,
-    stepped: watch::Sender<u64>,
-    listed: watch::Sender<Value>,
+    state: Mutex<State>,
+    /// Number of steps and cancellations so far; its changes wake the streams.
+    progress: watch::Sender<u64>,
+    /// The entry in the instance list.
+    list_entry: watch::Sender<Value>,
     url: std::sync::OnceLock<String>,
 }
 
@@ -87,6 +92,7 @@
     content: Value,
 }
 
+/// The body of a chat completion request.
 #[derive(Debug, Deserialize)]
 struct Chat {
     model: String,
@@ -95,50 +101,50 @@
 }
 
 impl StubEngine {
-    /// Binds the stand-in.
+    /// Binds the stub to its address and registers it in the instance list.
     ///
     /// # Errors
     ///
     /// Returns why the address can't be bound.
-    pub async fn bind(setup: Options) -> Result<web::Handle, String> {
-        let inner = Inner {
-            runs: Scheduler::default(),
+    pub async fn bind(options: Options) -> Result<web::Handle, String> {
+        let state = State {
+            scheduler: Scheduler::default(),
             faults: Faults::default(),
             cut: Vec::new(),
             versions: Default::default(),
         };
         let engine = Arc::new(StubEngine {
-            inner: Mutex::new(inner),
-            stepped: watch::channel(0).0,
-            listed: watch::channel(Value::Null).0,
+            state: Mutex::new(state),
+            progress: watch::channel(0).0,
+            list_entry: watch::channel(Value::Null).0,
             url: std::sync::OnceLock::new(),
-            id: registration::unique_id(&setup.name),
-            setup,
+            id: registration::unique_id(&options.name),
+            options,
         });
-        let handle = web::bind(engine.setup.addr, BODY_LIMIT, Arc::clone(&engine)).await?;
+        let handle = web::bind(engine.options.addr, MAX_BODY_BYTES, Arc::clone(&engine)).await?;
         let _ = engine.url.set(format!("http://{}", handle.addr()));
-        engine.relist();
-        if let Some(platform) = &engine.setup.platform {
-            let key = format!("/instances/engine/{}", engine.setup.name);
-            registration::spawn(platform, key, engine.listed.subscribe());
+        engine.update_list_entry();
+        if let Some(platform) = &engine.options.platform {
+            let key = format!("/instances/engine/{}", engine.options.name);
+            registration::spawn(platform, key, engine.list_entry.subscribe());
         }
-        tokio::spawn(steps(engine));
+        tokio::spawn(run_steps(engine));
         Ok(handle)
     }
 
-    fn relist(&self) {
+    fn update_list_entry(&self) {
         let leaving = self
-            .inner
+            .state
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .faults
             .list_leaving;
-        self.listed.send_replace(json!({
+        self.list_entry.send_replace(json!({
             "id": self.id,
             "kind": "engine",
             "url": self.url.get(),
-            "zone": self.setup.zone,
-            "serves": self.setup.models,
+            "zone": self.options.zone,
+            "serves": self.options.models,
             "leaving": leaving,
         }));
     }
@@ -146,48 +152,49 @@
     fn chat(self: &Arc<Self>, req: &Req) -> Res {
         let chat: Chat = match req.json() {
             Ok(chat) => chat,
-            Err(e) => return fault(400, &e),
+            Err(e) => return error_response(400, &e),
         };
-        let Some(request) = req.header("x-request-id").map(str::to_string) else {
-            return fault(400, "x-request-id is missing");
+        let Some(id) = req.header("x-request-id").map(str::to_string) else {
+            return error_response(400, "x-request-id is missing");
         };
         let from = req.header("x-resume-from").and_then(|n| n.parse().ok());
-        let run = self.run(&request, &chat, req);
-        let mut inner = self.inner.lock().expect("no panic inside");
-        let known = inner.runs.get(&request).is_some();
-        if !known && (inner.faults.refuse || inner.faults.draining) {
-            return fault(503, "draining").with("x-not-run", "1");
+        let request = self.new_request(&id, &chat, req);
+        let mut state = self.state.lock().expect("lock not poisoned");
+        let known = state.scheduler.get(&id).is_some();
+        if !known && (state.faults.refuse || state.faults.draining) {
+            return error_response(503, "draining").with("x-not-run", "1");
         }
-        if !known && !self.setup.models.contains(&chat.model) {
-            return fault(404, "no such model").with("x-not-run", "1");
+        if !known && !self.options.models.contains(&chat.model) {
+            return error_response(404, "no such model").with("x-not-run", "1");
         }
         if !known && from.is_some() {
-            return fault(404, "no such request").with("x-not-run", "1");
+            return error_response(404, "no such request").with("x-not-run", "1");
         }
-        if inner
-            .runs
-            .get(&request)
+        if state
+            .scheduler
+            .get(&id)
             .is_some_and(|r| r.state == RequestState::Cancelled)
         {
-            return fault(410, "cancelled");
+            return error_response(410, "cancelled");
         }
-        let prefix = prefix(&chat);
-        if inner.runs.submit(run, prefix) == SubmitResult::Cancelled {
-            return fault(409, "cancelled").with("x-not-run", "1");
+        let prefix_hash = prefix_hash(&chat);
+        if state.scheduler.submit(request, prefix_hash) == SubmitResult::Cancelled {
+            return error_response(409, "cancelled").with("x-not-run", "1");
         }
-        drop(inner);
+        drop(state);
         let (tx, res) = Res::events();
-        tokio::spawn(stream(Arc::clone(self), request, from.unwrap_or(0), tx));
+        tokio::spawn(stream_tokens(Arc::clone(self), id, from.unwrap_or(0), tx));
         res
     }
 
-    fn run(&self, request: &str, chat: &Chat, req: &Req) -> Request {
-        let excess = self.inner.lock().expect("no panic inside").faults.excess;
-        let most = chat.max_tokens.unwrap_or(16);
-        let text: String = chat.messages.iter().map(text).collect();
-        let target = wanted_length(&text).unwrap_or(most).min(most) + excess;
+    fn new_request(&self, id: &str, chat: &Chat, req: &Req) -> Request {
+        let excess = self.state.lock().expect("lock not poisoned").faults.excess;
+        let max_tokens = chat.max_tokens.unwrap_or(16);
+        let text: String = chat.messages.iter().map(message_text).collect();
+        let length = requested_length(&text).unwrap_or(max_tokens);
+        let target = length.min(max_tokens) + excess;
         Request {
-            id: request.to_string(),
+            id: id.to_string(),
             customer: req.header("x-customer").unwrap_or_default().to_string(),
             prompt_tokens: prompt_tokens(&chat.messages),
             target_tokens: target.max(1),
@@ -202,64 +209,64 @@
         }
     }
 
-    fn cancel(&self, request: &str) -> Res {
-        let run = self
-            .inner
+    fn cancel(&self, id: &str) -> Res {
+        let request = self
+            .state
             .lock()
-            .expect("no panic inside")
-            .runs
-            .cancel(request);
-        self.stepped.send_modify(|n| *n += 1);
-        Res::json(200, &usage(run.as_ref()))
+            .expect("lock not poisoned")
+            .scheduler
+            .cancel(id);
+        self.progress.send_modify(|n| *n += 1);
+        Res::json(200, &usage(request.as_ref()))
     }
 
-    fn find(&self, request: &str) -> Res {
-        let inner = self.inner.lock().expect("no panic inside");
-        Res::json(200, &usage(inner.runs.get(request)))
+    fn request_usage(&self, id: &str) -> Res {
+        let state = self.state.lock().expect("lock not poisoned");
+        Res::json(200, &usage(state.scheduler.get(id)))
     }
 
-    fn get(&self, request: &str) -> Option<Request> {
-        let inner = self.inner.lock().expect("no panic inside");
-        inner.runs.get(request).cloned()
+    fn request(&self, id: &str) -> Option<Request> {
+        let state = self.state.lock().expect("lock not poisoned");
+        state.scheduler.get(id).cloned()
     }
 
     fn load(&self) -> Res {
-        let inner = self.inner.lock().expect("no panic inside");
-        let (running, waiting) = inner.runs.counts();
+        let state = self.state.lock().expect("lock not poisoned");
+        let (running, waiting) = state.scheduler.counts();
         Res::json(
             200,
             &json!({
-                "slots": self.setup.slots,
+                "slots": self.options.slots,
                 "running": running,
                 "waiting": waiting,
-                "draining": inner.faults.draining,
-                "versions": inner.versions,
+                "draining": state.faults.draining,
+                "versions": state.versions,
             }),
         )
     }
 
     fn ledger(&self) -> Res {
-        let inner = self.inner.lock().expect("no panic inside");
+        let state = self.state.lock().expect("lock not poisoned");
         let row = |r: &Request| {
             json!({
                 "request": r.id, "customer": r.customer, "served": r.served_tokens(),
                 "prompt": r.prompt_tokens, "cached": r.cached_tokens, "stage": r.state,
             })
         };
-        let rows: Vec<Value> = inner.runs.list().into_iter().map(row).collect();
-        Res::json(200, &json!({"name": self.setup.name, "runs": rows}))
+        let rows: Vec<Value> = state.scheduler.list().into_iter().map(row).collect();
+        Res::json(200, &json!({"name": self.options.name, "runs": rows}))
     }
 
-    /// Takes an order to serve a version of a model.
+    /// Handles an order to serve a version of a model.
     fn order(&self, req: &Req) -> Res {
         let order: Order = match req.json() {
             Ok(order) => order,
-            Err(e) => return fault(400, &e),
+            Err(e) => return error_response(400, &e),
         };
-        let mut inner = self.inner.lock().expect("no panic inside");
-        let loaded = inner.versions.entry(order.model).or_default();
-        if self.setup.enforce_fencing && order.fence < loaded.fence {
-            return fault(409, "an older fencing number");
+        let mut state = self.state.lock().expect("lock not poisoned");
+        let loaded = state.versions.entry(order.model).or_default();
+        if self.options.enforce_fencing && order.fence < loaded.fence {
+            return error_response(409, "an older fencing number");
         }
         loaded.version = order.version;
         loaded.fence = order.fence;
@@ -269,30 +276,32 @@
     fn set_faults(&self, req: &Req) -> Res {
         let faults: Faults = match req.json() {
             Ok(faults) => faults,
-            Err(e) => return fault(400, &e),
+            Err(e) => return error_response(400, &e),
         };
-        self.inner.lock().expect("no panic inside").faults = faults;
-        self.relist();
+        self.state.lock().expect("lock not poisoned").faults = faults;
+        self.update_list_entry();
         Res::json(200, &faults)
     }
 
-    /// Returns whether a stream's link is to be cut now.
-    fn cuts(&self, request: &str, at: u64) -> bool {
-        let mut inner = self.inner.lock().expect("no panic inside");
-        let due = inner.faults.cut_after.is_some_and(|n| at >= n);
-        if !due || inner.cut.iter().any(|r| r == request) {
+    /// Returns whether a request's stream is to be cut at this position, and records that it was.
+    fn take_cut(&self, id: &str, position: u64) -> bool {
+        let mut state = self.state.lock().expect("lock not poisoned");
+        let due = state.faults.cut_after.is_some_and(|n| position >= n);
+        if !due || state.cut.iter().any(|r| r == id) {
             return false;
         }
-        inner.cut.push(request.to_string());
+        state.cut.push(id.to_string());
         true
     }
 }
 
+/// An order to serve a version of a model.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Order {
     model: String,
     version: String,
+    /// Fencing number.
     fence: u64,
 }
 
@@ -301,74 +310,78 @@
         match (req.method.as_str(), req.segments().as_slice()) {
             ("POST", ["v1", "chat", "completions"]) => self.chat(&req),
             ("POST", ["v1", "requests", id, "cancel"]) => self.cancel(id),
-            ("GET", ["v1", "requests", id]) => self.find(id),
+            ("GET", ["v1", "requests", id]) => self.request_usage(id),
             ("POST", ["tokenize"]) => tokenize(&req),
             ("GET", ["load"]) => self.load(),
             ("GET", ["ledger"]) => self.ledger(),
             ("POST", ["orders"]) => self.order(&req),
             ("POST", ["fault"]) => self.set_faults(&req),
-            _ => fault(404, "not found"),
+            _ => error_response(404, "not found"),
         }
     }
 }
 
-async fn steps(engine: Arc<StubEngine>) {
-    let mut every = tokio::time::interval(Duration::from_millis(engine.setup.step_ms.max(1)));
+async fn run_steps(engine: Arc<StubEngine>) {
+    let step = Duration::from_millis(engine.options.step_ms.max(1));
+    let mut interval = tokio::time::interval(step);
     loop {
-        every.tick().await;
-        let mut inner = engine.inner.lock().expect("no panic inside");
-        inner.runs.step(engine.setup.slots);
-        drop(inner);
-        engine.stepped.send_modify(|n| *n += 1);
+        interval.tick().await;
+        let mut state = engine.state.lock().expect("lock not poisoned");
+        state.scheduler.step(engine.options.slots);
+        drop(state);
+        engine.progress.send_modify(|n| *n += 1);
     }
 }
 
-/// Sends a request's tokens from an offset on, as they are produced.
-async fn stream(
+/// Sends the tokens of a request from a position on, as they are produced.
+async fn stream_tokens(
     engine: Arc<StubEngine>,
-    request: String,
+    id: String,
     from: u64,
     tx: mpsc::Sender<bytes::Bytes>,
 ) {
-    let mut stepped = engine.stepped.subscribe();
-    let mut at = from;
+    let mut progress = engine.progress.subscribe();
+    let mut position = from;
     loop {
-        let Some(run) = engine.get(&request) else {
+        let Some(request) = engine.request(&id) else {
             return;
         };
-        while at < run.completion_tokens {
-            if engine.cuts(&request, at) {
+        while position < request.completion_tokens {
+            if engine.take_cut(&id, position) {
                 return;
             }
-            if tx.send(web::event(&token(&request, at))).await.is_err() {
+            let event = web::event(&token_event(&id, position));
+            if tx.send(event).await.is_err() {
                 return;
             }
-            at += 1;
+            position += 1;
         }
-        if run.has_ended() {
-            end(&run, &tx).await;
+        if request.has_ended() {
+            send_end(&request, &tx).await;
             return;
         }
-        if stepped.changed().await.is_err() || tx.is_closed() {
+        if progress.changed().await.is_err() || tx.is_closed() {
             return;
         }
     }
 }
 
-async fn end(run: &Request, tx: &mpsc::Sender<bytes::Bytes>) {
-    if run.state == RequestState::Cancelled {
+/// Sends the events that end a complete stream; the stream of a cancelled request ends without
+/// them.
+async fn send_end(request: &Request, tx: &mpsc::Sender<bytes::Bytes>) {
+    if request.state == RequestState::Cancelled {
         return;
     }
     let last = json!({
-        "id": run.id, "object": "chat.completion.chunk",
+        "id": request.id, "object": "chat.completion.chunk",
         "choices": [{"index": 0, "delta": {}, "finish_reason": "stop"}],
     });
     let usage = json!({
-        "id": run.id, "object": "chat.completion.chunk", "choices": [],
+        "id": request.id, "object": "chat.completion.chunk", "choices": [],
         "usage": {
-            "prompt_tokens": run.prompt_tokens,
-            "completion_tokens": run.completion_tokens,
-            "total_tokens": run.prompt_tokens + run.completion_tokens,
+            "prompt_tokens": request.prompt_tokens,
+            "completion_tokens": request.completion_tokens,
+            "total_tokens": request.prompt_tokens + request.completion_tokens,
         },
     });
     let _ = tx.send(web::event(&last)).await;
@@ -376,31 +389,32 @@
     let _ = tx.send("data: [DONE]\n\n".into()).await;
 }
 
-/// Each token names its request and its position, so that a mix-up shows.
-fn token(request: &str, at: u64) -> Value {
+/// Returns the event of one token. Its content names the request and the position, so that tests
+/// detect tokens that were lost, repeated or mixed up between requests.
+fn token_event(id: &str, position: u64) -> Value {
     json!({
-        "id": request, "object": "chat.completion.chunk", "position": at,
-        "choices": [{"index": 0, "delta": {"content": format!("{request}:{at} ")}}],
+        "id": id, "object": "chat.completion.chunk", "position": position,
+        "choices": [{"index": 0, "delta": {"content": format!("{id}:{position} ")}}],
     })
 }
 
-fn usage(run: Option<&Request>) -> Value {
-    match run {
+fn usage(request: Option<&Request>) -> Value {
+    match request {
         None => json!({"known": false, "refused_from_now": true}),
-        Some(run) => json!({
+        Some(request) => json!({
             "known": true,
-            "ended": run.has_ended(),
-            "total_tokens": run.served_tokens(),
-            "completion_tokens": run.completion_tokens,
+            "ended": request.has_ended(),
+            "total_tokens": request.served_tokens(),
+            "completion_tokens": request.completion_tokens,
         }),
     }
 }
 
-fn fault(status: u16, message: &str) -> Res {
+fn error_response(status: u16, message: &str) -> Res {
     Res::json(status, &json!({"error": {"message": message}}))
 }
 
-fn text(message: &Message) -> String {
+fn message_text(message: &Message) -> String {
     match &message.content {
         Value::String(s) => s.clone(),
         other => other.to_string(),
@@ -411,24 +425,26 @@
 fn tokenize(req: &Req) -> Res {
     match req.json::<Chat>() {
         Ok(chat) => Res::json(200, &json!({"tokens": prompt_tokens(&chat.messages)})),
-        Err(e) => fault(400, &e),
+        Err(e) => error_response(400, &e),
     }
 }
 
 fn prompt_tokens(messages: &[Message]) -> u64 {
-    let cost = |m: &Message| (text(m).len() as u64).div_ceil(BYTES_PER_TOKEN) + MESSAGE_TOKENS;
+    let cost =
+        |m: &Message| (message_text(m).len() as u64).div_ceil(BYTES_PER_TOKEN) + TOKENS_PER_MESSAGE;
     messages.iter().map(cost).sum()
 }
 
-/// A prompt may say how long the answer is, as `len=20`.
-fn wanted_length(text: &str) -> Option<u64> {
+/// Returns the response length that a prompt asks for, as in `len=20`.
+fn requested_length(text: &str) -> Option<u64> {
     let (_, rest) = text.split_once("len=")?;
     let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
     digits.parse().ok()
 }
 
-fn prefix(chat: &Chat) -> u64 {
-    let first = chat.messages.first().map(text).unwrap_or_default();
+/// Returns the FNV-1a hash of the first bytes of the prompt.
+fn prefix_hash(chat: &Chat) -> u64 {
+    let first = chat.messages.first().map(message_text).unwrap_or_default();
     let bytes = &first.as_bytes()[..first.len().min(PREFIX_BYTES)];
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |hash, b| {
         (hash ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/stub/src/lib.rs
+++ b/crates/stub/src/lib.rs
@@ -1,6 +1,8 @@
-//! Small stand-ins for the platform, the engines and plain services.
+//! Stubs of the platform's key-value store, of model engines and of plain services, for development
+//! and tests.
 //!
-//! Each keeps its own ledger, which proofs read, and has switches for its faults.
+//! Each stub keeps its own account of the calls that it executed, which tests and benchmarks read at
+//! `/ledger`. It injects the faults that are posted to `/fault`.
 
 pub mod engine;
 pub mod platform;
--- a/crates/stub/src/platform.rs
+++ b/crates/stub/src/platform.rs
@@ -1,4 +1,4 @@
-//! The stand-in for the platform's key-value service, in the etcd v3 JSON protocol.
+//! Stub of the platform's key-value store, with the etcd v3 JSON protocol.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,46 +13,49 @@
 
 use crate::store::{Entry, Store};
 
-const BODY_LIMIT: usize = 4 << 20;
-/// Changes kept for a watch that lags.
-const CHANGES_KEPT: usize = 1024;
-const EXPIRE_EVERY: Duration = Duration::from_millis(200);
+const MAX_BODY_BYTES: usize = 4 << 20;
+/// Number of changes that are buffered for a watch that lags behind.
+const CHANGE_BUFFER: usize = 1024;
+/// Interval at which expired leases are deleted.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The switches for faults.
+/// Faults that the stub injects. The field names are those of the JSON object that is posted to
+/// `/fault`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call is refused.
+    /// Every call gets a 503 response.
     pub down: bool,
-    /// Every call takes effect only after this time.
+    /// Delay before each call takes effect, in milliseconds.
     pub slow_ms: u64,
-    /// This many writes take effect without an answer.
+    /// Number of transactions that take effect but get a 504 response.
     pub lose_answers: u64,
-    /// Only writes of keys with this prefix lose their answers.
+    /// `lose_answers` applies only to transactions on keys with this prefix.
     pub lose_prefix: String,
-    /// Watches stay open and say nothing.
+    /// Watches stay open but report no changes.
     pub stall_watches: bool,
 }
 
-/// How many calls came.
+/// Numbers of executed calls.
 #[derive(Debug, Default)]
-struct Counts {
+struct CallCounts {
     reads: AtomicU64,
     writes: AtomicU64,
     watches: AtomicU64,
 }
 
-/// A running stand-in.
+/// A running stub of the platform's key-value store.
 pub struct StubPlatform {
     store: Mutex<Store>,
     faults: Mutex<Faults>,
-    counts: Counts,
+    counts: CallCounts,
     started: Instant,
+    /// The changed keys; an empty key stands for any number of keys.
     changed: broadcast::Sender<Vec<u8>>,
 }
 
 impl StubPlatform {
-    /// Binds the stand-in to an address.
+    /// Binds the stub to an address.
     ///
     /// # Errors
     ///
@@ -61,12 +64,12 @@
         let platform = Arc::new(StubPlatform {
             store: Mutex::default(),
             faults: Mutex::default(),
-            counts: Counts::default(),
+            counts: CallCounts::default(),
             started: Instant::now(),
-            changed: broadcast::channel(CHANGES_KEPT).0,
+            changed: broadcast::channel(CHANGE_BUFFER).0,
         });
-        tokio::spawn(expire(Arc::clone(&platform)));
-        web::bind(addr, BODY_LIMIT, platform).await
+        tokio::spawn(expire_leases(Arc::clone(&platform)));
+        web::bind(addr, MAX_BODY_BYTES, platform).await
     }
 
     fn now_ms(&self) -> u64 {
@@ -74,7 +77,7 @@
     }
 
     fn header(&self) -> Value {
-        json!({"revision": self.store.lock().expect("no panic inside").revision().to_string()})
+        json!({"revision": self.store.lock().expect("lock not poisoned").revision().to_string()})
     }
 
     fn range(&self, body: &Value) -> Value {
@@ -84,13 +87,14 @@
         let found = self
             .store
             .lock()
-            .expect("no panic inside")
+            .expect("lock not poisoned")
             .range(&key, &end);
         let count = found.len().to_string();
-        let kvs: Vec<Value> = found.iter().map(row).collect();
+        let kvs: Vec<Value> = found.iter().map(key_value_json).collect();
         json!({"header": self.header(), "kvs": kvs, "count": count})
     }
 
+    /// Runs a transaction that writes one key on condition of its revision.
     fn txn(&self, body: &Value) -> Value {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let compare = &body["compare"][0];
@@ -98,40 +102,41 @@
         let key = decode_base64(put["key"].as_str().unwrap_or_default());
         let value = decode_base64(put["value"].as_str().unwrap_or_default());
         let revision = parse_int(&compare["mod_revision"]);
-        let mut store = self.store.lock().expect("no panic inside");
+        let mut store = self.store.lock().expect("lock not poisoned");
         let succeeded = store.compare_and_swap(&key, revision, value, parse_int(&put["lease"]));
         let found = store.range(&key, &[]);
-        let now = store.revision();
+        let current_revision = store.revision();
         drop(store);
         if succeeded {
             let _ = self.changed.send(key);
         }
-        let header = json!({"revision": now.to_string()});
+        let header = json!({"revision": current_revision.to_string()});
         if succeeded {
             return json!({"header": header, "succeeded": true});
         }
-        let kvs: Vec<Value> = found.iter().map(row).collect();
+        let kvs: Vec<Value> = found.iter().map(key_value_json).collect();
         json!({"header": header, "responses": [{"response_range": {"kvs": kvs}}]})
     }
 
-    fn lease(&self, body: &Value) -> Value {
+    fn grant_lease(&self, body: &Value) -> Value {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
         let ttl = parse_int(&body["TTL"]).max(1) as u64;
-        let now = self.now_ms();
-        let mut store = self.store.lock().expect("no panic inside");
-        let id = store.grant_lease(now, ttl * 1000);
+        let now_ms = self.now_ms();
+        let mut store = self.store.lock().expect("lock not poisoned");
+        let id = store.grant_lease(now_ms, ttl * 1000);
         json!({"ID": id.to_string(), "TTL": ttl.to_string()})
     }
 
     fn keep_alive(&self, body: &Value) -> Value {
         self.counts.writes.fetch_add(1, Ordering::Relaxed);
-        let now = self.now_ms();
-        let mut store = self.store.lock().expect("no panic inside");
-        let ttl = store.keep_alive(now, parse_int(&body["ID"]));
+        let now_ms = self.now_ms();
+        let mut store = self.store.lock().expect("lock not poisoned");
+        let ttl = store.keep_alive(now_ms, parse_int(&body["ID"]));
         json!({"result": {"ID": body["ID"], "TTL": ttl.to_string()}})
     }
 
-    /// Streams a line for every change in a range; the client reads the range again.
+    /// Streams a line for each change in a range. It does not say what changed, so the client has to
+    /// read the range again.
     fn watch(self: &Arc<Self>, body: &Value) -> Res {
         let create = &body["create_request"];
         let from = decode_base64(create["key"].as_str().unwrap_or_default());
@@ -149,11 +154,10 @@
                     Err(RecvError::Lagged(_)) => Vec::new(),
                     Err(RecvError::Closed) => return,
                 };
-                // An expired lease may take any key with it.
-                let hit = key.is_empty() || (key >= from && key < end);
+                let in_range = key.is_empty() || (key >= from && key < end);
                 let stalled = platform.faults().stall_watches;
                 let line = "{\"result\":{\"events\":[{}]}}\n";
-                if hit && !stalled && tx.send(line.into()).await.is_err() {
+                if in_range && !stalled && tx.send(line.into()).await.is_err() {
                     return;
                 }
             }
@@ -162,7 +166,7 @@
     }
 
     fn faults(&self) -> Faults {
-        self.faults.lock().expect("no panic inside").clone()
+        self.faults.lock().expect("lock not poisoned").clone()
     }
 
     fn set_faults(&self, req: &Req) -> Res {
@@ -170,7 +174,7 @@
             Ok(faults) => {
                 self.faults
                     .lock()
-                    .expect("no panic inside")
+                    .expect("lock not poisoned")
                     .clone_from(&faults);
                 Res::json(200, &faults)
             }
@@ -190,16 +194,16 @@
         )
     }
 
-    /// Takes one of the writes whose answers are lost.
-    fn loses_answer(&self, body: &Value) -> bool {
+    /// Returns whether the response to a transaction is to be lost, and counts the fault down.
+    fn take_lost_response(&self, body: &Value) -> bool {
         let key = decode_base64(body["compare"][0]["key"].as_str().unwrap_or_default());
-        let mut faults = self.faults.lock().expect("no panic inside");
-        let loses = faults.lose_answers > 0 && key.starts_with(faults.lose_prefix.as_bytes());
-        faults.lose_answers -= u64::from(loses);
-        loses
+        let mut faults = self.faults.lock().expect("lock not poisoned");
+        let lost = faults.lose_answers > 0 && key.starts_with(faults.lose_prefix.as_bytes());
+        faults.lose_answers -= u64::from(lost);
+        lost
     }
 
-    async fn serve(self: Arc<Self>, req: Req) -> Res {
+    async fn handle(self: Arc<Self>, req: Req) -> Res {
         let faults = self.faults();
         if faults.down {
             return Res::json(503, &json!({"error": "down"}));
@@ -214,13 +218,13 @@
         match req.path.as_str() {
             "/v3/kv/range" => Res::json(200, &self.range(&body)),
             "/v3/kv/txn" => {
-                let answer = self.txn(&body);
-                if self.loses_answer(&body) {
+                let response = self.txn(&body);
+                if self.take_lost_response(&body) {
                     return Res::json(504, &json!({"error": "request timed out"}));
                 }
-                Res::json(200, &answer)
+                Res::json(200, &response)
             }
-            "/v3/lease/grant" => Res::json(200, &self.lease(&body)),
+            "/v3/lease/grant" => Res::json(200, &self.grant_lease(&body)),
             "/v3/lease/keepalive" => Res::json(200, &self.keep_alive(&body)),
             "/v3/watch" => self.watch(&body),
             _ => Res::json(404, &json!({"error": "not found"})),
@@ -234,9 +238,10 @@
             "/fault" => self.set_faults(&req),
             "/ledger" => self.ledger(),
             _ => {
-                // A slow call takes effect even when its client has hung up meanwhile.
-                let served = tokio::spawn(self.serve(req)).await;
-                served.unwrap_or_else(|_| Res {
+                // In a task of its own, so that a delayed call takes effect even if its client
+                // disconnects meanwhile.
+                let handled = tokio::spawn(self.handle(req)).await;
+                handled.unwrap_or_else(|_| Res {
                     status: 500,
                     headers: Vec::new(),
                     body: Body::Whole("fault".into()),
@@ -246,7 +251,7 @@
     }
 }
 
-fn row((key, entry): &(Vec<u8>, Entry)) -> Value {
+fn key_value_json((key, entry): &(Vec<u8>, Entry)) -> Value {
     json!({
         "key": encode_base64(key),
         "value": encode_base64(&entry.value),
@@ -255,13 +260,14 @@
     })
 }
 
-async fn expire(platform: Arc<StubPlatform>) {
-    let mut every = tokio::time::interval(EXPIRE_EVERY);
+async fn expire_leases(platform: Arc<StubPlatform>) {
+    let mut interval = tokio::time::interval(LEASE_CHECK_INTERVAL);
     loop {
-        every.tick().await;
-        let now = platform.now_ms();
-        let mut store = platform.store.lock().expect("no panic inside");
-        if store.expire_leases(now) {
+        interval.tick().await;
+        let now_ms = platform.now_ms();
+        let mut store = platform.store.lock().expect("lock not poisoned");
+        if store.expire_leases(now_ms) {
+            // Any keys may have expired with the leases.
             let _ = platform.changed.send(Vec::new());
         }
     }
--- a/crates/stub/src/registration.rs
+++ b/crates/stub/src/registration.rs
@@ -1,4 +1,4 @@
-//! Keeps an upstream's entry in the instance list.
+//! Registers upstreams in the instance list.
 
 use std::time::Duration;
 
@@ -6,44 +6,47 @@
 use serde_json::Value;
 use tokio::sync::watch;
 
-const TTL_SECS: u64 = 5;
-const EVERY: Duration = Duration::from_millis(1000);
+/// Lifetime of an entry without a renewal of its lease, in seconds.
+const LEASE_TTL_SECS: u64 = 5;
+const RENEW_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Lists an upstream under a key until the task ends; the value may change.
+/// Spawns a task that writes an upstream's entry to the instance list, renews its lease, and updates
+/// the entry when `value` changes.
 pub fn spawn(platform: &str, key: String, value: watch::Receiver<Value>) {
     let client = Client::open(platform);
     tokio::spawn(async move {
         let mut lease = None;
         let mut written = Value::Null;
         loop {
-            let wanted = value.borrow().clone();
-            let alive = match lease {
+            let current = value.borrow().clone();
+            let is_valid = match lease {
                 Some(id) => client.keep_alive(id).await.unwrap_or(true),
                 None => false,
             };
-            if !alive {
-                lease = client.create_lease(TTL_SECS).await.ok();
+            if !is_valid {
+                lease = client.create_lease(LEASE_TTL_SECS).await.ok();
                 written = Value::Null;
             }
-            if let (Some(id), true) = (lease, written != wanted) {
-                if put(&client, &key, &wanted, id).await {
-                    written = wanted;
+            if let (Some(id), true) = (lease, written != current) {
+                if put_entry(&client, &key, &current, id).await {
+                    written = current;
                 }
             }
-            tokio::time::sleep(EVERY).await;
+            tokio::time::sleep(RENEW_INTERVAL).await;
         }
     });
 }
 
-/// Returns a name that no other start of the same upstream has.
+/// Returns an id that is different for each start of an upstream.
 ///
-/// An upstream that restarts has forgotten its requests: under its old name, its "unknown" would
-/// read as a proof that a request did not run.
+/// An upstream that restarts has lost its requests. Under its previous id, its report that a request
+/// is unknown would be taken as proof that the request did not run.
 pub fn unique_id(name: &str) -> String {
     format!("{name}.{:08x}", rand::random::<u32>())
 }
 
-async fn put(client: &Client, key: &str, value: &Value, lease: i64) -> bool {
+/// Writes an entry; returns whether that succeeded.
+async fn put_entry(client: &Client, key: &str, value: &Value, lease: i64) -> bool {
     let Ok(found) = client.get(key).await else {
         return false;
     };
--- a/crates/stub/src/scheduler.rs
+++ b/crates/stub/src/scheduler.rs
@@ -1,55 +1,55 @@
-//! The engine stand-in's batch: requests that wait, run, and have ended.
+//! Scheduler of the stub engine: continuous batching of requests, with a cache of prompt prefixes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::Serialize;
 
-/// Prompt tokens worked off per step while a request starts.
+/// Maximum number of prompt tokens that one step prefills for a request.
 const PREFILL_PER_STEP: u64 = 512;
-/// Prompt tokens that a cached prefix saves are counted in blocks of this many.
-const BLOCK: u64 = 16;
-/// Prefixes kept in the cache.
-const CACHE_MOST: usize = 256;
+/// Cached prompt tokens are counted in whole blocks of this many tokens.
+const CACHE_BLOCK_TOKENS: u64 = 16;
+/// Maximum number of cached prefixes.
+const MAX_CACHED_PREFIXES: usize = 256;
 
-/// How far a request is.
+/// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RequestState {
-    /// It waits for a slot.
+    /// The request is queued for a slot.
     Waiting,
-    /// It runs.
+    /// The request occupies a slot.
     Running,
-    /// It has ended.
+    /// The request has produced all its tokens.
     Done,
-    /// It was cancelled.
+    /// The request was cancelled.
     Cancelled,
 }
 
-/// One request.
+/// A request that the engine has accepted.
 #[derive(Clone, Debug, Serialize)]
 pub struct Request {
-    /// The request's id.
+    /// Id of the request.
     pub id: String,
     /// The customer.
     pub customer: String,
-    /// Prompt tokens, served once the prompt is read.
+    /// Number of prompt tokens; they count as served once the prefill is complete.
     pub prompt_tokens: u64,
-    /// Tokens that it will produce.
+    /// Number of completion tokens after which the request is done.
     pub target_tokens: u64,
-    /// Tokens that it has produced.
+    /// Number of completion tokens produced so far.
     pub completion_tokens: u64,
-    /// Prompt tokens that are still to be read.
+    /// Number of prompt tokens that are still to be prefilled.
     pub remaining_prefill: u64,
-    /// Prompt tokens that the cache saved.
+    /// Number of prompt tokens that were in the prefix cache.
     pub cached_tokens: u64,
-    /// 9 first.
+    /// Priority; 9 is the highest.
     pub priority: u8,
-    /// How far it is.
+    /// State of the request.
     pub state: RequestState,
 }
 
 impl Request {
-    /// Returns the tokens that the engine counts as served.
+    /// Returns the number of tokens that the engine counts as served.
     pub fn served_tokens(&self) -> u64 {
         if self.state == RequestState::Waiting || self.remaining_prefill > 0 {
             return 0;
@@ -57,123 +57,137 @@
         self.prompt_tokens + self.completion_tokens
     }
 
-    /// Returns whether nothing more will come.
+    /// Returns whether the request will produce no more tokens.
     pub fn has_ended(&self) -> bool {
         matches!(self.state, RequestState::Done | RequestState::Cancelled)
     }
 }
 
-/// All requests of one engine.
+/// All requests of one engine, including those that have ended.
 #[derive(Debug, Default)]
 pub struct Scheduler {
-    all: BTreeMap<String, Request>,
-    order: Vec<String>,
+    requests: BTreeMap<String, Request>,
+    arrival_order: Vec<String>,
     running: Vec<String>,
     waiting: Vec<String>,
-    cancelled_early: BTreeSet<String>,
-    cache: VecDeque<u64>,
+    /// Ids that were cancelled before a request with the id arrived.
+    cancelled_in_advance: BTreeSet<String>,
+    /// Hashes of the cached prefixes, oldest first.
+    cached_prefixes: VecDeque<u64>,
 }
 
-/// What became of a new request.
+/// Result of submitting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitResult {
-    /// It is new.
+    /// The request was queued.
     New,
-    /// It is known: the caller may read it from an offset.
+    /// A request with this id exists: its output may be read from any position.
     Known,
-    /// It was cancelled before it came.
+    /// The id was cancelled before the request arrived.
     Cancelled,
 }
 
 impl Scheduler {
-    /// Takes a request.
+    /// Queues a request, unless one with its id exists or the id was cancelled in advance.
+    ///
+    /// If the prefix is cached, all whole blocks of the prompt count as cached.
     pub fn submit(&mut self, request: Request, prefix_hash: u64) -> SubmitResult {
-        if self.cancelled_early.contains(&request.id) {
+        if self.cancelled_in_advance.contains(&request.id) {
             return SubmitResult::Cancelled;
         }
-        if self.all.contains_key(&request.id) {
+        if self.requests.contains_key(&request.id) {
             return SubmitResult::Known;
         }
         let mut request = request;
-        if self.cache.contains(&prefix_hash) {
-            request.cached_tokens = request.prompt_tokens / BLOCK * BLOCK;
+        if self.cached_prefixes.contains(&prefix_hash) {
+            request.cached_tokens = request.prompt_tokens / CACHE_BLOCK_TOKENS * CACHE_BLOCK_TOKENS;
         } else {
-            self.cache.push_back(prefix_hash);
-            if self.cache.len() > CACHE_MOST {
-                self.cache.pop_front();
+            self.cached_prefixes.push_back(prefix_hash);
+            if self.cached_prefixes.len() > MAX_CACHED_PREFIXES {
+                self.cached_prefixes.pop_front();
             }
         }
         request.remaining_prefill = (request.prompt_tokens - request.cached_tokens).max(1);
         self.waiting.push(request.id.clone());
-        self.order.push(request.id.clone());
-        self.all.insert(request.id.clone(), request);
+        self.arrival_order.push(request.id.clone());
+        self.requests.insert(request.id.clone(), request);
         SubmitResult::New
     }
 
-    /// Does one step of the batch.
+    /// Fills the free slots with waiting requests and runs one step of all running requests.
     pub fn step(&mut self, slots: usize) {
         while self.running.len() < slots && !self.waiting.is_empty() {
-            let request = self.next_waiting();
-            self.run_mut(&request).state = RequestState::Running;
-            self.running.push(request);
+            let id = self.take_next_waiting();
+            self.request_mut(&id).state = RequestState::Running;
+            self.running.push(id);
         }
-        for request in std::mem::take(&mut self.running) {
-            let run = self.run_mut(&request);
-            advance(run);
-            if run.state == RequestState::Running {
-                self.running.push(request);
+        for id in std::mem::take(&mut self.running) {
+            let request = self.request_mut(&id);
+            advance(request);
+            if request.state == RequestState::Running {
+                self.running.push(id);
             }
         }
     }
 
-    fn next_waiting(&mut self) -> String {
-        let priority = |r: &String| self.all[r].priority;
-        let first = self.waiting.iter().map(priority).max();
-        let at = self.waiting.iter().position(|r| Some(priority(r)) == first);
-        self.waiting.remove(at.unwrap_or(0))
+    /// Removes and returns the waiting request of the highest priority, the oldest one of several.
+    fn take_next_waiting(&mut self) -> String {
+        let priority = |id: &String| self.requests[id].priority;
+        let highest = self.waiting.iter().map(priority).max();
+        let index = self
+            .waiting
+            .iter()
+            .position(|id| Some(priority(id)) == highest);
+        self.waiting.remove(index.unwrap_or(0))
     }
 
-    fn run_mut(&mut self, request: &str) -> &mut Request {
-        self.all.get_mut(request).expect("listed requests are kept")
+    fn request_mut(&mut self, id: &str) -> &mut Request {
+        self.requests
+            .get_mut(id)
+            .expect("every queued id has a request")
     }
 
-    /// Cancels a request; one that never came will be refused when it does.
-    pub fn cancel(&mut self, request: &str) -> Option<Request> {
-        self.waiting.retain(|r| r != request);
-        self.running.retain(|r| r != request);
-        let Some(run) = self.all.get_mut(request) else {
-            self.cancelled_early.insert(request.to_string());
+    /// Cancels a request; if it has not arrived yet, it will be rejected when it does.
+    pub fn cancel(&mut self, id: &str) -> Option<Request> {
+        self.waiting.retain(|w| w != id);
+        self.running.retain(|r| r != id);
+        let Some(request) = self.requests.get_mut(id) else {
+            self.cancelled_in_advance.insert(id.to_string());
             return None;
         };
-        if !run.has_ended() {
-            run.state = RequestState::Cancelled;
+        if !request.has_ended() {
+            request.state = RequestState::Cancelled;
         }
-        Some(run.clone())
+        Some(request.clone())
     }
 
     /// Returns a request.
-    pub fn get(&self, request: &str) -> Option<&Request> {
-        self.all.get(request)
+    pub fn get(&self, id: &str) -> Option<&Request> {
+        self.requests.get(id)
     }
 
-    /// Returns all requests in the order in which they came.
+    /// Returns all requests in the order of their arrival.
     pub fn list(&self) -> Vec<&Request> {
-        self.order.iter().map(|r| &self.all[r]).collect()
+        self.arrival_order
+            .iter()
+            .map(|id| &self.requests[id])
+            .collect()
     }
 
-    /// Returns how many requests run and wait.
+    /// Returns the numbers of running and waiting requests.
     pub fn counts(&self) -> (usize, usize) {
         (self.running.len(), self.waiting.len())
     }
 }
 
-fn advance(run: &mut Request) {
-    if run.remaining_prefill > 0 {
-        run.remaining_prefill = run.remaining_prefill.saturating_sub(PREFILL_PER_STEP);
+/// Runs one step of a request: prefills a part of its prompt or, after that, produces one token.
+fn advance(request: &mut Request) {
+    if request.remaining_prefill > 0 {
+        request.remaining_prefill = request.remaining_prefill.saturating_sub(PREFILL_PER_STEP);
         return;
     }
-    run.completion_tokens += 1;
-    if run.completion_tokens >= run.target_tokens {
-        run.state = RequestState::Done;
+    request.completion_tokens += 1;
+    if request.completion_tokens >= request.target_tokens {
+        request.state = RequestState::Done;
     }
 }
--- a/crates/stub/src/service.rs
+++ b/crates/stub/src/service.rs
@@ -1,4 +1,4 @@
-//! The stand-in for a plain service: it counts every run of every call.
+//! Stub of a plain service: it records every execution of every call.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -11,114 +11,121 @@
 
 use crate::registration;
 
-const BODY_LIMIT: usize = 16 << 20;
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How a stand-in is set up.
+/// Options of a stub of a plain service.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Its address.
+    /// Address to listen on.
     pub addr: SocketAddr,
-    /// Its name in the instance list.
+    /// Name in the instance list.
     pub name: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// The service that it is part of.
+    /// Service that it is a member of.
     pub service: String,
-    /// The platform whose instance list it is in.
+    /// URL of the platform's key-value store, which has the instance list. Without it, the stub is
+    /// not registered.
     pub platform: Option<String>,
 }
 
-/// The switches for faults.
+/// Faults that the stub injects. The field names are those of the JSON object that is posted to
+/// `/fault`.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// A call runs, then waits this long for its answer.
+    /// Delay between the execution of a call and its response, in milliseconds.
     pub slow_ms: u64,
-    /// This many calls run and are never answered.
+    /// Number of calls that are executed and get no response.
     pub lose_answers: u64,
-    /// Calls are refused before they run.
+    /// Calls are rejected as not run.
     pub refuse: bool,
-    /// Calls end with this status after they ran.
+    /// Status of the responses to executed calls; 200 by default.
     pub status: Option<u16>,
 }
 
+/// A call that the stub executed.
 #[derive(Clone, Debug, Serialize)]
-struct Run {
+struct RecordedRequest {
     request: String,
     method: String,
     path: String,
     body: String,
 }
 
-/// A running stand-in.
+/// A running stub of a plain service.
 pub struct StubService {
-    setup: Options,
-    runs: Mutex<Vec<Run>>,
+    options: Options,
+    executed: Mutex<Vec<RecordedRequest>>,
     faults: Mutex<Faults>,
 }
 
 impl StubService {
-    /// Binds the stand-in.
+    /// Binds the stub to its address and registers it in the instance list.
     ///
     /// # Errors
     ///
     /// Returns why the address can't be bound.
-    pub async fn bind(setup: Options) -> Result<web::Handle, String> {
+    pub async fn bind(options: Options) -> Result<web::Handle, String> {
         let service = Arc::new(StubService {
-            runs: Mutex::default(),
+            executed: Mutex::default(),
             faults: Mutex::default(),
-            setup,
+            options,
         });
-        let setup = &service.setup;
-        let handle = web::bind(setup.addr, BODY_LIMIT, Arc::clone(&service)).await?;
+        let options = &service.options;
+        let handle = web::bind(options.addr, MAX_BODY_BYTES, Arc::clone(&service)).await?;
         let value = json!({
-            "id": registration::unique_id(&setup.name),
+            "id": registration::unique_id(&options.name),
             "kind": "service",
             "url": format!("http://{}", handle.addr()),
-            "zone": setup.zone,
-            "serves": [setup.service],
+            "zone": options.zone,
+            "serves": [options.service],
         });
-        if let Some(platform) = setup.platform.clone() {
-            let key = format!("/instances/service/{}", setup.name);
+        if let Some(platform) = options.platform.clone() {
+            let key = format!("/instances/service/{}", options.name);
             let (tx, rx) = watch::channel(value);
             registration::spawn(&platform, key, rx);
-            // The list entry does not change, but its channel must stay open.
+            // The entry never changes. Leaks its sender, so that the channel stays open.
             std::mem::forget(tx);
         }
         Ok(handle)
     }
 
-    async fn run(&self, req: Req) -> Res {
-        let faults = *self.faults.lock().expect("no panic inside");
+    async fn execute(&self, req: Req) -> Res {
+        let faults = *self.faults.lock().expect("lock not poisoned");
         if faults.refuse {
             return Res::json(503, &json!({"error": "draining"})).with("x-not-run", "1");
         }
-        let run = Run {
+        let request = RecordedRequest {
             request: req.header("x-request-id").unwrap_or_default().to_string(),
             method: req.method.clone(),
             path: req.path.clone(),
             body: String::from_utf8_lossy(&req.body).into_owned(),
         };
-        let answer = json!({"ran": run.request, "path": run.path});
-        self.runs.lock().expect("no panic inside").push(run);
-        if self.loses_answer() {
+        let body = json!({"ran": request.request, "path": request.path});
+        self.executed
+            .lock()
+            .expect("lock not poisoned")
+            .push(request);
+        if self.take_lost_response() {
             std::future::pending::<()>().await;
         }
         tokio::time::sleep(Duration::from_millis(faults.slow_ms)).await;
-        Res::json(faults.status.unwrap_or(200), &answer)
+        Res::json(faults.status.unwrap_or(200), &body)
     }
 
-    fn loses_answer(&self) -> bool {
-        let mut faults = self.faults.lock().expect("no panic inside");
-        let loses = faults.lose_answers > 0;
-        faults.lose_answers -= u64::from(loses);
-        loses
+    /// Returns whether the response to a call is to be lost, and counts the fault down.
+    fn take_lost_response(&self) -> bool {
+        let mut faults = self.faults.lock().expect("lock not poisoned");
+        let lost = faults.lose_answers > 0;
+        faults.lose_answers -= u64::from(lost);
+        lost
     }
 
     fn set_faults(&self, req: &Req) -> Res {
         match req.json::<Faults>() {
             Ok(faults) => {
-                *self.faults.lock().expect("no panic inside") = faults;
+                *self.faults.lock().expect("lock not poisoned") = faults;
                 Res::json(200, &faults)
             }
             Err(e) => Res::json(400, &json!({"error": e})),
@@ -126,8 +133,8 @@
     }
 
     fn ledger(&self) -> Res {
-        let runs = self.runs.lock().expect("no panic inside");
-        Res::json(200, &json!({"name": self.setup.name, "runs": *runs}))
+        let executed = self.executed.lock().expect("lock not poisoned");
+        Res::json(200, &json!({"name": self.options.name, "runs": *executed}))
     }
 }
 
@@ -137,7 +144,7 @@
             ["fault"] => self.set_faults(&req),
             ["ledger"] => self.ledger(),
             ["load"] => Res::json(200, &json!({"slots": 64, "running": 0, "waiting": 0})),
-            _ => self.run(req).await,
+            _ => self.execute(req).await,
         }
     }
 }
--- a/crates/stub/src/store.rs
+++ b/crates/stub/src/store.rs
@@ -1,4 +1,4 @@
-//! The stand-in's key-value store: keys with revisions, and leases.
+//! Keys with revisions, and leases: the data of the stub of the platform's key-value store.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 pub struct Entry {
     /// The value.
     pub value: Vec<u8>,
-    /// The store's revision of its last write.
+    /// Revision of the store at the last write of the key.
     pub revision: i64,
-    /// The lease that it ends with; 0 for none.
+    /// Lease with which the key expires; 0 for none.
     pub lease: i64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     ttl_ms: u64,
-    ends_at: u64,
+    expires_at_ms: u64,
 }
 
 /// Keys, revisions and leases.
@@ -25,27 +25,28 @@
     revision: i64,
     keys: BTreeMap<Vec<u8>, Entry>,
     leases: BTreeMap<i64, Lease>,
-    next_lease: i64,
+    last_lease: i64,
 }
 
 impl Store {
-    /// Returns the store's revision.
+    /// Returns the revision of the store.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// Returns the entries from a key to an end; an empty end means this key alone.
+    /// Returns the entries from `key` up to `end`, which is not included; if `end` is empty, only
+    /// the entry of `key`.
     pub fn range(&self, key: &[u8], end: &[u8]) -> Vec<(Vec<u8>, Entry)> {
-        let row = |(k, e): (&Vec<u8>, &Entry)| (k.clone(), e.clone());
+        let clone = |(k, e): (&Vec<u8>, &Entry)| (k.clone(), e.clone());
         if end.is_empty() {
             let found = self.keys.get_key_value(key);
-            return found.map(row).into_iter().collect();
+            return found.map(clone).into_iter().collect();
         }
         let range = key.to_vec()..end.to_vec();
-        self.keys.range(range).map(row).collect()
+        self.keys.range(range).map(clone).collect()
     }
 
-    /// Writes a key if its revision is still the given one; 0 means absent.
+    /// Writes a key if `revision` is the one of its last write; 0 means that the key is absent.
     pub fn compare_and_swap(
         &mut self,
         key: &[u8],
@@ -72,35 +73,38 @@
         self.keys.insert(key.to_vec(), entry);
     }
 
-    /// Makes a lease.
-    pub fn grant_lease(&mut self, now: u64, ttl_ms: u64) -> i64 {
-        self.next_lease += 1;
-        let ends_at = now + ttl_ms;
-        self.leases
-            .insert(self.next_lease, Lease { ttl_ms, ends_at });
-        self.next_lease
+    /// Creates a lease and returns its id.
+    pub fn grant_lease(&mut self, now_ms: u64, ttl_ms: u64) -> i64 {
+        self.last_lease += 1;
+        let expires_at_ms = now_ms + ttl_ms;
+        let lease = Lease {
+            ttl_ms,
+            expires_at_ms,
+        };
+        self.leases.insert(self.last_lease, lease);
+        self.last_lease
     }
 
-    /// Renews a lease; returns its seconds, 0 when it is gone.
-    pub fn keep_alive(&mut self, now: u64, id: i64) -> u64 {
+    /// Renews a lease; returns its time to live in seconds, or 0 if there is no such lease.
+    pub fn keep_alive(&mut self, now_ms: u64, id: i64) -> u64 {
         let Some(lease) = self.leases.get_mut(&id) else {
             return 0;
         };
-        lease.ends_at = now + lease.ttl_ms;
+        lease.expires_at_ms = now_ms + lease.ttl_ms;
         lease.ttl_ms / 1000
     }
 
-    /// Drops the leases that have ended, with their keys; returns whether a key went.
-    pub fn expire_leases(&mut self, now: u64) -> bool {
+    /// Deletes the expired leases and their keys; returns whether any key was deleted.
+    pub fn expire_leases(&mut self, now_ms: u64) -> bool {
         let leases = &mut self.leases;
-        leases.retain(|_, l| l.ends_at > now);
-        let before = self.keys.len();
+        leases.retain(|_, l| l.expires_at_ms > now_ms);
+        let count_before = self.keys.len();
         self.keys
             .retain(|_, e| e.lease == 0 || leases.contains_key(&e.lease));
-        let gone = self.keys.len() < before;
-        if gone {
+        let any_deleted = self.keys.len() < count_before;
+        if any_deleted {
             self.revision += 1;
         }
-        gone
+        any_deleted
     }
 }
