--- a/crates/oriolehitch/src/serve_platform.rs
+++ b/crates/oriolehitch/src/serve_platform.rs
@@ -6,7 +6,7 @@
 
 use anyhow::Result;
 use conf::Settings;
-use proxy::{Dependencies, Instance};
+use proxy::{Instance, InstanceDeps};
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::{interval, MissedTickBehavior};
 
@@ -29,7 +29,7 @@
     let mut poll = interval(SETTINGS_POLL_INTERVAL);
     poll.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut current = settings.clone();
-    let instance = Instance::spawn(Dependencies {
+    let instance = Instance::spawn(InstanceDeps {
         store: Arc::new(platform::StoreClient::new(&settings.platform)),
         dialect: Arc::new(platform::PlatformDialect),
         settings,
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -57,7 +57,7 @@
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The settings and dependencies of an instance.
-pub struct Dependencies {
+pub struct InstanceDeps {
     /// The settings.
     pub settings: Settings,
     /// The store.
@@ -83,12 +83,12 @@
     /// # Errors
     ///
     /// Returns which listener could not be bound, and why.
-    pub async fn spawn(dependencies: Dependencies) -> Result<Instance> {
-        let Dependencies {
+    pub async fn spawn(deps: InstanceDeps) -> Result<Instance> {
+        let InstanceDeps {
             settings,
             store,
             dialect,
-        } = dependencies;
+        } = deps;
         let fleet_settings = settings.fleet.clone().unwrap_or_default();
         let clock = Clock::start();
         let log = Arc::new(Log::new(clock));
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -46,7 +46,7 @@
 mod upstream_list;
 
 pub use dialect::{AdvertisedLimit, Dialect, Disposition, Pause, ResponseInfo};
-pub use instance::{Dependencies, Instance};
+pub use instance::{Instance, InstanceDeps};
 pub use log::exit_on_panic;
 pub use refusal::Refusal;
 pub use request_info::{AttemptContext, RequestInfo};
