--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -228,8 +228,8 @@
         ctx.router.metrics.retries.inc();
     }
     let prompt = u64::from(ctx.info.prompt_tokens);
-    if let Some(charge) = &mut ctx.charge {
-        charge.record_prompt_sent(prompt);
+    if let Some(reservation) = &mut ctx.reservation {
+        reservation.record_prompt_sent(prompt);
     }
     let sent = send(ctx, guard, conn, last_event_id).await;
     let no_response = matches!(
@@ -244,8 +244,8 @@
         );
         let log = &ctx.router.log;
         log.request_event(Event::AttemptFailed, &ctx.info.id, detail);
-        if let Some(charge) = ctx.charge.as_mut().filter(|_| !ctx.may_have_response) {
-            charge.clear_prompt();
+        if let Some(reservation) = ctx.reservation.as_mut().filter(|_| !ctx.may_have_response) {
+            reservation.clear_prompt();
         }
     }
     sent
@@ -267,8 +267,8 @@
         if let Some(conn) = ctx.router.dialer.kept(&incarnation) {
             return Ok((guard, conn));
         }
-        let sharers = ctx.router.fleet.instance_count();
-        let max = max_connections(ctx.service_settings.max_connections as usize, sharers);
+        let instances = ctx.router.fleet.instance_count();
+        let max = max_connections(ctx.service_settings.max_connections as usize, instances);
         let target = Target {
             upstream: &incarnation,
             addr: spec.addr,
@@ -411,7 +411,9 @@
         pool.incarnation(guard.choice.key)
     };
     if info.leaving {
-        ctx.router.listing.mark_leaving(&incarnation, "answer");
+        ctx.router
+            .upstream_list
+            .mark_leaving(&incarnation, "answer");
     }
     update_limit(ctx, guard, info, status, &incarnation);
     let Some(pause) = info.pause else {
@@ -455,8 +457,8 @@
         (AdvertisedLimit::Absent, _) if success => None,
         _ => return,
     };
-    let listing = &ctx.router.listing;
-    let changed = listing.set_limit(guard.choice.key, guard.sent_at, limit);
+    let upstream_list = &ctx.router.upstream_list;
+    let changed = upstream_list.set_limit(guard.choice.key, guard.sent_at, limit);
     if changed.is_some() {
         let per_sec = limit.map(RateLimit::as_per_sec);
         let detail = format_args!("upstream={incarnation} per_sec={per_sec:?} source=answer");
--- a/crates/proxy/src/budgets/draw.rs
+++ b/crates/proxy/src/budgets/draw.rs
@@ -48,10 +48,10 @@
     },
     /// This instance holds too few tokens and cannot reach the store.
     #[serde(rename = "CutOff")]
-    StoreUnreachable,
+    StoreUnavailable,
     /// This instance is not the incarnation that the caller asked, is stopping, or knows another prepaid amount.
     #[serde(rename = "NotHere")]
-    Unavailable,
+    HomeUnavailable,
     /// The customer has more draws than one instance answers: the caller is to ask the home in its availability zone.
     #[serde(rename = "Crowded")]
     OverCapacity,
@@ -75,7 +75,7 @@
         if shortfall == 0 {
             return Some(Ok(reservation));
         }
-        let mut unreachable = 0;
+        let mut unavailable = 0;
         let mut asked = 0;
         while let Some(home) = homes.get(asked).cloned() {
             asked += 1;
@@ -90,18 +90,18 @@
                 DrawResponse::OutOfReach { free } => {
                     return Some(Err(ReserveError::OutOfReach { free }))
                 }
-                DrawResponse::StoreUnreachable => unreachable += 1,
-                DrawResponse::Unavailable => {}
+                DrawResponse::StoreUnavailable => unavailable += 1,
+                DrawResponse::HomeUnavailable => {}
                 DrawResponse::OverCapacity => {
                     self.use_zone_homes(customer);
                     homes = self.homes(customer);
-                    (asked, unreachable) = (0, 0);
+                    (asked, unavailable) = (0, 0);
                 }
             }
         }
         // Unless this instance is the home, the home has asked the other instances: there is nothing to wait for.
-        let all_unreachable = unreachable == homes.len() && !self.is_home(customer);
-        let out_of_reach = all_unreachable && self.is_store_unreachable();
+        let all_unavailable = unavailable == homes.len() && !self.is_home(customer);
+        let out_of_reach = all_unavailable && self.is_store_unavailable();
         out_of_reach.then_some(Err(ReserveError::OutOfReach { free: false }))
     }
 
@@ -130,7 +130,7 @@
         self.call_detached(home, call).await.unwrap_or_else(|why| {
             let detail = format_args!("customer={customer} from={} failed={why}", home.id);
             self.0.log.event(Event::TokenTransfer, detail);
-            DrawResponse::Unavailable
+            DrawResponse::HomeUnavailable
         })
     }
 
@@ -151,7 +151,7 @@
     }
 
     fn draw_request(&self, home: &Member, customer: &str, tokens: u64, size: u64) -> DrawRequest {
-        let to_zone_home = self.area(customer) == HomeScope::Zone;
+        let to_zone_home = self.home_scope(customer) == HomeScope::Zone;
         self.with_budget(customer, |b| DrawRequest {
             customer: customer.to_string(),
             tokens,
@@ -170,7 +170,7 @@
             || self.is_shutting_down()
             || self.prepaid(&draw.customer) < draw.prepaid
         {
-            return DrawResponse::Unavailable;
+            return DrawResponse::HomeUnavailable;
         }
         if self.record_draw(&draw.customer) && !draw.to_zone_home {
             return DrawResponse::OverCapacity;
@@ -179,7 +179,7 @@
         // While no instance reaches the store, a request asks all instances that may replace the home. If each counted
         // the demand, each would later take tokens for all of it.
         let is_home = draw.to_zone_home || self.is_home(&draw.customer);
-        if is_home || !self.is_store_unreachable() {
+        if is_home || !self.is_store_unavailable() {
             self.record_demand(&draw.customer, draw.tokens, draw.size);
         }
         let reserved = self.reserve_here(&draw.customer, draw.tokens, draw.size, until);
@@ -190,19 +190,19 @@
             }
             // One of the two configurations is older than the other: the caller decides by its own.
             Err(ReserveError::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => {
-                DrawResponse::Unavailable
+                DrawResponse::HomeUnavailable
             }
             Err(ReserveError::Exhausted) => DrawResponse::Exhausted,
             // The next instance that is asked may reach the store.
-            Err(ReserveError::OutOfReach { .. }) if self.is_store_unreachable() => {
-                DrawResponse::StoreUnreachable
+            Err(ReserveError::OutOfReach { .. }) if self.is_store_unavailable() => {
+                DrawResponse::StoreUnavailable
             }
             Err(ReserveError::OutOfReach { free }) => DrawResponse::OutOfReach { free },
         }
     }
 
     fn prepaid(&self, customer: &str) -> u64 {
-        let customers = self.0.customers.lock().expect("no panic inside");
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         customers.get(customer).map_or(0, |s| s.budget.prepaid())
     }
 
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -56,9 +56,9 @@
 const MAX_COMMIT_ATTEMPTS: usize = 6;
 
 /// What the budgets need to reach the store and other instances.
-pub(crate) struct Dependencies {
+pub(crate) struct BudgetDeps {
     pub(crate) store: Arc<dyn Store>,
-    pub(crate) reach: Arc<StoreHealth>,
+    pub(crate) store_health: Arc<StoreHealth>,
     pub(crate) fleet: Fleet,
     pub(crate) peers: Peers,
     /// For datagrams to other instances.
@@ -85,7 +85,7 @@
     /// Counts finished searches for tokens, and arrivals of tokens that waiting requests lack. These requests try again
     /// at each change.
     finished_searches: watch::Sender<u64>,
-    deps: OnceLock<Dependencies>,
+    deps: OnceLock<BudgetDeps>,
     /// Customers whose homes are to be sent a settlement, with the number of times left.
     pending_settlements: Mutex<BTreeMap<String, u8>>,
     settlement_requested: Notify,
@@ -124,7 +124,7 @@
 
     /// Sets the prepaid amounts of a configuration.
     pub(crate) fn set_prepaid(&self, routing: &RoutingConfig) {
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         for customer in &routing.accounts {
             let Some(prepaid) = customer.prepaid_tokens else {
                 continue;
@@ -167,7 +167,7 @@
 
     /// Calls `f` with a customer's budget, which is created if there is none.
     fn with_budget<T>(&self, customer: &str, f: impl FnOnce(&mut LocalBudget) -> T) -> T {
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         let state = customers.entry(customer.to_string()).or_default();
         f(&mut state.budget)
     }
@@ -177,10 +177,10 @@
     /// A home that cannot reach the store draws from the instances that would replace it: all callers of a customer may
     /// use this instance, and no other one would take tokens for them.
     fn homes(&self, customer: &str) -> Homes {
-        let (fleet, area) = (&self.deps().fleet, self.area(customer));
-        let homes = fleet.preceding_homes(customer, area);
-        if homes.is_empty() && self.is_store_unreachable() {
-            return fleet.other_homes(customer, area);
+        let (fleet, scope) = (&self.deps().fleet, self.home_scope(customer));
+        let homes = fleet.preceding_homes(customer, scope);
+        if homes.is_empty() && self.is_store_unavailable() {
+            return fleet.other_homes(customer, scope);
         }
         homes
     }
@@ -188,12 +188,13 @@
     /// Returns whether this instance is a customer's home, which holds the tokens for others.
     fn is_home(&self, customer: &str) -> bool {
         let fleet = &self.deps().fleet;
-        fleet.is_home(customer, HomeScope::Fleet) || fleet.is_home(customer, self.area(customer))
+        fleet.is_home(customer, HomeScope::Fleet)
+            || fleet.is_home(customer, self.home_scope(customer))
     }
 
     /// Returns which instances a customer's homes are chosen from at present.
-    fn area(&self, customer: &str) -> HomeScope {
-        let customers = self.0.customers.lock().expect("no panic inside");
+    fn home_scope(&self, customer: &str) -> HomeScope {
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         let until = customers.get(customer).and_then(|s| s.zone_homes_until);
         match until {
             Some(until) if Instant::now() < until => HomeScope::Zone,
@@ -203,7 +204,7 @@
 
     /// Uses a home in each availability zone for a while, because the home reported more draws than it answers.
     fn use_zone_homes(&self, customer: &str) {
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         if let Some(state) = customers.get_mut(customer) {
             state.zone_homes_until = Some(Instant::now() + ZONE_HOMES_PERIOD);
         }
@@ -212,7 +213,7 @@
     /// Counts a draw by another instance; returns whether the customer has too many for one home.
     fn record_draw(&self, customer: &str) -> bool {
         let now = self.0.clock.now();
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         let Some(state) = customers.get_mut(customer) else {
             return false;
         };
@@ -265,7 +266,7 @@
     }
 
     fn first_attempt(&self, customer: &str, tokens: u64, size: u64) -> FirstAttempt {
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         let state = customers.entry(customer.to_string()).or_default();
         let fleet_restarted = self.deps().fleet.is_mass_start();
         if fleet_restarted && !state.budget.admits(self.0.clock.now(), size) {
@@ -282,13 +283,13 @@
     }
 
     fn try_reserve(&self, customer: &str, tokens: u64) -> bool {
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         let state = customers.get_mut(customer);
         state.is_some_and(|s| s.budget.reserve(tokens))
     }
 
     fn refuse(&self, customer: &str, tokens: u64) -> ReserveError {
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         let Some(state) = customers.get_mut(customer) else {
             return ReserveError::OutOfReach { free: false };
         };
@@ -299,18 +300,18 @@
     /// Returns why a budget has too few tokens here for a request. Free tokens do not count while the store is
     /// unreachable, because they cannot be taken then.
     fn reserve_error(&self, budget: &LocalBudget, tokens: u64) -> ReserveError {
-        let unreachable = self.is_store_unreachable();
+        let unavailable = self.is_store_unavailable();
         match budget.reserve_error(tokens) {
             ReserveError::OutOfReach { free } => ReserveError::OutOfReach {
-                free: free && !unreachable,
+                free: free && !unavailable,
             },
             exhausted => exhausted,
         }
     }
 
     /// Returns whether the store is unreachable from this instance.
-    pub(crate) fn is_store_unreachable(&self) -> bool {
-        self.deps().reach.is_unavailable()
+    pub(crate) fn is_store_unavailable(&self) -> bool {
+        self.deps().store_health.is_unavailable()
     }
 
     pub(crate) fn own_id(&self) -> String {
@@ -326,21 +327,27 @@
     }
 
     /// Debits tokens for another instance that asks for them; returns the total transferred to it.
-    pub(crate) fn transfer_share(&self, want: &TokenRequest) -> CumulativeTotal {
+    pub(crate) fn transfer_share(&self, request: &TokenRequest) -> CumulativeTotal {
         let now = self.0.clock.now();
-        let mut customers = self.0.customers.lock().expect("no panic inside");
-        let state = customers.get_mut(&want.customer);
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
+        let state = customers.get_mut(&request.customer);
         let total = state.map(|s| {
             let budget = &mut s.budget;
-            budget.transfer_share(now, &want.from, want.tokens, want.balance, want.rate)
+            budget.transfer_share(
+                now,
+                &request.from,
+                request.tokens,
+                request.balance,
+                request.rate,
+            )
         });
-        self.cumulative_total(&want.from, total.unwrap_or_default())
+        self.cumulative_total(&request.from, total.unwrap_or_default())
     }
 
     /// Returns each customer's balance and demand, and the charged and spent totals of its record.
     pub(crate) fn dump(&self) -> BTreeMap<String, serde_json::Value> {
         let now = self.0.clock.now();
-        let customers = self.0.customers.lock().expect("no panic inside");
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         let row = |(name, s): (&String, &CustomerState)| {
             let snapshot = s.budget.snapshot();
             let value = serde_json::json!({
@@ -356,7 +363,7 @@
     }
 
     fn with_known_budget(&self, customer: &str, f: impl FnOnce(&mut LocalBudget)) {
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         if let Some(state) = customers.get_mut(customer) {
             f(&mut state.budget);
         }
--- a/crates/proxy/src/budgets/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -31,7 +31,7 @@
     pub(super) fn customers_to_read(&self) -> Vec<String> {
         let now = self.0.clock.now();
         let fleet = &self.deps().fleet;
-        let customers = self.0.customers.lock().expect("no panic inside");
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         let outdated = |(name, state): &(&String, &CustomerState)| {
             let budget = &state.budget;
             match budget.snapshot() {
@@ -55,7 +55,7 @@
         if customers.is_empty() {
             return true;
         }
-        let known_count = self.0.customers.lock().expect("no panic inside").len();
+        let known_count = self.0.customers.lock().expect("lock not poisoned").len();
         if customers.len() >= known_count.div_ceil(RECORDS_PER_CALL) {
             return self.read_all_records().await;
         }
@@ -102,7 +102,7 @@
 
     /// Returns the names of all customers that are known here.
     fn customer_names(&self) -> Vec<String> {
-        let customers = self.0.customers.lock().expect("no panic inside");
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         customers.keys().cloned().collect()
     }
 
@@ -114,7 +114,7 @@
             .filter_map(|f| f.key.strip_prefix(RECORD_PREFIX));
         let found: HashSet<&str> = names.collect();
         {
-            let mut states = self.0.customers.lock().expect("no panic inside");
+            let mut states = self.0.customers.lock().expect("lock not poisoned");
             let missing = customers.iter().filter(|c| !found.contains(c.as_str()));
             for customer in missing {
                 let empty = RecordSnapshot {
@@ -133,7 +133,7 @@
     /// Applies records that were read or written; other items are ignored.
     pub(super) fn update_snapshots(&self, items: &[KeyValue]) {
         let read_at = self.0.clock.now();
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         for found in items {
             let name = found.key.strip_prefix(RECORD_PREFIX).unwrap_or_default();
             let Some(state) = customers.get_mut(name) else {
@@ -160,7 +160,7 @@
             Some(Err(why)) => return self.log_malformed(&self.ledger_key(), &why),
         };
         let revision = found.map_or(0, |f| f.revision);
-        let mut known = self.0.ledger_revision.lock().expect("no panic inside");
+        let mut known = self.0.ledger_revision.lock().expect("lock not poisoned");
         // Responses may arrive out of order. A revision that is known already is not applied again either: a write that
         // replaces its entries may be under way.
         if known.is_some_and(|k| k >= revision) {
@@ -168,7 +168,7 @@
         }
         *known = Some(revision);
         let own_id = self.own_id();
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         for (name, state) in customers.iter_mut() {
             let entry = ledger.entry(name);
             if revision == 0 || ledger.owner == own_id {
@@ -198,7 +198,7 @@
     }
 
     pub(super) fn ledger_revision(&self) -> Option<i64> {
-        *self.0.ledger_revision.lock().expect("no panic inside")
+        *self.0.ledger_revision.lock().expect("lock not poisoned")
     }
 
     pub(super) fn ledger_key(&self) -> String {
--- a/crates/proxy/src/budgets/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -10,7 +10,7 @@
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
 use super::records::RECORD_PREFIX;
-use super::{Budgets, Dependencies, MAX_COMMIT_ATTEMPTS};
+use super::{BudgetDeps, Budgets, MAX_COMMIT_ATTEMPTS};
 use crate::event::Event;
 use crate::roster::HomeScope;
 
@@ -56,7 +56,7 @@
 
 impl Budgets {
     /// Spawns the tasks that keep the budgets filled and send settlements.
-    pub(crate) fn spawn(&self, deps: Dependencies) {
+    pub(crate) fn spawn(&self, deps: BudgetDeps) {
         assert!(self.0.deps.set(deps).is_ok(), "spawned twice");
         tokio::spawn(self.clone().send_settlements());
         let budgets = self.clone();
@@ -85,7 +85,7 @@
         interval.min(MAX_REFILL_INTERVAL) + Duration::from_millis(jitter)
     }
 
-    pub(super) fn deps(&self) -> &Dependencies {
+    pub(super) fn deps(&self) -> &BudgetDeps {
         self.0.deps.get().expect("set by `spawn`")
     }
 
@@ -94,7 +94,7 @@
         if self.is_shutting_down() {
             return;
         }
-        if self.is_store_unreachable() {
+        if self.is_store_unavailable() {
             self.request_shortfalls().await;
             return;
         }
@@ -142,7 +142,7 @@
     }
 
     fn customers_in_shortfall(&self) -> Vec<String> {
-        let customers = self.0.customers.lock().expect("no panic inside");
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         let waiting = customers.iter().filter(|(_, s)| s.budget.shortfall() > 0);
         waiting.map(|(name, _)| name.clone()).collect()
     }
@@ -225,7 +225,7 @@
         };
         let checked = self.0.checked_revision.load(Ordering::Relaxed);
         let mut unconfirmed = 0;
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         for (name, state) in customers.iter_mut() {
             let budget = &mut state.budget;
             if let Some(recovery_ms) = self.deps().recovery_ms {
--- a/crates/proxy/src/budgets/reservation.rs
+++ b/crates/proxy/src/budgets/reservation.rs
@@ -59,7 +59,7 @@
             self.budgets.0.log.event(Event::TokensExceeded, detail);
         }
         let spent = spent.min(reserved);
-        let mut customers = self.budgets.0.customers.lock().expect("no panic inside");
+        let mut customers = self.budgets.0.customers.lock().expect("lock not poisoned");
         if let Some(state) = customers.get_mut(&self.customer) {
             state.budget.settle(self.reserved, spent);
         }
--- a/crates/proxy/src/budgets/settlement.rs
+++ b/crates/proxy/src/budgets/settlement.rs
@@ -37,7 +37,11 @@
 impl Budgets {
     /// Schedules a settlement for a customer, one of whose requests has ended.
     pub(super) fn request_settlement(&self, customer: &str) {
-        let mut pending = self.0.pending_settlements.lock().expect("no panic inside");
+        let mut pending = self
+            .0
+            .pending_settlements
+            .lock()
+            .expect("lock not poisoned");
         pending.insert(customer.to_string(), SEND_COUNT);
         self.0.settlement_requested.notify_one();
     }
@@ -50,7 +54,7 @@
             sleep(BATCH_DELAY).await;
             for (addr, settlements) in self.take_pending_settlements() {
                 for settlements in settlements.chunks(MAX_PER_DATAGRAM) {
-                    sender.send(&Datagram::Settled(settlements.to_vec()), [addr]);
+                    sender.send(&Datagram::Settlements(settlements.to_vec()), [addr]);
                 }
             }
         }
@@ -58,7 +62,11 @@
 
     /// Returns the settlements that are due, by the address of the home.
     fn take_pending_settlements(&self) -> BTreeMap<SocketAddr, Vec<Settlement>> {
-        let mut pending = self.0.pending_settlements.lock().expect("no panic inside");
+        let mut pending = self
+            .0
+            .pending_settlements
+            .lock()
+            .expect("lock not poisoned");
         let customers: Vec<String> = pending.keys().cloned().collect();
         pending.retain(|_, remaining| {
             *remaining -= 1;
@@ -73,7 +81,7 @@
             let homes = self
                 .deps()
                 .fleet
-                .preceding_homes(&customer, self.area(&customer));
+                .preceding_homes(&customer, self.home_scope(&customer));
             // Tokens transferred to an instance that is gone would be out of reach, and spending forwarded to it would
             // never be recorded: the own ledger entry reports it instead.
             let peers = &self.deps().peers;
@@ -88,7 +96,7 @@
 
     fn settlement(&self, home: &Member, customer: String) -> Option<Settlement> {
         let now = self.0.clock.now();
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         let budget = &mut customers.get_mut(&customer)?.budget;
         Some(Settlement {
             transferred: self.cumulative_total(&home.id, budget.transfer_idle(now, &home.id)),
@@ -101,7 +109,7 @@
     pub(crate) fn receive_settlements(&self, settlements: &[Settlement]) {
         let own_id = self.own_id();
         let mut covered = false;
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         for settlement in settlements {
             let Some(state) = customers.get_mut(&settlement.customer) else {
                 continue;
--- a/crates/proxy/src/budgets/transfer.rs
+++ b/crates/proxy/src/budgets/transfer.rs
@@ -13,7 +13,7 @@
 use super::{Budgets, MAX_COMMIT_ATTEMPTS};
 use crate::event::Event;
 use crate::fleet::Member;
-use crate::peers::{TokenHandover, TokenRequest};
+use crate::peers::{TokenRequest, TokenTransfer};
 use crate::roster::HomeScope;
 
 /// How long a stopping instance waits for the store before it transfers its tokens to other instances.
@@ -25,17 +25,17 @@
     /// Asks other instances for the tokens that a customer's waiting requests lack.
     pub(super) async fn request_from_peers(&self, customer: &str) {
         for peer in self.peers_to_ask(customer).iter().take(MAX_PEERS_ASKED) {
-            let Some(want) = self.transfer_request(customer) else {
+            let Some(request) = self.token_request(customer) else {
                 return;
             };
             let (budgets, from) = (self.clone(), peer.clone());
             let call = async move {
-                let given = budgets
+                let total = budgets
                     .deps()
                     .peers
-                    .request_tokens(from.addr, &want)
+                    .request_tokens(from.addr, &request)
                     .await?;
-                budgets.receive_tokens(&want.customer, &given);
+                budgets.receive_tokens(&request.customer, &total);
                 Ok(())
             };
             if let Err(why) = self.call_detached(peer, call).await {
@@ -50,15 +50,15 @@
     fn peers_to_ask(&self, customer: &str) -> Vec<Arc<Member>> {
         let fleet = &self.deps().fleet;
         let homes = fleet.other_homes(customer, HomeScope::Fleet);
-        let mut others = fleet.peers();
-        others.shuffle(&mut rand::rng());
+        let mut peers = fleet.peers();
+        peers.shuffle(&mut rand::rng());
         let is_home = |m: &Member| homes.iter().any(|h| h.id == m.id);
-        others.sort_by_key(|m| (!is_home(m), m.zone != fleet.zone()));
-        others
+        peers.sort_by_key(|m| (!is_home(m), m.zone != fleet.zone()));
+        peers
     }
 
-    fn transfer_request(&self, customer: &str) -> Option<TokenRequest> {
-        let customers = self.0.customers.lock().expect("no panic inside");
+    fn token_request(&self, customer: &str) -> Option<TokenRequest> {
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         let budget = &customers.get(customer)?.budget;
         let tokens = budget.shortfall();
         (tokens > 0).then(|| TokenRequest {
@@ -70,11 +70,11 @@
         })
     }
 
-    fn receive_tokens(&self, customer: &str, given: &CumulativeTotal) {
-        let (own_id, from) = (self.own_id(), &given.from);
-        let mut customers = self.0.customers.lock().expect("no panic inside");
+    fn receive_tokens(&self, customer: &str, total: &CumulativeTotal) {
+        let (own_id, from) = (self.own_id(), &total.from);
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
         let state = customers.get_mut(customer);
-        let tokens = state.map_or(0, |s| s.budget.receive_tokens(&own_id, given));
+        let tokens = state.map_or(0, |s| s.budget.receive_tokens(&own_id, total));
         drop(customers);
         if tokens == 0 {
             return;
@@ -90,15 +90,15 @@
 
     /// Receives the tokens of an instance that stops; returns whether they are meant for this incarnation and it knows
     /// their customer.
-    pub(crate) fn receive_transfer(&self, gift: &TokenHandover) -> bool {
+    pub(crate) fn receive_transfer(&self, transfer: &TokenTransfer) -> bool {
         let own_id = self.own_id();
-        let mut customers = self.0.customers.lock().expect("no panic inside");
-        let Some(state) = customers.get_mut(&gift.customer) else {
+        let mut customers = self.0.customers.lock().expect("lock not poisoned");
+        let Some(state) = customers.get_mut(&transfer.customer) else {
             return false;
         };
-        state.budget.receive_tokens(&own_id, &gift.given);
-        state.budget.receive_spending(&own_id, &gift.spent);
-        gift.given.to == own_id
+        state.budget.receive_tokens(&own_id, &transfer.transferred);
+        state.budget.receive_spending(&own_id, &transfer.spent);
+        transfer.transferred.to == own_id
     }
 
     /// Releases all tokens that are not reserved, to the store or to other instances: the last step of a planned stop.
@@ -152,10 +152,10 @@
             let Some(peer) = peers.get(i % peers.len().max(1)) else {
                 return false;
             };
-            let gift = self.final_transfer(peer, customer);
-            let accepted = deps.peers.hand_over_tokens(peer.addr, &gift).await;
+            let transfer = self.final_transfer(peer, customer);
+            let accepted = deps.peers.transfer_tokens(peer.addr, &transfer).await;
             complete &= accepted == Ok(true);
-            let detail = format_args!("to={} gift={gift:?} given={accepted:?}", peer.id);
+            let detail = format_args!("to={} gift={transfer:?} given={accepted:?}", peer.id);
             self.0.log.event(Event::TokenTransfer, detail);
         }
         complete
@@ -182,17 +182,17 @@
 
     /// Returns the customers with tokens left here, or with spent tokens that are not reported yet.
     fn customers_to_release(&self) -> Vec<String> {
-        let customers = self.0.customers.lock().expect("no panic inside");
+        let customers = self.0.customers.lock().expect("lock not poisoned");
         let holds = |b: &LocalBudget| b.balance() > 0 || b.has_unreported_spending();
         let holders = customers.iter().filter(|(_, s)| holds(&s.budget));
         holders.map(|(name, _)| name.clone()).collect()
     }
 
     /// Debits all tokens left of a customer for another instance, and forwards what was spent.
-    fn final_transfer(&self, peer: &Member, customer: &str) -> TokenHandover {
-        self.with_budget(customer, |b| TokenHandover {
+    fn final_transfer(&self, peer: &Member, customer: &str) -> TokenTransfer {
+        self.with_budget(customer, |b| TokenTransfer {
             customer: customer.to_string(),
-            given: self.cumulative_total(&peer.id, b.transfer_all(&peer.id)),
+            transferred: self.cumulative_total(&peer.id, b.transfer_all(&peer.id)),
             spent: self.cumulative_total(&peer.id, b.forward_spending(&peer.id)),
         })
     }
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -13,7 +13,7 @@
 use crate::dialect::Dialect;
 use crate::evacuation::Evacuations;
 use crate::event::Event;
-use crate::follower::{FollowContext, Follower, Update, WATCH_TIMEOUT_MS};
+use crate::follower::{Follower, FollowerDeps, Update, WATCH_TIMEOUT_MS};
 use crate::log::Log;
 use crate::notices::{key_hash, Notices};
 use crate::relay::Relay;
@@ -55,7 +55,7 @@
 /// What a configuration is applied to, and what that takes.
 pub(crate) struct ConfigDeps {
     pub(crate) dialect: Arc<dyn Dialect>,
-    pub(crate) bank: Budgets,
+    pub(crate) budgets: Budgets,
     pub(crate) log: Arc<Log>,
     pub(crate) notices: Notices,
     pub(crate) relay: Relay,
@@ -107,7 +107,7 @@
             routing.routes().len(),
             routing.accounts.len(),
         );
-        self.0.deps.bank.set_prepaid(&routing);
+        self.0.deps.budgets.set_prepaid(&routing);
         self.set_cold_starts(&routing);
         let next = Arc::new(ActiveConfig {
             routing,
@@ -187,7 +187,7 @@
     pub(crate) fn spawn(
         &self,
         store: Arc<dyn Store>,
-        context: FollowContext,
+        follower_deps: FollowerDeps,
         evacuations: Evacuations,
     ) {
         let config = self.clone();
@@ -197,7 +197,7 @@
             let prefix = dialect.operator_prefix().to_string();
             let mut follower = Follower::open(
                 store,
-                context,
+                follower_deps,
                 Topic::Config,
                 &prefix,
                 None,
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -43,9 +43,11 @@
     /// The load that the sender puts on the upstreams.
     Loads(LoadReport),
     /// What requests have spent of budgets, and what they have left.
-    Settled(Vec<Settlement>),
+    #[serde(rename = "Settled")]
+    Settlements(Vec<Settlement>),
     /// How far the sender has read the store for its zone.
-    Head(Heartbeat),
+    #[serde(rename = "Head")]
+    Heartbeat(Heartbeat),
     /// Records of requests that were running on upstreams when these crashed.
     Suspects(Vec<suspect::SuspectRecord>),
     /// Small and urgent changes.
@@ -61,8 +63,8 @@
     fn purpose(&self) -> &'static str {
         match self {
             Datagram::Loads(_) => "loads",
-            Datagram::Settled(_) => "settled",
-            Datagram::Head(_) => "head",
+            Datagram::Settlements(_) => "settled",
+            Datagram::Heartbeat(_) => "head",
             Datagram::Suspects(_) => "suspects",
             Datagram::Notices { .. } => "notices",
         }
@@ -128,7 +130,7 @@
         clock,
     };
     tokio::spawn(receiver.listen());
-    tokio::spawn(broadcast_heads(
+    tokio::spawn(broadcast_heartbeats(
         sender.clone(),
         service.notice_handler.relay,
     ));
@@ -137,14 +139,14 @@
 
 /// Sends to the instances of the same zone how far this one has read the store, while it reads for
 /// them.
-async fn broadcast_heads(sender: Sender, relay: Relay) {
+async fn broadcast_heartbeats(sender: Sender, relay: Relay) {
     loop {
-        let Some(head) = relay.next_head().await else {
+        let Some(heartbeat) = relay.next_heartbeat().await else {
             continue;
         };
         let roster = sender.fleet.roster();
         let to = roster.zone_peers().iter().map(|m| m.addr);
-        sender.send(&Datagram::Head(head), to);
+        sender.send(&Datagram::Heartbeat(heartbeat), to);
     }
 }
 
@@ -199,10 +201,14 @@
                 Ok(Datagram::Loads(report)) => {
                     receive_loads(&self.pool, &report, self.clock.now());
                 }
-                Ok(Datagram::Settled(settled)) => self.service.bank.receive_settlements(&settled),
-                Ok(Datagram::Head(head)) => {
-                    self.service.notice_handler.relay.receive_head(from, head)
+                Ok(Datagram::Settlements(settlements)) => {
+                    self.service.budgets.receive_settlements(&settlements)
                 }
+                Ok(Datagram::Heartbeat(heartbeat)) => self
+                    .service
+                    .notice_handler
+                    .relay
+                    .receive_heartbeat(from, heartbeat),
                 Ok(Datagram::Suspects(records)) => {
                     let missing = self.service.suspects.merge(fleet, &records);
                     if !missing.is_empty() {
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -17,7 +17,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::event::Event;
-use crate::follower::{FollowContext, Follower, Update};
+use crate::follower::{Follower, FollowerDeps, Update};
 use crate::log::Log;
 use crate::replication::Topic;
 use crate::roster::{HomeScope, Homes, Roster};
@@ -68,7 +68,7 @@
     /// The other instances that the settings name, used until the list is known.
     seeds: Vec<Arc<Member>>,
     store: Arc<dyn Store>,
-    context: FollowContext,
+    follower_deps: FollowerDeps,
     log: Arc<Log>,
     pool: Arc<Mutex<Pool>>,
     clock: Clock,
@@ -99,7 +99,7 @@
         seeds: &[SocketAddr],
         min_lease_ms: u64,
         store: Arc<dyn Store>,
-        context: FollowContext,
+        follower_deps: FollowerDeps,
         log: Arc<Log>,
         pool: Arc<Mutex<Pool>>,
         clock: Clock,
@@ -124,7 +124,7 @@
             key,
             lease_ttl_ms: MIN_LEASE_TTL_MS.max(min_lease_ms),
             store,
-            context,
+            follower_deps,
             log,
             pool,
             clock,
@@ -214,11 +214,11 @@
         let fleet = self.clone();
         tokio::spawn(async move {
             let store = Arc::clone(&fleet.0.store);
-            let context = fleet.0.context.clone();
+            let follower_deps = fleet.0.follower_deps.clone();
             let priority_prefix = Some(zone_prefix(fleet.zone()));
             let mut follower = Follower::open(
                 store,
-                context,
+                follower_deps,
                 Topic::Instances,
                 PREFIX,
                 priority_prefix,
@@ -274,11 +274,11 @@
 
     /// Renews the lease until it has expired. Each renewal is also a probe of the store.
     async fn keep_lease_alive(&self, lease: i64) {
-        let FollowContext {
+        let FollowerDeps {
             store_health,
             relay,
             ..
-        } = &self.0.context;
+        } = &self.0.follower_deps;
         // A call that hangs must not delay the next one: it may end long after the store is
         // available again.
         let mut renewals = JoinSet::new();
@@ -374,7 +374,7 @@
         };
         let zone_peers = roster.zone_peers().iter().map(|m| m.addr);
         self.0
-            .context
+            .follower_deps
             .relay
             .set_zone(&own, &zone, zone_peers.collect());
         let mut pool = self.0.pool.lock().expect("lock not poisoned");
--- a/crates/proxy/src/follower.rs
+++ b/crates/proxy/src/follower.rs
@@ -51,7 +51,7 @@
 /// others.
 pub(crate) struct Follower {
     store: Arc<dyn Store>,
-    context: FollowContext,
+    deps: FollowerDeps,
     topic: Topic,
     prefix: String,
     /// The prefix of the keys that are needed first, if those are only some of them.
@@ -98,7 +98,7 @@
 
 /// What a follower uses besides the store.
 #[derive(Clone)]
-pub(crate) struct FollowContext {
+pub(crate) struct FollowerDeps {
     pub(crate) store_health: Arc<StoreHealth>,
     pub(crate) relay: Relay,
     pub(crate) peers: Peers,
@@ -107,7 +107,7 @@
 impl Follower {
     pub(crate) fn open(
         store: Arc<dyn Store>,
-        context: FollowContext,
+        deps: FollowerDeps,
         topic: Topic,
         prefix: &str,
         priority_prefix: Option<String>,
@@ -115,7 +115,7 @@
     ) -> Follower {
         Follower {
             store,
-            context,
+            deps,
             topic,
             prefix: prefix.to_string(),
             priority_prefix,
@@ -133,7 +133,7 @@
 
     /// Waits for the next update.
     pub(crate) async fn next(&mut self) -> Update {
-        let relay = self.context.relay.clone();
+        let relay = self.deps.relay.clone();
         let mut other_peer = None;
         loop {
             let peer = self.fetch.as_ref().map(|f| f.peer).or(other_peer.take());
@@ -164,7 +164,7 @@
                     if relay.is_behind(self.topic) {
                         sleep(BEHIND_RETRY_DELAY).await;
                     } else {
-                        relay.wait_for_head().await;
+                        relay.wait_for_heartbeat().await;
                     }
                     continue;
                 }
@@ -179,7 +179,7 @@
 
     /// Returns where to read next.
     fn source(&self) -> Source {
-        let relay = &self.context.relay;
+        let relay = &self.deps.relay;
         if self.has_more_pages && relay.revision(self.topic) == 0 {
             return relay.initial_source(self.topic, true);
         }
@@ -192,13 +192,13 @@
     /// Returns whether to read the store after another instance did not answer. This is not the
     /// case while other instances may have what is missing, nor if reading it takes many calls.
     fn may_read_store(&self) -> bool {
-        let relay = &self.context.relay;
+        let relay = &self.deps.relay;
         relay.revision(self.topic) > 0 && !relay.is_behind(self.topic)
     }
 
     /// Returns an instance that is known to have what is missing.
     fn peer_ahead(&self) -> Option<SocketAddr> {
-        match self.context.relay.source(self.topic) {
+        match self.deps.relay.source(self.topic) {
             Source::Peer(addr) => Some(addr),
             Source::Store | Source::Nowhere => None,
         }
@@ -206,7 +206,7 @@
 
     /// Fetches the next page of what is newer from another instance.
     async fn fetch_page(&mut self, addr: SocketAddr) -> FetchOutcome {
-        let relay = &self.context.relay;
+        let relay = &self.deps.relay;
         let (request, previous) = match self.fetch.take() {
             Some(fetch) => (fetch.next_request, Some(fetch.received)),
             None => {
@@ -215,7 +215,7 @@
                 (request, None)
             }
         };
-        let Ok(page) = self.context.peers.fetch_delta(addr, &request).await else {
+        let Ok(page) = self.deps.peers.fetch_delta(addr, &request).await else {
             relay.forget_peer(addr);
             return FetchOutcome::Failed;
         };
@@ -259,11 +259,11 @@
     /// Reads the store; `None` if nothing is new.
     async fn read_store(&mut self) -> Option<Update> {
         // What was received from another instance does not have to be read again.
-        let known = self.context.relay.revision(self.topic);
+        let known = self.deps.relay.revision(self.topic);
         let received = (known > 0 && !self.compacted).then_some(known);
         let after = self.watch_after.map(|after| after.max(known)).or(received);
         let overdue =
-            self.context.relay.must_read_store(self.topic) && Instant::now() >= self.next_watch_at;
+            self.deps.relay.must_read_store(self.topic) && Instant::now() >= self.next_watch_at;
         if overdue {
             self.next_watch_at = Instant::now() + WATCH_DELAY;
         }
@@ -342,7 +342,7 @@
 
     async fn watch(&mut self, after: i64) -> Option<Update> {
         sleep_until(self.next_watch_at).await;
-        let relay = self.context.relay.clone();
+        let relay = self.deps.relay.clone();
         let priority_only = std::mem::take(&mut self.watch_priority_next);
         let prefix = self
             .priority_prefix
@@ -382,7 +382,7 @@
     /// Waits after a failed call until the store is available.
     async fn unavailable(&mut self) -> Update {
         sleep(RETRY_DELAY).await;
-        self.context.store_health.wait_until_available().await;
+        self.deps.store_health.wait_until_available().await;
         Update::Unavailable
     }
 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -15,14 +15,14 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-use crate::budgets::{self, Budgets};
+use crate::budgets::{BudgetDeps, Budgets};
 use crate::config::{ColdStartTolerance, Config, ConfigDeps};
 use crate::datagram::{self, Sender};
 use crate::dialect::Dialect;
 use crate::evacuation::Evacuations;
 use crate::event::Event;
 use crate::fleet::{Fleet, Member};
-use crate::follower::FollowContext;
+use crate::follower::FollowerDeps;
 use crate::listen::{self, Phase};
 use crate::log::Log;
 use crate::metrics::Metrics;
@@ -69,7 +69,7 @@
 /// A running instance.
 pub struct Instance {
     router: Arc<Router>,
-    calls: StoreCalls,
+    store_calls: StoreCalls,
     phase: watch::Sender<Phase>,
     stop_timeout: Duration,
     ready: web::ServerHandle,
@@ -101,27 +101,27 @@
         let (listener, addr) =
             bound.map_err(|e| anyhow!("failed to bind the callers' listener: {e}"))?;
 
-        let reach = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
-        let calls = StoreCalls::new(clock, Arc::clone(&reach));
-        let relay = Relay::open(clock, Arc::clone(&reach));
+        let store_health = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
+        let store_calls = StoreCalls::new(clock, Arc::clone(&store_health));
+        let relay = Relay::open(clock, Arc::clone(&store_health));
         let peers = Peers::default();
-        let feed = FollowContext {
-            store_health: Arc::clone(&reach),
+        let follower_deps = FollowerDeps {
+            store_health: Arc::clone(&store_health),
             relay: relay.clone(),
             peers: peers.clone(),
         };
-        let bank = Budgets::open(clock, Arc::clone(&log));
+        let budgets = Budgets::open(clock, Arc::clone(&log));
         let pool = Arc::new(Mutex::new(new_pool(&fleet_settings)));
         let dialer = Dialer::default();
         let notices = Notices::default();
         let config = Config::open(ConfigDeps {
             dialect: Arc::clone(&dialect),
-            bank: bank.clone(),
+            budgets: budgets.clone(),
             log: Arc::clone(&log),
             notices: notices.clone(),
             relay: relay.clone(),
             pool: Arc::clone(&pool),
-            cold_start_tolerance: cold_bounds(&fleet_settings),
+            cold_start_tolerance: cold_start_tolerance(&fleet_settings),
         });
         let evacuations = Evacuations::open(
             Arc::clone(&dialect),
@@ -131,17 +131,17 @@
             clock,
         );
         let suspects = Suspects::open(&settings.name, clock, Arc::clone(&log), dialer.clone());
-        let listing = UpstreamList::open(
+        let upstream_list = UpstreamList::open(
             Arc::clone(&dialect),
             Arc::clone(&pool),
             dialer.clone(),
             suspects.clone(),
             notices.clone(),
-            Arc::clone(&reach),
+            Arc::clone(&store_health),
             Arc::clone(&log),
             clock,
         );
-        let me = Member {
+        let own = Member {
             id: new_incarnation(&settings.name),
             addr: peer_addr,
             zone: settings.zone.clone(),
@@ -149,17 +149,17 @@
         };
         let fleet = Fleet::open(
             &settings.name,
-            me,
+            own,
             &settings.peers.clone().unwrap_or_default(),
             fleet_settings.lease_least_ms.unwrap_or_default(),
-            calls.counted_store("instances", &store),
-            feed.clone(),
+            store_calls.counted_store("instances", &store),
+            follower_deps.clone(),
             Arc::clone(&log),
             Arc::clone(&pool),
             clock,
         );
         let traffic = Traffic::default();
-        let others = PeerNetwork {
+        let network = PeerNetwork {
             fleet: fleet.clone(),
             peers: peers.clone(),
             sender: Sender {
@@ -172,19 +172,19 @@
             dialect,
             clock,
             log: Arc::clone(&log),
-            metrics: Metrics::new(&calls, &suspects),
+            metrics: Metrics::new(&store_calls, &suspects),
             config: config.clone(),
-            bank: bank.clone(),
+            budgets: budgets.clone(),
             pool,
-            listing: listing.clone(),
+            upstream_list: upstream_list.clone(),
             dialer: dialer.clone(),
             request_memory: Mutex::new(RequestMemory::new(fleet_settings.memory_mb)),
             link: Mutex::new(Link::new(fleet_settings.link_mbps)),
             retry_budget: Mutex::new(RetryBudget::new(retry_limits(&fleet_settings))),
             fleet: fleet.clone(),
-            others: others.clone(),
+            network: network.clone(),
             suspects: suspects.clone(),
-            reach: Arc::clone(&reach),
+            store_health: Arc::clone(&store_health),
             zone: settings.zone.clone(),
             stopping: AtomicBool::new(false),
             refusing: AtomicBool::new(false),
@@ -192,50 +192,63 @@
         });
 
         config.spawn(
-            calls.counted_store("config", &store),
-            feed.clone(),
+            store_calls.counted_store("config", &store),
+            follower_deps.clone(),
             evacuations.clone(),
         );
-        listing.spawn(calls.counted_store("upstreams", &store), feed);
+        upstream_list.spawn(
+            store_calls.counted_store("upstreams", &store),
+            follower_deps,
+        );
         fleet.spawn();
-        notices.spawn(&others, &config);
-        let desk = PeerService {
-            bank: bank.clone(),
+        notices.spawn(&network, &config);
+        let peer_service = PeerService {
+            budgets: budgets.clone(),
             suspects: suspects.clone(),
             notice_handler: NoticeHandler {
                 notices,
                 config,
-                upstreams: listing,
+                upstream_list,
                 evacuations,
                 relay,
             },
             traffic: traffic.clone(),
         };
-        suspects.spawn_gossip(&others);
-        desk.notice_handler.spawn_limit_query(&others);
-        let kept = SuspectStore {
+        suspects.spawn_gossip(&network);
+        peer_service.notice_handler.spawn_limit_query(&network);
+        let suspect_store = SuspectStore {
             suspects,
             fleet: fleet.clone(),
-            store: calls.counted_store("suspects", &store),
-            store_health: Arc::clone(&reach),
+            store: store_calls.counted_store("suspects", &store),
+            store_health: Arc::clone(&store_health),
             log: Arc::clone(&log),
             revisions: HashMap::new(),
         };
-        tokio::spawn(kept.run());
-        datagram::spawn(&others, Arc::clone(&router.pool), desk.clone(), clock);
-        let peer = peers::serve(server, desk.clone());
-        peers.spawn_sync(fleet.clone(), desk, Arc::clone(&reach), Arc::clone(&log));
-        bank.spawn(budgets::Dependencies {
-            store: calls.counted_store("budgets", &store),
-            reach,
+        tokio::spawn(suspect_store.run());
+        datagram::spawn(
+            &network,
+            Arc::clone(&router.pool),
+            peer_service.clone(),
+            clock,
+        );
+        let peer = peers::serve(server, peer_service.clone());
+        peers.spawn_sync(
+            fleet.clone(),
+            peer_service,
+            Arc::clone(&store_health),
+            Arc::clone(&log),
+        );
+        budgets.spawn(BudgetDeps {
+            store: store_calls.counted_store("budgets", &store),
+            store_health,
             fleet,
             peers,
-            sender: others.sender,
+            sender: network.sender,
             recovery_ms: fleet_settings.recovery_secs.map(|s| (s * 1000.0) as u64),
         });
         traffic.spawn_logging(&router.fleet, &dialer, &log);
         spawn_sweep(dialer);
-        calls.spawn_logging(Arc::clone(&log));
+        store_calls.spawn_logging(Arc::clone(&log));
 
         let (phase, phase_rx) = watch::channel(Phase::Serving);
         listen::serve(listener, Arc::clone(&router), phase_rx);
@@ -273,7 +286,7 @@
         let stop_timeout = fleet_settings.stop_secs.map(Duration::from_secs_f64);
         Ok(Instance {
             router,
-            calls,
+            store_calls,
             phase,
             stop_timeout: stop_timeout.unwrap_or(DEFAULT_STOP_TIMEOUT),
             ready,
@@ -325,14 +338,14 @@
         let mut all_ended = timeout_at(accept_until, self.wait_idle()).await.is_ok();
         router.refusing.store(true, Ordering::Relaxed);
         // Returns most tokens while the last requests end, because there is little time afterwards.
-        router.bank.release_all().await;
+        router.budgets.release_all().await;
         if !all_ended {
             all_ended = timeout_at(serve_until, self.wait_idle()).await.is_ok();
         }
-        let returned = timeout(CLEANUP_PERIOD / 2, router.bank.release_all()).await == Ok(true);
+        let returned = timeout(CLEANUP_PERIOD / 2, router.budgets.release_all()).await == Ok(true);
         // If the lease is not ended by then, it expires.
         let _ = timeout(CLEANUP_PERIOD / 4, router.fleet.deregister()).await;
-        self.calls.log_totals(&router.log);
+        self.store_calls.log_totals(&router.log);
         let detail = format_args!("cut={} handed_back={returned}", self.in_flight());
         router.log.event(Event::Stopped, detail);
         self.ready.stop(CLOSE_TIMEOUT);
@@ -363,7 +376,7 @@
     }
 }
 
-fn cold_bounds(fleet: &conf::Fleet) -> ColdStartTolerance {
+fn cold_start_tolerance(fleet: &conf::Fleet) -> ColdStartTolerance {
     ColdStartTolerance {
         factor: fleet.cold_over.unwrap_or(1.0),
         slack: fleet.cold_slack.unwrap_or_default(),
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -65,7 +65,7 @@
 }
 
 impl Metrics {
-    pub(crate) fn new(calls: &StoreCalls, suspects: &Suspects) -> Metrics {
+    pub(crate) fn new(store_calls: &StoreCalls, suspects: &Suspects) -> Metrics {
         let metrics = Metrics {
             registry: Mutex::new(Registry::with_prefix("oriolehitch")),
             requests: Family::default(),
@@ -80,11 +80,11 @@
             prompt_tokens: Counter::default(),
             rate_limited_upstreams: Gauge::default(),
         };
-        metrics.register(calls, suspects);
+        metrics.register(store_calls, suspects);
         metrics
     }
 
-    fn register(&self, calls: &StoreCalls, suspects: &Suspects) {
+    fn register(&self, store_calls: &StoreCalls, suspects: &Suspects) {
         let mut registry = self.registry.lock().expect("lock not poisoned");
         let r = &mut *registry;
         r.register(
@@ -122,7 +122,7 @@
             "Upstreams that name a request rate",
             self.rate_limited_upstreams.clone(),
         );
-        r.register("store_calls", "Calls of the store", calls.counters());
+        r.register("store_calls", "Calls of the store", store_calls.counters());
         let (ends, refused) = suspects.metrics();
         r.register("request_ends", "Upstreams' ends laid to requests", ends);
         r.register("suspects", "Requests refused for ends", refused);
--- a/crates/proxy/src/notices.rs
+++ b/crates/proxy/src/notices.rs
@@ -108,9 +108,9 @@
     async fn send_anti_entropy(self, network: PeerNetwork, config: Config) {
         loop {
             sleep(ANTI_ENTROPY_INTERVAL).await;
-            let page = self.gossip().anti_entropy_batch();
-            if !page.is_empty() {
-                send(&network, &config, page, 1);
+            let batch = self.gossip().anti_entropy_batch();
+            if !batch.is_empty() {
+                send(&network, &config, batch, 1);
             }
         }
     }
@@ -146,7 +146,7 @@
 pub(crate) struct NoticeHandler {
     pub(crate) notices: Notices,
     pub(crate) config: Config,
-    pub(crate) upstreams: UpstreamList,
+    pub(crate) upstream_list: UpstreamList,
     pub(crate) evacuations: Evacuations,
     pub(crate) relay: Relay,
 }
@@ -194,7 +194,7 @@
         match notice {
             Notice::Version { version } => self.relay.record_config_version(version),
             Notice::Revoked { key, version } => self.config.revoke_key(key, version),
-            Notice::Leaving { upstream } => self.upstreams.mark_leaving(&upstream, "peer"),
+            Notice::Leaving { upstream } => self.upstream_list.mark_leaving(&upstream, "peer"),
             Notice::Limit {
                 upstream,
                 changes,
@@ -202,10 +202,10 @@
             } => {
                 let rate = rate.map(RateLimit::from_bits);
                 let limit = VersionedLimit { rate, changes };
-                self.upstreams.merge_limit(&upstream, limit);
+                self.upstream_list.merge_limit(&upstream, limit);
             }
             Notice::Gone { upstream, revision } => {
-                self.upstreams.record_removal(&upstream, revision)
+                self.upstream_list.record_removal(&upstream, revision)
             }
             Notice::Evacuation {
                 zone, evacuated, ..
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -65,21 +65,22 @@
 /// Tokens that a stopping instance hands over to another one because it can't return them to the
 /// store.
 #[derive(Clone, Serialize, Deserialize)]
-pub(crate) struct TokenHandover {
+pub(crate) struct TokenTransfer {
     pub(crate) customer: String,
     /// Total of all tokens that the sender has ever transferred to the receiver.
-    pub(crate) given: CumulativeTotal,
+    #[serde(rename = "given")]
+    pub(crate) transferred: CumulativeTotal,
     /// Total that the sender has spent and forwarded to the receiver, since nobody else would write
     /// it to the record.
     pub(crate) spent: CumulativeTotal,
 }
 
 /// Log lines about transfers between instances print this type as `Gift`.
-impl fmt::Debug for TokenHandover {
+impl fmt::Debug for TokenTransfer {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Gift")
             .field("customer", &self.customer)
-            .field("given", &self.given)
+            .field("given", &self.transferred)
             .field("spent", &self.spent)
             .finish()
     }
@@ -109,7 +110,7 @@
 /// Answers the calls of other instances.
 #[derive(Clone)]
 pub(crate) struct PeerService {
-    pub(crate) bank: Budgets,
+    pub(crate) budgets: Budgets,
     pub(crate) suspects: Suspects,
     pub(crate) notice_handler: NoticeHandler,
     pub(crate) traffic: Traffic,
@@ -119,16 +120,16 @@
     /// Records what the requesting instance knows, and returns what it may be missing.
     fn sync_response(&self, request: &SyncRequest) -> SyncResponse {
         for id in &request.leaving {
-            self.notice_handler.upstreams.mark_leaving(id, "peer");
+            self.notice_handler.upstream_list.mark_leaving(id, "peer");
         }
         let active = self.notice_handler.config.active();
         let newer = active.filter(|a| a.routing.version > request.version);
         SyncResponse {
             config: newer.map(|a| String::from_utf8_lossy(&a.raw).into_owned()),
             upstreams_revision: self.notice_handler.relay.current_revision(Topic::Upstreams),
-            leaving: self.notice_handler.upstreams.leaving_incarnations(),
+            leaving: self.notice_handler.upstream_list.leaving_incarnations(),
             evacuations: self.notice_handler.notices.evacuations(),
-            limits: self.notice_handler.upstreams.limit_notices(),
+            limits: self.notice_handler.upstream_list.limit_notices(),
         }
     }
 }
@@ -149,21 +150,21 @@
     let mut module = RpcModule::new(service);
     let take = module.register_method("take", |params, service, _| -> RpcResult<CumulativeTotal> {
         let request: TokenRequest = params.one()?;
-        Ok(service.bank.transfer_share(&request))
+        Ok(service.budgets.transfer_share(&request))
     });
     take.expect("method names are unique");
     let gift = module.register_method("gift", |params, service, _| -> RpcResult<bool> {
-        let handover: TokenHandover = params.one()?;
-        Ok(service.bank.receive_transfer(&handover))
+        let transfer: TokenTransfer = params.one()?;
+        Ok(service.budgets.receive_transfer(&transfer))
     });
     gift.expect("method names are unique");
     let draw = module.register_async_method("draw", |params, service, _| async move {
         let draw: DrawRequest = params.one()?;
-        RpcResult::Ok(service.bank.handle_draw(&draw).await)
+        RpcResult::Ok(service.budgets.handle_draw(&draw).await)
     });
     draw.expect("method names are unique");
     let ping = module.register_method("ping", |_, service, _| -> RpcResult<Option<String>> {
-        Ok((!service.bank.is_shutting_down()).then(|| service.bank.own_id()))
+        Ok((!service.budgets.is_shutting_down()).then(|| service.budgets.own_id()))
     });
     ping.expect("method names are unique");
     let news = module.register_method("news", |params, service, _| -> RpcResult<SyncResponse> {
@@ -187,7 +188,7 @@
     );
     suspects.expect("method names are unique");
     let limits = module.register_method("limits", |_, service, _| -> RpcResult<Vec<Notice>> {
-        Ok(service.notice_handler.upstreams.limit_notices())
+        Ok(service.notice_handler.upstream_list.limit_notices())
     });
     limits.expect("method names are unique");
     let trial = module.register_method("trial", |params, service, _| -> RpcResult<TrialResponse> {
@@ -372,12 +373,12 @@
     ///
     /// Returns why there is no response. The tokens are then lost to the budget unless another
     /// handover follows.
-    pub(crate) async fn hand_over_tokens(
+    pub(crate) async fn transfer_tokens(
         &self,
         addr: SocketAddr,
-        handover: &TokenHandover,
+        transfer: &TokenTransfer,
     ) -> Result<bool, String> {
-        self.call_with_timeout(addr, "gift", handover).await
+        self.call_with_timeout(addr, "gift", transfer).await
     }
 
     /// Fetches what is newer than what is known here from an instance that may know more.
@@ -426,7 +427,7 @@
     async fn sync_from(&self, addr: SocketAddr, service: &PeerService, log: &Log) {
         let request = SyncRequest {
             version: service.notice_handler.config.version(),
-            leaving: service.notice_handler.upstreams.leaving_incarnations(),
+            leaving: service.notice_handler.upstream_list.leaving_incarnations(),
         };
         let response: SyncResponse = match self.call_with_timeout(addr, "news", &request).await {
             Ok(response) => response,
@@ -450,14 +451,14 @@
         for upstream in &response.leaving {
             service
                 .notice_handler
-                .upstreams
+                .upstream_list
                 .mark_leaving(upstream, "peer");
         }
         let relay = &service.notice_handler.relay;
         if response.upstreams_revision > relay.revision(Topic::Upstreams) {
             if let Some(response) = self.fetch_upstreams(addr, relay).await {
                 let update = relay.apply_delta(Topic::Upstreams, response);
-                service.notice_handler.upstreams.apply(update);
+                service.notice_handler.upstream_list.apply(update);
             }
         }
     }
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -143,13 +143,13 @@
             deadline,
             tried: SmallVec::new(),
             attempts: 0,
-            charge: None,
+            reservation: None,
             may_have_response: false,
             timing: AttemptTiming::default(),
             _in_flight: in_flight,
         };
-        self.suspects.admit(&self.others, ctx.digest).await?;
-        ctx.charge = self.charge(&active, &ctx).await?;
+        self.suspects.admit(&self.network, ctx.digest).await?;
+        ctx.reservation = self.reserve_tokens(&active, &ctx).await?;
         if ctx.route.streamed {
             stream::respond(ctx).await
         } else {
@@ -250,7 +250,7 @@
     }
 
     /// Reserves the maximum number of tokens that a request can cost.
-    async fn charge(
+    async fn reserve_tokens(
         &self,
         active: &ActiveConfig,
         ctx: &RequestContext,
@@ -264,13 +264,13 @@
         }
         let began_at = self.clock.now();
         let until = self.clock.at(ctx.deadline);
-        let reserved = self.bank.reserve(customer, tokens, until).await;
+        let reserved = self.budgets.reserve(customer, tokens, until).await;
         let waited_ms = self.clock.now() - began_at;
         self.metrics
             .token_wait_seconds
             .observe(waited_ms as f64 / 1000.0);
         let error = match reserved {
-            Ok(charge) => return Ok(Some(charge)),
+            Ok(reservation) => return Ok(Some(reservation)),
             Err(error) => error,
         };
         let (kind, why, retry_ms) = match error {
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -56,23 +56,23 @@
     /// Versions of the configuration that are known to exist but have not arrived here.
     catch_up: Mutex<CatchUp>,
     /// Wakes the tasks that wait for the head of a reader.
-    head_received: Notify,
+    heartbeat_received: Notify,
     /// Wakes the task that announces how far this instance has read.
     replica_advanced: Notify,
 }
 
 impl Relay {
-    pub(crate) fn open(clock: Clock, reach: Arc<StoreHealth>) -> Relay {
+    pub(crate) fn open(clock: Clock, store_health: Arc<StoreHealth>) -> Relay {
         Relay(Arc::new(Inner {
             clock,
-            store_health: reach,
+            store_health,
             readers: Mutex::new(Readers::new(clock.now())),
             zone_peers: Mutex::default(),
             replicas: Mutex::default(),
             list_fetches: Mutex::new(FetchLimiter::for_lists()),
             config_fetches: Mutex::new(FetchLimiter::for_configs()),
             catch_up: Mutex::default(),
-            head_received: Notify::new(),
+            heartbeat_received: Notify::new(),
             replica_advanced: Notify::new(),
         }))
     }
@@ -88,7 +88,7 @@
         readers.set_zone(own, zone);
         drop(readers);
         *self.0.zone_peers.lock().expect("lock not poisoned") = zone_peers;
-        self.0.head_received.notify_waiters();
+        self.0.heartbeat_received.notify_waiters();
     }
 
     /// Returns the revision up to which a topic is known; 0 for none.
@@ -245,9 +245,9 @@
     }
 
     /// Waits for the head of a reader, at most for one heartbeat interval.
-    pub(crate) async fn wait_for_head(&self) {
+    pub(crate) async fn wait_for_heartbeat(&self) {
         // The caller checks its sources again either way.
-        let _ = timeout(HEARTBEAT_INTERVAL, self.0.head_received.notified()).await;
+        let _ = timeout(HEARTBEAT_INTERVAL, self.0.heartbeat_received.notified()).await;
     }
 
     /// Returns whether other instances probe the unavailable store, and announce when it is
@@ -302,12 +302,12 @@
     pub(crate) fn serve_delta(&self, request: &DeltaRequest) -> DeltaResponse {
         let replicas = self.0.replicas.lock().expect("lock not poisoned");
         let replica = &replicas[request.topic as usize];
-        let serving = match request.topic {
+        let limiter = match request.topic {
             Topic::Config if replica.revision() > request.revision => Some(&self.0.config_fetches),
             Topic::Upstreams if request.revision == 0 => Some(&self.0.list_fetches),
             _ => None,
         };
-        if serving.is_some_and(|s| !self.admit(s, request)) {
+        if limiter.is_some_and(|l| !self.admit(l, request)) {
             return DeltaResponse {
                 delta: Delta::Changed(Vec::new()),
                 revision: 0,
@@ -329,10 +329,10 @@
         }
     }
 
-    fn admit(&self, serving: &Mutex<FetchLimiter>, request: &DeltaRequest) -> bool {
+    fn admit(&self, limiter: &Mutex<FetchLimiter>, request: &DeltaRequest) -> bool {
         let now = self.0.clock.now();
-        let mut serving = serving.lock().expect("lock not poisoned");
-        serving.admit(now, request.fetch_id)
+        let mut limiter = limiter.lock().expect("lock not poisoned");
+        limiter.admit(now, request.fetch_id)
     }
 
     /// Applies the complete answer of another instance, and returns it as an update.
@@ -355,22 +355,22 @@
     }
 
     /// Records the head of a reader.
-    pub(crate) fn receive_head(&self, from: SocketAddr, head: Heartbeat) {
+    pub(crate) fn receive_heartbeat(&self, from: SocketAddr, heartbeat: Heartbeat) {
         let now = self.0.clock.now();
-        if let Some(ago_ms) = head.ms_since_recovery {
+        if let Some(ago_ms) = heartbeat.ms_since_recovery {
             self.0
                 .store_health
                 .report_recovery(now.saturating_sub(ago_ms));
         }
-        let out = head.store_unreachable;
+        let unavailable = heartbeat.store_unreachable;
         let mut readers = self.0.readers.lock().expect("lock not poisoned");
-        readers.record_heartbeat(now, from, head);
-        let all_out = readers.all_report_store_unreachable(now);
+        readers.record_heartbeat(now, from, heartbeat);
+        let all_unavailable = readers.all_report_store_unreachable(now);
         drop(readers);
-        self.0.head_received.notify_waiters();
-        if all_out {
+        self.0.heartbeat_received.notify_waiters();
+        if all_unavailable {
             self.0.store_health.report_unavailable();
-        } else if !out && self.0.store_health.is_unavailable() {
+        } else if !unavailable && self.0.store_health.is_unavailable() {
             // The store is available to that reader. It may not be from here, so it is probed.
             self.0.store_health.request_probe();
         }
@@ -378,25 +378,25 @@
 
     /// Waits until this instance has read something new, at most for one heartbeat interval, and
     /// returns its head; `None` if no instance follows this one.
-    pub(crate) async fn next_head(&self) -> Option<Heartbeat> {
+    pub(crate) async fn next_heartbeat(&self) -> Option<Heartbeat> {
         // The head is sent either way: it is also the sign that this instance still reads.
         let _ = timeout(HEARTBEAT_INTERVAL, self.0.replica_advanced.notified()).await;
         let now = self.0.clock.now();
-        let out = self.0.store_health.is_unavailable();
+        let unavailable = self.0.store_health.is_unavailable();
         let readers = self.0.readers.lock().expect("lock not poisoned");
-        if !readers.sends_heartbeats(now, out) {
+        if !readers.sends_heartbeats(now, unavailable) {
             return None;
         }
         let rank = readers.rank();
         drop(readers);
         let replicas = self.0.replicas.lock().expect("lock not poisoned");
-        let back_at = self.0.store_health.recovered_at();
+        let recovered_at = self.0.store_health.recovered_at();
         Some(Heartbeat {
             rank,
             revisions: replicas.iter().map(Replica::revision).collect(),
-            store_unreachable: out,
+            store_unreachable: unavailable,
             last_call_failed: self.0.store_health.is_failing(),
-            ms_since_recovery: (back_at > 0).then(|| now.saturating_sub(back_at)),
+            ms_since_recovery: (recovered_at > 0).then(|| now.saturating_sub(recovered_at)),
         })
     }
 }
--- a/crates/proxy/src/request_context.rs
+++ b/crates/proxy/src/request_context.rs
@@ -93,7 +93,7 @@
     pub(crate) tried: SmallVec<[UpstreamKey; 4]>,
     /// How many times the request was sent.
     pub(crate) attempts: u32,
-    pub(crate) charge: Option<Reservation>,
+    pub(crate) reservation: Option<Reservation>,
     /// Whether an upstream sent a part of a response, or may have sent one that was lost.
     pub(crate) may_have_response: bool,
     pub(crate) timing: AttemptTiming,
@@ -128,8 +128,8 @@
 
     /// Counts response tokens that are sent to the caller.
     pub(crate) fn record_delivered_tokens(&mut self, tokens: u64) {
-        if let Some(charge) = &mut self.charge {
-            charge.record_delivered(tokens);
+        if let Some(reservation) = &mut self.reservation {
+            reservation.record_delivered(tokens);
         }
         self.router.metrics.delivered_tokens.inc_by(tokens);
     }
@@ -158,7 +158,7 @@
             self.timing.expected_ms,
             self.timing.uncached_tokens,
             self.info.prompt_tokens,
-            self.charge.as_ref().map_or(0, Reservation::spent),
+            self.reservation.as_ref().map_or(0, Reservation::spent),
             self.digest,
         );
         self.router
--- a/crates/proxy/src/router.rs
+++ b/crates/proxy/src/router.rs
@@ -27,17 +27,17 @@
     pub(crate) log: Arc<Log>,
     pub(crate) metrics: Metrics,
     pub(crate) config: Config,
-    pub(crate) bank: Budgets,
+    pub(crate) budgets: Budgets,
     pub(crate) pool: Arc<Mutex<Pool>>,
-    pub(crate) listing: UpstreamList,
+    pub(crate) upstream_list: UpstreamList,
     pub(crate) dialer: Dialer,
     pub(crate) request_memory: Mutex<RequestMemory>,
     pub(crate) link: Mutex<Link>,
     pub(crate) retry_budget: Mutex<RetryBudget>,
     pub(crate) fleet: Fleet,
-    pub(crate) others: PeerNetwork,
+    pub(crate) network: PeerNetwork,
     pub(crate) suspects: Suspects,
-    pub(crate) reach: Arc<StoreHealth>,
+    pub(crate) store_health: Arc<StoreHealth>,
     pub(crate) zone: String,
     pub(crate) stopping: AtomicBool,
     /// Whether new requests are refused, because they could not end before a planned stop does.
@@ -49,7 +49,7 @@
 impl Router {
     /// Returns whether load balancers should send new connections to this instance.
     pub(crate) fn is_ready(&self) -> bool {
-        let is_loaded = self.config.active().is_some() && self.listing.is_loaded();
+        let is_loaded = self.config.active().is_some() && self.upstream_list.is_loaded();
         is_loaded && !self.is_stopping() && !self.is_link_congested()
     }
 
--- a/crates/proxy/src/store_calls.rs
+++ b/crates/proxy/src/store_calls.rs
@@ -53,17 +53,17 @@
 
 struct Inner {
     clock: Clock,
-    reach: Arc<StoreHealth>,
+    store_health: Arc<StoreHealth>,
     counters: Family<CallLabels, Counter>,
     /// The same counters by labels, because a `Family` can't be iterated over.
     by_labels: Mutex<BTreeMap<CallLabels, Counter>>,
 }
 
 impl StoreCalls {
-    pub(crate) fn new(clock: Clock, reach: Arc<StoreHealth>) -> StoreCalls {
+    pub(crate) fn new(clock: Clock, store_health: Arc<StoreHealth>) -> StoreCalls {
         StoreCalls(Arc::new(Inner {
             clock,
-            reach,
+            store_health,
             counters: Family::default(),
             by_labels: Mutex::default(),
         }))
@@ -81,7 +81,7 @@
         store: &Arc<dyn Store>,
     ) -> Arc<dyn Store> {
         Arc::new(CountingStore {
-            calls: self.clone(),
+            store_calls: self.clone(),
             task,
             store: Arc::clone(store),
         })
@@ -89,11 +89,11 @@
 
     /// Starts a task that logs the totals periodically.
     pub(crate) fn spawn_logging(&self, log: Arc<Log>) {
-        let calls = self.clone();
+        let store_calls = self.clone();
         tokio::spawn(async move {
             loop {
                 sleep(LOG_INTERVAL).await;
-                calls.log_totals(&log);
+                store_calls.log_totals(&log);
             }
         });
     }
@@ -101,24 +101,24 @@
     /// Logs the totals.
     pub(crate) fn log_totals(&self, log: &Log) {
         let counters = self.0.by_labels.lock().expect("lock not poisoned");
-        let field = |(call, count): (&CallLabels, &Counter)| format!("{call}={}", count.get());
+        let field = |(labels, count): (&CallLabels, &Counter)| format!("{labels}={}", count.get());
         let text: Vec<String> = counters.iter().map(field).collect();
         drop(counters);
         log.event(Event::StoreCalls, text.join(" "));
     }
 
-    fn count(&self, call: CallLabels) {
+    fn count(&self, labels: CallLabels) {
         let mut counters = self.0.by_labels.lock().expect("lock not poisoned");
-        let counter = || self.0.counters.get_or_create(&call).clone();
-        counters.entry(call).or_insert_with(counter).inc();
+        let counter = || self.0.counters.get_or_create(&labels).clone();
+        counters.entry(labels).or_insert_with(counter).inc();
     }
 }
 
 /// A call in flight, which is counted when dropped. One that is dropped without a result was
 /// abandoned by its caller; it may have been sent.
 struct PendingCall {
-    calls: StoreCalls,
-    call: CallLabels,
+    store_calls: StoreCalls,
+    labels: CallLabels,
     began_at: u64,
 }
 
@@ -126,15 +126,15 @@
     /// Records the result, and whether the store is reachable. `end` returns the label of a
     /// response.
     fn record_result<T>(&mut self, result: &Result<T, StoreError>, end: fn(&T) -> &'static str) {
-        let reach = &self.calls.0.reach;
+        let store_health = &self.store_calls.0.store_health;
         match result {
             Ok(response) => {
-                reach.record_response();
-                self.call.end = end(response);
+                store_health.record_response();
+                self.labels.end = end(response);
             }
             Err(failure) => {
-                reach.record_failure(self.began_at, failure);
-                self.call.end = match failure {
+                store_health.record_failure(self.began_at, failure);
+                self.labels.end = match failure {
                     StoreError::Refused(_) => "refused",
                     StoreError::Unknown(_) => "unknown",
                 };
@@ -145,13 +145,13 @@
 
 impl Drop for PendingCall {
     fn drop(&mut self) {
-        self.calls.count(self.call);
+        self.store_calls.count(self.labels);
     }
 }
 
 /// A store whose calls are counted.
 struct CountingStore {
-    calls: StoreCalls,
+    store_calls: StoreCalls,
     task: &'static str,
     store: Arc<dyn Store>,
 }
@@ -167,15 +167,15 @@
     where
         T: 'a,
     {
-        let is_out = self.calls.0.reach.is_unavailable();
+        let is_unavailable = self.store_calls.0.store_health.is_unavailable();
         let mut pending = PendingCall {
-            began_at: self.calls.0.clock.now(),
-            calls: self.calls.clone(),
-            call: CallLabels {
+            began_at: self.store_calls.0.clock.now(),
+            store_calls: self.store_calls.clone(),
+            labels: CallLabels {
                 task: self.task,
                 call,
                 end: "given_up",
-                store: if is_out { "out" } else { "in_reach" },
+                store: if is_unavailable { "out" } else { "in_reach" },
             },
         };
         async move {
@@ -191,20 +191,24 @@
         Box::pin(self.count_call("get", self.store.get(key), |_| "done"))
     }
 
-    fn list<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
-        let call = match reading {
+    fn list<'a>(&'a self, prefix: &'a str, consistency: Consistency) -> StoreFuture<'a, Listing> {
+        let call = match consistency {
             Consistency::Linearizable => "list",
             Consistency::Serializable => "old_list",
         };
-        Box::pin(self.count_call(call, self.store.list(prefix, reading), |_| "done"))
+        Box::pin(self.count_call(call, self.store.list(prefix, consistency), |_| "done"))
     }
 
-    fn first_page<'a>(&'a self, prefix: &'a str, reading: Consistency) -> StoreFuture<'a, Listing> {
-        Box::pin(
-            self.count_call("first_page", self.store.first_page(prefix, reading), |_| {
-                "done"
-            }),
-        )
+    fn first_page<'a>(
+        &'a self,
+        prefix: &'a str,
+        consistency: Consistency,
+    ) -> StoreFuture<'a, Listing> {
+        Box::pin(self.count_call(
+            "first_page",
+            self.store.first_page(prefix, consistency),
+            |_| "done",
+        ))
     }
 
     fn watch<'a>(
@@ -213,7 +217,7 @@
         after: i64,
         wait_ms: u64,
     ) -> StoreFuture<'a, WatchResult> {
-        let end = |news: &WatchResult| match news {
+        let end = |result: &WatchResult| match result {
             WatchResult::Changes { changes, .. } if changes.is_empty() => "nothing",
             WatchResult::Changes { .. } => "news",
             WatchResult::Compacted => "compacted",
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -12,7 +12,7 @@
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 use serde::{Deserialize, Serialize};
-use suspect::{Admission, CrashHistory, Digest, SuspectRecord, SuspectTable as Table};
+use suspect::{Admission, CrashHistory, Digest, SuspectRecord, SuspectTable};
 use tokio::sync::Notify;
 use tokio::time::{sleep, Instant};
 
@@ -59,7 +59,7 @@
     clock: Clock,
     log: Arc<Log>,
     dialer: Dialer,
-    table: Mutex<Table>,
+    table: Mutex<SuspectTable>,
     /// Wakes the task that sends updates to other instances.
     changed: Notify,
     /// Wakes the task that writes to the store.
@@ -74,7 +74,7 @@
             clock,
             log,
             dialer,
-            table: Mutex::new(Table::new(name)),
+            table: Mutex::new(SuspectTable::new(name)),
             changed: Notify::new(),
             unsaved: Notify::new(),
             crash_counter: Counter::default(),
@@ -88,12 +88,12 @@
         (self.0.crash_counter.clone(), self.0.refused_gauge.clone())
     }
 
-    fn table(&self) -> MutexGuard<'_, Table> {
+    fn table(&self) -> MutexGuard<'_, SuspectTable> {
         self.0.table.lock().expect("lock not poisoned")
     }
 
     /// Updates the table, and wakes the tasks that send and store what has changed.
-    fn update<T>(&self, change: impl FnOnce(&mut Table, u64) -> T) -> T {
+    fn update<T>(&self, change: impl FnOnce(&mut SuspectTable, u64) -> T) -> T {
         let now = self.0.clock.now();
         let mut table = self.table();
         let result = change(&mut table, now);
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -14,7 +14,7 @@
 
 use crate::dialect::Dialect;
 use crate::event::Event;
-use crate::follower::{FollowContext, Follower, Update, WATCH_TIMEOUT_MS};
+use crate::follower::{Follower, FollowerDeps, Update, WATCH_TIMEOUT_MS};
 use crate::log::Log;
 use crate::notices::Notices;
 use crate::replication::Topic;
@@ -74,7 +74,7 @@
         dialer: Dialer,
         suspects: Suspects,
         notices: Notices,
-        reach: Arc<StoreHealth>,
+        store_health: Arc<StoreHealth>,
         log: Arc<Log>,
         clock: Clock,
     ) -> UpstreamList {
@@ -84,7 +84,7 @@
             dialer,
             suspects,
             notices,
-            store_health: reach,
+            store_health,
             log,
             clock,
             state: Mutex::default(),
@@ -189,14 +189,14 @@
     }
 
     /// Starts the tasks that follow the list.
-    pub(crate) fn spawn(&self, store: Arc<dyn Store>, context: FollowContext) {
+    pub(crate) fn spawn(&self, store: Arc<dyn Store>, follower_deps: FollowerDeps) {
         tokio::spawn(self.clone().recheck_deferred());
         let list = self.clone();
         tokio::spawn(async move {
             let prefix = list.0.dialect.upstream_prefix().to_string();
             let mut follower = Follower::open(
                 store,
-                context,
+                follower_deps,
                 Topic::Upstreams,
                 &prefix,
                 None,
--- a/crates/proxy/tests/encoding/mod.rs
+++ b/crates/proxy/tests/encoding/mod.rs
@@ -9,7 +9,7 @@
 mod texts;
 
 use crate::budgets::{DrawRequest, DrawResponse};
-use crate::peers::{TokenHandover, TokenRequest};
+use crate::peers::{TokenRequest, TokenTransfer};
 use crate::replication::{DeltaRequest, DeltaResponse};
 use crate::suspects::{TrialRequest, TrialResponse};
 
@@ -21,7 +21,7 @@
 #[test]
 fn instance_messages_keep_their_encoding() {
     assert_kept::<TokenRequest>(include_str!("../data/outer/wants.json"));
-    assert_kept::<TokenHandover>(include_str!("../data/outer/gifts.json"));
+    assert_kept::<TokenTransfer>(include_str!("../data/outer/gifts.json"));
     assert_kept::<DrawRequest>(include_str!("../data/outer/draws.json"));
     assert_kept::<DrawResponse>(include_str!("../data/outer/drawn.json"));
     assert_kept::<DeltaRequest>(include_str!("../data/outer/asks.json"));
--- a/crates/proxy/tests/encoding/texts.rs
+++ b/crates/proxy/tests/encoding/texts.rs
@@ -6,7 +6,7 @@
 use place::{ChooseError, RateLimit};
 
 use crate::attempt::AttemptError;
-use crate::peers::TokenHandover;
+use crate::peers::TokenTransfer;
 
 /// A text in a variant.
 fn why() -> String {
@@ -59,7 +59,7 @@
 #[test]
 fn gifts_keep_their_text() {
     let sample = r#"{"customer":"alpha","given":{"from":"r1.6a","to":"r2.6b","total":90},"spent":{"from":"r1.6a","to":"r2.6b","total":30}}"#;
-    let gift: TokenHandover = serde_json::from_str(sample).expect("a sample");
+    let gift: TokenTransfer = serde_json::from_str(sample).expect("a sample");
     let text = r#"Gift { customer: "alpha", given: Told { from: "r1.6a", to: "r2.6b", total: 90 }, spent: Told { from: "r1.6a", to: "r2.6b", total: 30 } }"#;
     assert_eq!(format!("{gift:?}"), text);
     let given: [Result<bool, String>; 2] = [Ok(true), Err(why())];
