--- a/crates/trial/src/fault.rs
+++ b/crates/trial/src/fault.rs
@@ -3,9 +3,9 @@
 use rand::Rng;
 
 use crate::item::Item;
-use crate::job::{Fate, Phase};
-use crate::node::State;
-use crate::world::{World, RESTART, RETRY, RETRY_PCT};
+use crate::node::NodeState;
+use crate::request::{Phase, RequestState};
+use crate::simulation::{Simulation, RESTART, RETRY, RETRY_PCT};
 
 /// One fault, or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,62 +13,62 @@
     /// An instance is killed; another with its name starts some seconds later.
     Kill(usize),
     /// An instance is paused for a time, in milliseconds.
-    Freeze(usize, u64),
+    Pause(usize, u64),
     /// An instance stops as planned; another with its name starts then.
-    Stop(usize),
+    PlannedStop(usize),
     /// The platform is reached by nobody.
-    Down(bool),
+    PlatformDown(bool),
     /// The platform takes this long, in milliseconds.
-    Slow(u64),
+    PlatformDelay(u64),
     /// This percentage of the platform's answers is lost.
-    Lose(u32),
+    PlatformReplyLoss(u32),
     /// A zone is cut from the others, and from the platform.
-    Cut(usize, bool),
+    Partition(usize, bool),
     /// A zone is cut from the others, but not from the platform.
-    CutPeers(usize, bool),
+    PeerPartition(usize, bool),
     /// A budget is topped up by some tokens, at an instance of a zone.
     TopUp(usize, u64, usize),
 }
 
-impl World {
+impl Simulation {
     pub(crate) fn fault(&mut self, i: usize) {
         let fault = self.trace.faults[i].1;
         self.note(|| format!("{fault:?}"));
         match fault {
             Fault::Kill(slot) => self.kill(slot),
-            Fault::Freeze(slot, ms) => {
+            Fault::Pause(slot, ms) => {
                 let node = self.slots[slot];
-                if self.nodes[node].frozen_until <= self.now {
+                if self.nodes[node].paused_until <= self.now {
                     self.nodes[node].frozen_since = self.now;
-                    self.nodes[node].frozen_until = self.now + ms;
+                    self.nodes[node].paused_until = self.now + ms;
                 }
             }
-            Fault::Stop(slot) => {
+            Fault::PlannedStop(slot) => {
                 let node = self.slots[slot];
-                if self.nodes[node].state == State::Up {
-                    self.nodes[node].state = State::Leaving;
+                if self.nodes[node].state == NodeState::Up {
+                    self.nodes[node].state = NodeState::Leaving;
                 }
             }
-            Fault::Down(down) => self.platform.faults.down = down,
-            Fault::Slow(ms) => self.platform.faults.slow_ms = ms,
-            Fault::Lose(pct) => self.platform.faults.lose_pct = pct,
-            Fault::Cut(zone, cut) => {
+            Fault::PlatformDown(down) => self.platform.faults.down = down,
+            Fault::PlatformDelay(ms) => self.platform.faults.delay_ms = ms,
+            Fault::PlatformReplyLoss(pct) => self.platform.faults.reply_loss_pct = pct,
+            Fault::Partition(zone, cut) => {
                 self.cut[zone] = cut;
                 self.cut_platform[zone] = cut;
             }
-            Fault::CutPeers(zone, cut) => self.cut[zone] = cut,
+            Fault::PeerPartition(zone, cut) => self.cut[zone] = cut,
             Fault::TopUp(account, tokens, zone) => self.top_up(account, tokens, zone),
         }
     }
 
     pub(crate) fn kill(&mut self, slot: usize) {
         let node = self.slots[slot];
-        if matches!(self.nodes[node].state, State::Dead | State::Left) {
+        if matches!(self.nodes[node].state, NodeState::Killed | NodeState::Left) {
             return;
         }
-        self.tally.kills += 1;
-        self.nodes[node].state = State::Dead;
-        self.nodes[node].since = self.now;
+        self.stats.kills += 1;
+        self.nodes[node].state = NodeState::Killed;
+        self.nodes[node].state_since = self.now;
         self.put(self.now + RESTART, Item::Restart(slot));
         for job in 0..self.jobs.len() {
             if self.jobs[job].entry == node && self.jobs[job].phase != Phase::Ended {
@@ -78,7 +78,7 @@
                     let at = self.now + self.rng.random_range(RETRY);
                     self.put(at, Item::Comeback { request });
                 } else {
-                    self.requests[request].fate = Fate::Lost;
+                    self.requests[request].state = RequestState::Lost;
                 }
             }
         }
--- a/crates/trial/src/check.rs
+++ b/crates/trial/src/invariants.rs
@@ -2,17 +2,17 @@
 
 use std::collections::BTreeSet;
 
-use crate::job::Fate;
-use crate::world::World;
+use crate::request::RequestState;
+use crate::simulation::Simulation;
 
 /// Checks a world whose run has ended.
 ///
 /// # Errors
 ///
 /// Returns what does not hold.
-pub fn check(world: &World) -> Result<(), String> {
-    if world.tally.overspend > 0 {
-        return Err(format!("{} tokens overspent", world.tally.overspend));
+pub fn check(world: &Simulation) -> Result<(), String> {
+    if world.stats.overspend > 0 {
+        return Err(format!("{} tokens overspent", world.stats.overspend));
     }
     for account in 0..world.trace.budgets.len() {
         check_account(world, account)?;
@@ -20,7 +20,7 @@
     Ok(())
 }
 
-fn check_account(world: &World, account: usize) -> Result<(), String> {
+fn check_account(world: &Simulation, account: usize) -> Result<(), String> {
     let name = format!("c{account}");
     let bills = world.platform.bills(&name);
     let mut seen = BTreeSet::new();
@@ -30,7 +30,7 @@
         }
     }
     for (i, request) in world.requests.iter().enumerate() {
-        let served = request.account == account && request.fate == Fate::Served;
+        let served = request.account == account && request.state == RequestState::Served;
         if !served {
             continue;
         }
@@ -38,8 +38,8 @@
         let Some(bill) = bill else {
             return Err(format!("{name}: {} was served and has no bill", request.id));
         };
-        let runs = world.runs.iter().filter(|r| r.request == i);
-        let most = runs.map(|r| r.served(world.now)).max().unwrap_or(0);
+        let runs = world.attempts.iter().filter(|r| r.request == i);
+        let most = runs.map(|r| r.tokens_served(world.now)).max().unwrap_or(0);
         if bill.tokens > most {
             let billed = bill.tokens;
             return Err(format!(
@@ -52,14 +52,14 @@
 }
 
 /// Every token served is settled, or still charged to a holder that can't tell.
-fn check_sums(world: &World, account: usize, billed: u64) -> Result<(), String> {
+fn check_sums(world: &Simulation, account: usize, billed: u64) -> Result<(), String> {
     let name = format!("c{account}");
     let records = world.platform.records();
     let Some(stored) = records.filter_map(|r| r.accounts.get(&name)).next() else {
         return Ok(());
     };
     let settled = stored.settled();
-    let served = world.served(account);
+    let served = world.tokens_served(account);
     if settled > served {
         return Err(format!("{name}: settled {settled}, served {served}"));
     }
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -4,19 +4,19 @@
 //! engines that count what they serve, and callers. Time is a number; nothing waits.
 
 mod caller;
-pub mod check;
 pub mod fault;
+pub mod invariants;
 mod item;
-pub mod job;
 mod link;
 pub mod load;
 pub mod node;
 pub mod platform;
 pub mod policy;
 pub mod report;
+pub mod request;
+pub mod simulation;
 pub mod trace;
-pub mod world;
 
 pub use policy::Policy;
+pub use simulation::Simulation;
 pub use trace::Trace;
-pub use world::World;
--- a/crates/trial/src/link.rs
+++ b/crates/trial/src/link.rs
@@ -4,13 +4,17 @@
 use rand::Rng;
 
 use crate::item::{Ask, Call, Item};
-use crate::node::State;
-use crate::world::{World, CALL_TIMEOUT, RPC_TIMEOUT};
+use crate::node::NodeState;
+use crate::simulation::{Simulation, CALL_TIMEOUT, RPC_TIMEOUT};
 
-impl World {
+impl Simulation {
     pub(crate) fn hop(&self, from: usize, to: usize) -> Option<u64> {
         let (a, b) = (self.nodes[from].zone, self.nodes[to].zone);
-        let ms = if a == b { 0 } else { self.trace.hop_ms };
+        let ms = if a == b {
+            0
+        } else {
+            self.trace.zone_latency_ms
+        };
         self.linked(a, b).then_some(ms)
     }
 
@@ -18,7 +22,7 @@
         let name = self.account(account);
         let to = self.nodes[from].id.clone();
         let ask = self.ask(node, Ask::Recall { from, account });
-        let shard = self.nodes[node].bank.shard_of(&name);
+        let shard = self.nodes[node].manager.shard_of(&name);
         let event = Event::Recall {
             reply_to: ask,
             account: name,
@@ -41,7 +45,7 @@
             return;
         }
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard_of(&name);
+        let shard = self.nodes[node].manager.shard_of(&name);
         let event = Event::RecallReply {
             account: name,
             from: self.nodes[from].id.clone(),
@@ -52,7 +56,7 @@
 
     pub(crate) fn keep(&mut self, node: usize, from: usize, account: usize, post: Settlement) {
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard_of(&name);
+        let shard = self.nodes[node].manager.shard_of(&name);
         let hold = post.hold;
         let account = name.clone();
         self.step(
@@ -190,9 +194,9 @@
             self.tombstones.insert(run.to_string());
             return 0;
         };
-        let run = &mut self.runs[*run];
-        run.cancelled.get_or_insert(self.now);
-        run.served(self.now)
+        let run = &mut self.attempts[*run];
+        run.cancelled_at.get_or_insert(self.now);
+        run.tokens_served(self.now)
     }
 
     /// Answers go by the recall's cumulative counter, so a lost one harms nothing.
@@ -239,7 +243,7 @@
         }
         // After the answer this finds nothing to end: the grant is asked for its next step by then,
         // or the answer to this one has not come.
-        if self.nodes[to].state != State::Up || self.hop(node, to).is_none() {
+        if self.nodes[to].state != NodeState::Up || self.hop(node, to).is_none() {
             let event = Event::StepReply {
                 account,
                 key,
@@ -258,7 +262,7 @@
         upto: u64,
     ) {
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard_of(&name);
+        let shard = self.nodes[node].manager.shard_of(&name);
         let ask = Ask::Open {
             from,
             account,
@@ -315,8 +319,8 @@
             self.put(self.now + 50, Item::Bank { node, shard, event });
             return;
         }
-        let takes = 1 + self.trace.hop_ms + faults.slow_ms;
-        let lost = self.rng.random_range(0..100) < faults.lose_pct;
+        let takes = 1 + self.trace.zone_latency_ms + faults.delay_ms;
+        let lost = self.rng.random_range(0..100) < faults.reply_loss_pct;
         let answered = !lost && takes < CALL_TIMEOUT;
         if !answered {
             let event = match call {
@@ -351,7 +355,7 @@
             }
         };
         if answered {
-            let at = self.now + 1 + self.trace.hop_ms;
+            let at = self.now + 1 + self.trace.zone_latency_ms;
             self.put(at, Item::Bank { node, shard, event });
         }
     }
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -28,7 +28,7 @@
 
 /// How requests find an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Strategy {
     /// One after another, no queue: a baseline.
     RoundRobin,
     /// Any, no queue, tried again without limit: a baseline.
@@ -36,49 +36,49 @@
     /// Least load of two, no prefixes, with the queue.
     LeastLoaded,
     /// As the program does.
-    Chosen,
+    Default,
 }
 
 /// All ways.
-pub const WAYS: &[(Way, &str)] = &[
-    (Way::RoundRobin, "round robin"),
-    (Way::Random, "random, unlimited retries"),
-    (Way::LeastLoaded, "least loaded, no prefixes"),
-    (Way::Chosen, "chosen"),
+pub const STRATEGIES: &[(Strategy, &str)] = &[
+    (Strategy::RoundRobin, "round robin"),
+    (Strategy::Random, "random, unlimited retries"),
+    (Strategy::LeastLoaded, "least loaded, no prefixes"),
+    (Strategy::Default, "chosen"),
 ];
 
 /// What comes, and what fails.
 #[derive(Clone, Copy, Debug)]
-pub struct Mix {
+pub struct LoadProfile {
     /// Engines.
     pub engines: usize,
     /// Requests a second.
-    pub per_sec: f64,
+    pub requests_per_sec: f64,
     /// Percentage of long reads.
-    pub long_pct: u32,
+    pub long_request_pct: u32,
     /// Whether a third of the engines fails between a third and two thirds of the time.
-    pub fails: bool,
+    pub with_failures: bool,
     /// Length, in milliseconds.
-    pub length: u64,
+    pub length_ms: u64,
 }
 
 /// What a run measured.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct LoadReport {
     /// Requests.
     pub requests: u64,
     /// Answers within their deadline, a second.
-    pub goodput: f64,
+    pub goodput_per_sec: f64,
     /// Refusals at once, in percent.
     pub refused_pct: f64,
     /// 95th percentile of quick questions' first token, in milliseconds.
-    pub quick_first: u64,
+    pub short_first_token_p95_ms: u64,
     /// Upstream requests for each caller's request while engines fail.
-    pub amplification: f64,
+    pub retry_amplification: f64,
     /// Long reads whose prefix was cached, in percent.
-    pub hit_pct: f64,
+    pub prefix_hit_pct: f64,
     /// When all was normal after the engines came back, in milliseconds.
-    pub recovery: u64,
+    pub recovery_ms: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -121,10 +121,10 @@
 }
 
 /// The whole fake world of one run.
-pub struct LoadWorld {
+pub struct LoadSimulation {
     now: u64,
-    way: Way,
-    mix: Mix,
+    way: Strategy,
+    mix: LoadProfile,
     rng: ChaCha8Rng,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
@@ -137,9 +137,9 @@
     longs: u64,
 }
 
-impl LoadWorld {
+impl LoadSimulation {
     /// Opens a world.
-    pub fn open(seed: u64, way: Way, mix: Mix) -> LoadWorld {
+    pub fn new(seed: u64, way: Strategy, mix: LoadProfile) -> LoadSimulation {
         let entry = || {
             let mut pool = Pool::default();
             let spec = |i: usize| Spec::engine(&format!("e{i}"), &format!("z{}", i % 3), "m");
@@ -153,7 +153,7 @@
                 turn: 0,
             }
         };
-        LoadWorld {
+        LoadSimulation {
             now: 0,
             way,
             mix,
@@ -171,18 +171,18 @@
     }
 
     fn failing(&self) -> bool {
-        let third = self.mix.length / 3;
-        self.mix.fails && (third..2 * third).contains(&self.now)
+        let third = self.mix.length_ms / 3;
+        self.mix.with_failures && (third..2 * third).contains(&self.now)
     }
 
     /// Runs to the end, without new requests in the last minute.
-    pub fn run(mut self) -> Seen {
+    pub fn run(mut self) -> LoadReport {
         let mut next = 0.0;
-        while self.now < self.mix.length + LONG_DEADLINE {
-            while next <= self.now as f64 && self.now < self.mix.length {
+        while self.now < self.mix.length_ms + LONG_DEADLINE {
+            while next <= self.now as f64 && self.now < self.mix.length_ms {
                 self.arrive();
                 let unit: f64 = self.rng.random_range(1e-9..1.0);
-                next += -unit.ln() * 1000.0 / self.mix.per_sec;
+                next += -unit.ln() * 1000.0 / self.mix.requests_per_sec;
             }
             let failing = self.failing();
             for i in 0..self.engines.len() / 3 {
@@ -203,7 +203,7 @@
     }
 
     fn arrive(&mut self) {
-        let quick = self.rng.random_range(0..100) >= self.mix.long_pct;
+        let quick = self.rng.random_range(0..100) >= self.mix.long_request_pct;
         let (prompt, answer, wait) = if quick {
             let prompt = self.rng.random_range(20..200);
             (prompt, self.rng.random_range(20..100), QUICK_DEADLINE)
@@ -234,7 +234,7 @@
     }
 
     fn queues(&self) -> bool {
-        matches!(self.way, Way::LeastLoaded | Way::Chosen)
+        matches!(self.way, Strategy::LeastLoaded | Strategy::Default)
     }
 
     fn admit(&mut self, id: usize) {
@@ -286,13 +286,14 @@
         let request = &self.requests[id];
         let entry = &mut self.entries[request.entry];
         match self.way {
-            Way::RoundRobin => {
+            Strategy::RoundRobin => {
                 entry.turn += 1;
                 Some(UpstreamKey((entry.turn % self.mix.engines) as u32))
             }
-            Way::Random => Some(UpstreamKey((random % self.mix.engines as u64) as u32)),
-            Way::LeastLoaded | Way::Chosen => {
-                let prefix = (self.way == Way::Chosen && !request.quick).then_some(request.prefix);
+            Strategy::Random => Some(UpstreamKey((random % self.mix.engines as u64) as u32)),
+            Strategy::LeastLoaded | Strategy::Default => {
+                let prefix =
+                    (self.way == Strategy::Default && !request.quick).then_some(request.prefix);
                 let ask = Criteria {
                     kind: UpstreamKind::Engine,
                     target: "m",
@@ -352,8 +353,8 @@
         let late = self.now > self.requests[id].deadline;
         let attempts = self.requests[id].attempts;
         let again = match self.way {
-            Way::Random => attempts < UNLIMITED,
-            Way::RoundRobin => false,
+            Strategy::Random => attempts < UNLIMITED,
+            Strategy::RoundRobin => false,
             _ => attempts < ATTEMPTS && entry.retry.try_acquire(),
         };
         if again && !late {
@@ -454,7 +455,7 @@
         in_time && (!request.quick || began)
     }
 
-    fn seen(&self) -> Seen {
+    fn seen(&self) -> LoadReport {
         let good = self.requests.iter().filter(|r| Self::is_good(r)).count();
         let quick = self.requests.iter().filter(|r| r.quick);
         let mut firsts: Vec<u64> = quick.filter_map(|r| Some(r.first? - r.at)).collect();
@@ -462,22 +463,22 @@
         let p95 = firsts.get(firsts.len() * 95 / 100).copied().unwrap_or(0);
         let pct = |n: u64, of: u64| n as f64 * 100.0 / of.max(1) as f64;
         let came = self.requests.len() as u64;
-        Seen {
+        LoadReport {
             requests: came,
-            goodput: good as f64 * 1000.0 / self.mix.length as f64,
+            goodput_per_sec: good as f64 * 1000.0 / self.mix.length_ms as f64,
             refused_pct: pct(self.refused, came),
-            quick_first: p95,
-            amplification: self.sent_failing as f64 / self.came_failing.max(1) as f64,
-            hit_pct: pct(self.hits, self.longs),
-            recovery: self.recovery(),
+            short_first_token_p95_ms: p95,
+            retry_amplification: self.sent_failing as f64 / self.came_failing.max(1) as f64,
+            prefix_hit_pct: pct(self.hits, self.longs),
+            recovery_ms: self.recovery(),
         }
     }
 
     /// Returns the time from the engines' return to the first second with 95 % good answers.
     fn recovery(&self) -> u64 {
-        let back = self.mix.length / 3 * 2;
+        let back = self.mix.length_ms / 3 * 2;
         let mut from = back;
-        while from < self.mix.length {
+        while from < self.mix.length_ms {
             let of = self
                 .requests
                 .iter()
@@ -488,6 +489,6 @@
             }
             from += 1_000;
         }
-        self.mix.length - back
+        self.mix.length_ms - back
     }
 }
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -8,10 +8,10 @@
 use std::sync::Mutex;
 use std::thread;
 
-use trial::load::{LoadWorld, Mix, WAYS};
+use trial::load::{LoadProfile, LoadSimulation, STRATEGIES};
 use trial::policy::POLICIES;
 use trial::trace::TRACES;
-use trial::{check, report, trace, Policy, World};
+use trial::{invariants, report, trace, Policy, Simulation};
 
 xflags::xflags! {
     /// Randomised runs and policy trials of the budget decisions.
@@ -68,10 +68,10 @@
                 if seed >= from + seeds {
                     return;
                 }
-                let mut world = World::open(seed, Policy::Chosen, trace::random(seed));
+                let mut world = Simulation::new(seed, Policy::Default, trace::random(seed));
                 let ran = catch_unwind(AssertUnwindSafe(|| world.run()));
                 let end = match ran {
-                    Ok(()) => check::check(&world),
+                    Ok(()) => invariants::check(&world),
                     Err(_) => Err("an invariant inside failed".to_string()),
                 };
                 steps.fetch_add(world.steps, Ordering::Relaxed);
@@ -107,52 +107,52 @@
 const LOAD_MS: u64 = 60_000;
 
 fn load(seed: u64) -> ExitCode {
-    let base = Mix {
+    let base = LoadProfile {
         engines: 20,
-        per_sec: CAPACITY,
-        long_pct: 20,
-        fails: false,
-        length: LOAD_MS,
+        requests_per_sec: CAPACITY,
+        long_request_pct: 20,
+        with_failures: false,
+        length_ms: LOAD_MS,
     };
     let mixes = [
         ("at capacity", base),
         (
             "at 2 x capacity",
-            Mix {
-                per_sec: CAPACITY * 2.0,
-                length: 3 * LOAD_MS,
+            LoadProfile {
+                requests_per_sec: CAPACITY * 2.0,
+                length_ms: 3 * LOAD_MS,
                 ..base
             },
         ),
         (
             "at 0.6 x, quick questions only",
-            Mix {
-                per_sec: CAPACITY * 0.6,
-                long_pct: 0,
+            LoadProfile {
+                requests_per_sec: CAPACITY * 0.6,
+                long_request_pct: 0,
                 ..base
             },
         ),
         (
             "at 0.6 x, with long reads",
-            Mix {
-                per_sec: CAPACITY * 0.6,
+            LoadProfile {
+                requests_per_sec: CAPACITY * 0.6,
                 ..base
             },
         ),
         (
             "at 0.6 x, a third fails for 20 s",
-            Mix {
-                per_sec: CAPACITY * 0.6,
-                fails: true,
+            LoadProfile {
+                requests_per_sec: CAPACITY * 0.6,
+                with_failures: true,
                 ..base
             },
         ),
         (
             "3 engines at 2 x",
-            Mix {
+            LoadProfile {
                 engines: 3,
-                per_sec: CAPACITY * 0.3,
-                length: 3 * LOAD_MS,
+                requests_per_sec: CAPACITY * 0.3,
+                length_ms: 3 * LOAD_MS,
                 ..base
             },
         ),
@@ -161,17 +161,17 @@
         println!("\n### 20 engines, {name}, seed {seed}\n");
         println!("| way | requests | goodput/s | refused, % | quick first token p95, ms | upstream requests per request while failing | prefix hits, % | recovery, ms |");
         println!("|---|---|---|---|---|---|---|---|");
-        for (way, label) in WAYS {
-            let seen = LoadWorld::open(seed, *way, mix).run();
+        for (way, label) in STRATEGIES {
+            let seen = LoadSimulation::new(seed, *way, mix).run();
             println!(
                 "| {label} | {} | {:.1} | {:.1} | {} | {:.3} | {:.1} | {} |",
                 seen.requests,
-                seen.goodput,
+                seen.goodput_per_sec,
                 seen.refused_pct,
-                seen.quick_first,
-                seen.amplification,
-                seen.hit_pct,
-                seen.recovery,
+                seen.short_first_token_p95_ms,
+                seen.retry_amplification,
+                seen.prefix_hit_pct,
+                seen.recovery_ms,
             );
         }
     }
@@ -179,23 +179,24 @@
 }
 
 fn show(seed: u64) -> ExitCode {
-    let mut world = World::open(seed, Policy::Chosen, trace::random(seed));
-    world.keep_all = true;
+    let mut world = Simulation::new(seed, Policy::Default, trace::random(seed));
+    world.keep_full_history = true;
     let ran = catch_unwind(AssertUnwindSafe(|| world.run()));
     for line in &world.history {
         println!("{line}");
     }
-    println!("{:?} {:?}", ran.is_ok(), check::check(&world));
+    println!("{:?} {:?}", ran.is_ok(), invariants::check(&world));
     ExitCode::SUCCESS
 }
 
 fn policies(seed: u64, only: &str) -> ExitCode {
     for (name, make) in TRACES.iter().filter(|(n, _)| n.contains(only)) {
-        println!("\n### {name}, seed {seed}\n\n{}", report::HEAD);
+        println!("\n### {name}, seed {seed}\n\n{}", report::TABLE_HEADER);
         let rows: Vec<String> = thread::scope(|scope| {
             let run = |(policy, label): &(Policy, &'static str)| {
                 let (policy, label) = (*policy, *label);
-                scope.spawn(move || report::markdown(label, &report::run(seed, policy, make(seed))))
+                scope
+                    .spawn(move || report::table_row(label, &report::run(seed, policy, make(seed))))
             };
             let threads: Vec<_> = POLICIES.iter().map(run).collect();
             let join = |t: thread::ScopedJoinHandle<'_, String>| t.join().expect("a trial's run");
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -8,7 +8,7 @@
 
 /// How an instance stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum NodeState {
     /// It works.
     Up,
     /// It stops as planned.
@@ -16,7 +16,7 @@
     /// It has stopped as planned.
     Left,
     /// It was killed.
-    Dead,
+    Killed,
 }
 
 /// One start of an instance.
@@ -24,18 +24,18 @@
     /// Its incarnation.
     pub id: String,
     /// Which of the instances it is a start of.
-    pub slot: usize,
+    pub instance: usize,
     /// Its zone.
     pub zone: usize,
     /// How it stands.
-    pub state: State,
+    pub state: NodeState,
     /// When that began, in milliseconds.
-    pub since: u64,
+    pub state_since: u64,
     /// Until when it is paused, in milliseconds.
-    pub frozen_until: u64,
+    pub paused_until: u64,
     pub(crate) frozen_since: u64,
     /// Its decisions on budgets.
-    pub bank: ShardManager,
+    pub manager: ShardManager,
     pub(crate) asks: BTreeMap<u64, Ask>,
     pub(crate) next_ask: u64,
     pub(crate) silent: BTreeSet<usize>,
--- a/crates/trial/src/platform.rs
+++ b/crates/trial/src/platform.rs
@@ -11,9 +11,9 @@
     /// No call arrives.
     pub down: bool,
     /// Calls take this long, in milliseconds; longer than the client waits, they land late.
-    pub slow_ms: u64,
+    pub delay_ms: u64,
     /// Percentage of the answers that are lost after the call took effect.
-    pub lose_pct: u32,
+    pub reply_loss_pct: u32,
 }
 
 /// The stored records.
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -7,41 +7,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// Every instance has an equal part of the budget for good: a baseline.
-    Split,
+    EqualSplit,
     /// A compare-and-swap for each request: a baseline.
-    Swap,
+    CasPerRequest,
     /// Grants of a share of what is free, one home per account, standbys in the other zones.
-    Chosen,
+    Default,
     /// As chosen, without standbys.
     NoStandby,
     /// As chosen, standbys with a small part.
-    ThinStandby,
+    SmallStandby,
     /// As chosen, grants sized by demand over some seconds.
-    Demand,
+    DemandSizing,
     /// As chosen, every grant its holder's alone.
-    Sole,
+    NoJointGrants,
     /// As chosen, without recall from other holders.
     NoRecall,
     /// As chosen, every zone its own home.
-    ZoneHomes,
+    HomePerZone,
     /// As chosen, copies of bills after 25 ms.
-    LateCopies,
+    DelayedCopies,
     /// As chosen, no copies of bills: only the record counts.
     NoCopies,
 }
 
 /// All policies.
 pub const POLICIES: &[(Policy, &str)] = &[
-    (Policy::Split, "equal split"),
-    (Policy::Swap, "swap per request"),
-    (Policy::Chosen, "chosen"),
+    (Policy::EqualSplit, "equal split"),
+    (Policy::CasPerRequest, "swap per request"),
+    (Policy::Default, "chosen"),
     (Policy::NoStandby, "no standby"),
-    (Policy::ThinStandby, "standby 5 %"),
-    (Policy::Demand, "demand 10 s"),
-    (Policy::Sole, "no joint grants"),
+    (Policy::SmallStandby, "standby 5 %"),
+    (Policy::DemandSizing, "demand 10 s"),
+    (Policy::NoJointGrants, "no joint grants"),
     (Policy::NoRecall, "no recall"),
-    (Policy::ZoneHomes, "home per zone"),
-    (Policy::LateCopies, "copies after 25 ms"),
+    (Policy::HomePerZone, "home per zone"),
+    (Policy::DelayedCopies, "copies after 25 ms"),
     (Policy::NoCopies, "no copies"),
 ];
 
@@ -50,7 +50,7 @@
     pub fn params(self, instances: usize) -> Params {
         let base = Params::default();
         match self {
-            Policy::Split => Params {
+            Policy::EqualSplit => Params {
                 sizing: GrantSizing::Split {
                     parts: instances as u64,
                 },
@@ -59,14 +59,14 @@
                 standby_pct: 0,
                 ..base
             },
-            Policy::Swap => Params {
+            Policy::CasPerRequest => Params {
                 sizing: GrantSizing::Exact,
                 recall: false,
                 joint_grants: false,
                 standby_pct: 0,
                 ..base
             },
-            Policy::Sole => Params {
+            Policy::NoJointGrants => Params {
                 joint_grants: false,
                 ..base
             },
@@ -74,11 +74,11 @@
                 standby_pct: 0,
                 ..base
             },
-            Policy::ThinStandby => Params {
+            Policy::SmallStandby => Params {
                 standby_pct: 5,
                 ..base
             },
-            Policy::Demand => Params {
+            Policy::DemandSizing => Params {
                 sizing: GrantSizing::Demand { horizon_ms: 10_000 },
                 ..base
             },
@@ -86,7 +86,7 @@
                 recall: false,
                 ..base
             },
-            Policy::LateCopies => Params {
+            Policy::DelayedCopies => Params {
                 copy_delay_ms: 25,
                 ..base
             },
@@ -94,25 +94,25 @@
                 copy_delay_ms: u64::MAX / 2,
                 ..base
             },
-            Policy::Chosen | Policy::ZoneHomes => base,
+            Policy::Default | Policy::HomePerZone => base,
         }
     }
 
     /// Returns which instances an entry asks: the one home, its zone's, or itself.
-    pub fn asks(self) -> Asks {
+    pub fn home_selection(self) -> HomeSelection {
         match self {
-            Policy::Split => Asks::Itself,
-            Policy::ZoneHomes => Asks::OwnZone,
-            _ => Asks::Home,
+            Policy::EqualSplit => HomeSelection::Local,
+            Policy::HomePerZone => HomeSelection::OwnZone,
+            _ => HomeSelection::Home,
         }
     }
 }
 
 /// Which instances an entry asks for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asks {
+pub enum HomeSelection {
     /// Itself.
-    Itself,
+    Local,
     /// The first of its own zone.
     OwnZone,
     /// The home, then the standbys.
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -1,53 +1,55 @@
 //! Numbers of a run, and tables of them.
 
 use crate::policy::Policy;
+use crate::simulation::{Simulation, SETTLE_PERIOD_MS};
 use crate::trace::Trace;
-use crate::world::{World, AFTER};
 
 /// The numbers of one run.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct RunReport {
     /// Tokens served beyond the top-ups.
     pub overspend: u64,
     /// Requests.
     pub requests: u64,
     /// Refusals although budget remained, in percent of the requests.
-    pub false_pct: f64,
+    pub false_refusal_pct: f64,
     /// Refusals, in percent of the requests.
     pub refused_pct: f64,
     /// Tokens left stranded at the end, in percent of the budgets.
     pub stranded_pct: f64,
     /// Platform reads a second.
-    pub reads: f64,
+    pub reads_per_sec: f64,
     /// Platform writes a second.
-    pub writes: f64,
+    pub writes_per_sec: f64,
     /// Median and 99th percentile of a reservation, in milliseconds.
-    pub reserve: (u64, u64),
+    pub reserve_ms: (u64, u64),
     /// Median and 99th percentile of a settlement, in milliseconds.
-    pub settle: (u64, u64),
+    pub settle_ms: (u64, u64),
     /// What does not hold, if anything.
-    pub fault: Option<String>,
+    pub violation: Option<String>,
 }
 
 /// Runs a trace under a policy.
-pub fn run(seed: u64, policy: Policy, trace: Trace) -> Row {
-    let secs = (trace.length + AFTER) as f64 / 1000.0;
-    let mut world = World::open(seed, policy, trace);
+pub fn run(seed: u64, policy: Policy, trace: Trace) -> RunReport {
+    let secs = (trace.length_ms + SETTLE_PERIOD_MS) as f64 / 1000.0;
+    let mut world = Simulation::new(seed, policy, trace);
     world.run();
-    let total: u64 = (0..world.trace.budgets.len()).map(|a| world.total(a)).sum();
-    let tally = &world.tally;
+    let total: u64 = (0..world.trace.budgets.len())
+        .map(|a| world.budget_total(a))
+        .sum();
+    let tally = &world.stats;
     let pct = |n: u64, of: u64| n as f64 * 100.0 / of.max(1) as f64;
-    Row {
+    RunReport {
         overspend: tally.overspend,
         requests: tally.requests,
-        false_pct: pct(tally.false_refusals, tally.requests),
+        false_refusal_pct: pct(tally.false_refusals, tally.requests),
         refused_pct: pct(tally.refused, tally.requests),
-        stranded_pct: pct(world.stranded(), total),
-        reads: world.platform.reads as f64 / secs,
-        writes: world.platform.writes as f64 / secs,
-        reserve: percentiles(&tally.reserve_ms),
-        settle: percentiles(&tally.settle_ms),
-        fault: crate::check::check(&world).err(),
+        stranded_pct: pct(world.stranded_tokens(), total),
+        reads_per_sec: world.platform.reads as f64 / secs,
+        writes_per_sec: world.platform.writes as f64 / secs,
+        reserve_ms: percentiles(&tally.reserve_ms),
+        settle_ms: percentiles(&tally.settle_ms),
+        violation: crate::invariants::check(&world).err(),
     }
 }
 
@@ -59,22 +61,22 @@
 }
 
 /// Returns a row of a table in Markdown.
-pub fn markdown(name: &str, row: &Row) -> String {
+pub fn table_row(name: &str, row: &RunReport) -> String {
     format!(
         "| {name} | {} | {:.3} | {:.2} | {:.3} | {:.1} | {:.1} | {}/{} | {}/{} | {} |",
         row.overspend,
-        row.false_pct,
+        row.false_refusal_pct,
         row.refused_pct,
         row.stranded_pct,
-        row.reads,
-        row.writes,
-        row.reserve.0,
-        row.reserve.1,
-        row.settle.0,
-        row.settle.1,
-        row.fault.as_deref().unwrap_or("holds"),
+        row.reads_per_sec,
+        row.writes_per_sec,
+        row.reserve_ms.0,
+        row.reserve_ms.1,
+        row.settle_ms.0,
+        row.settle_ms.1,
+        row.violation.as_deref().unwrap_or("holds"),
     )
 }
 
 /// The head of such a table.
-pub const HEAD: &str = "| policy | overspend, tokens | false refusals, % | refusals, % | stranded, % of budgets | platform reads/s | platform writes/s | reserve p50/p99, ms | settle p50/p99, ms | invariants |\n|---|---|---|---|---|---|---|---|---|---|";
+pub const TABLE_HEADER: &str = "| policy | overspend, tokens | false refusals, % | refusals, % | stranded, % of budgets | platform reads/s | platform writes/s | reserve p50/p99, ms | settle p50/p99, ms | invariants |\n|---|---|---|---|---|---|---|---|---|---|";
--- a/crates/trial/src/job.rs
+++ b/crates/trial/src/request.rs
@@ -3,13 +3,13 @@
 use budget::msg::AttemptRef;
 
 /// Tokens an engine produces take this long each, in milliseconds.
-pub const TOKEN_MS: u64 = 5;
+pub const MS_PER_TOKEN: u64 = 5;
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestState {
     /// It is under way.
-    Open,
+    InProgress,
     /// Its whole answer and the bill's word reached the caller.
     Served,
     /// It was refused.
@@ -26,13 +26,13 @@
     /// The customer.
     pub account: usize,
     /// Tokens of the prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Tokens of the answer.
-    pub answer: u64,
+    pub response_tokens: u64,
     /// The most that it can cost.
-    pub bound: u64,
+    pub max_cost: u64,
     /// What became of it.
-    pub fate: Fate,
+    pub state: RequestState,
 }
 
 /// How far an entry is with a request.
@@ -50,7 +50,7 @@
 
 /// One entry's work on a request.
 #[derive(Clone, Debug)]
-pub struct Job {
+pub struct RequestContext {
     /// The request.
     pub request: usize,
     /// The entry, an instance.
@@ -58,51 +58,51 @@
     /// Homes to ask, in order; instances.
     pub homes: Vec<usize>,
     /// Homes asked so far; tells late answers apart.
-    pub tries: usize,
+    pub home_index: usize,
     /// How far it is.
     pub phase: Phase,
     /// The holder and its number for the hold.
     pub hold: Option<(String, u64)>,
     /// The run at an engine.
-    pub run: Option<usize>,
+    pub attempt: Option<usize>,
     /// When it began to reserve or to settle, in milliseconds.
-    pub since: u64,
+    pub phase_started_at: u64,
     /// Rounds of settling so far.
     pub rounds: usize,
     /// Where it will run.
-    pub at: AttemptRef,
+    pub attempt_ref: AttemptRef,
 }
 
 /// One run at an engine.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Attempt {
     /// The request.
     pub request: usize,
     /// The customer.
     pub account: usize,
     /// When it began, in milliseconds.
-    pub began: u64,
+    pub started_at: u64,
     /// Tokens of the prompt.
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Tokens of the answer.
-    pub answer: u64,
+    pub response_tokens: u64,
     /// When it was cancelled, in milliseconds.
-    pub cancelled: Option<u64>,
+    pub cancelled_at: Option<u64>,
     /// The most that it can cost.
-    pub bound: u64,
+    pub max_cost: u64,
 }
 
-impl Run {
+impl Attempt {
     /// Returns when it ends, in milliseconds.
-    pub fn ends(&self) -> u64 {
-        let whole = self.began + self.answer * TOKEN_MS;
-        self.cancelled.map_or(whole, |at| at.min(whole))
+    pub fn ends_at(&self) -> u64 {
+        let whole = self.started_at + self.response_tokens * MS_PER_TOKEN;
+        self.cancelled_at.map_or(whole, |at| at.min(whole))
     }
 
     /// Returns the tokens served until a time.
-    pub fn served(&self, now: u64) -> u64 {
-        let until = now.min(self.ends());
-        let produced = until.saturating_sub(self.began) / TOKEN_MS;
-        self.prompt + produced.min(self.answer)
+    pub fn tokens_served(&self, now: u64) -> u64 {
+        let until = now.min(self.ends_at());
+        let produced = until.saturating_sub(self.started_at) / MS_PER_TOKEN;
+        self.prompt_tokens + produced.min(self.response_tokens)
     }
 }
--- a/crates/trial/src/world.rs
+++ b/crates/trial/src/simulation.rs
@@ -10,10 +10,10 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::item::{Ask, Item};
-use crate::job::{Job, Phase, Request, Run};
-use crate::node::{Node, State};
+use crate::node::{Node, NodeState};
 use crate::platform::Platform;
 use crate::policy::Policy;
+use crate::request::{Attempt, Phase, Request, RequestContext};
 use crate::trace::Trace;
 
 /// Instances.
@@ -43,11 +43,11 @@
 pub(crate) const LONG_TRACE: u64 = 120_000;
 pub(crate) const WATCH_LONG_EVERY: u64 = 10_000;
 /// Time after the trace in which everything is healed and settles, in milliseconds.
-pub const AFTER: u64 = 90_000;
+pub const SETTLE_PERIOD_MS: u64 = 90_000;
 
 /// What a run measured.
 #[derive(Clone, Debug, Default)]
-pub struct Tally {
+pub struct Stats {
     /// Requests.
     pub requests: u64,
     /// Requests refused.
@@ -73,7 +73,7 @@
 }
 
 /// The whole fake world.
-pub struct World {
+pub struct Simulation {
     /// The time, in milliseconds.
     pub now: u64,
     /// The trace.
@@ -92,28 +92,28 @@
     pub(crate) cut_platform: [bool; ZONES],
     /// All requests.
     pub requests: Vec<Request>,
-    pub(crate) jobs: Vec<Job>,
+    pub(crate) jobs: Vec<RequestContext>,
     /// All runs at engines.
-    pub runs: Vec<Run>,
+    pub attempts: Vec<Attempt>,
     pub(crate) run_names: BTreeMap<String, usize>,
     pub(crate) tombstones: BTreeSet<String>,
     pub(crate) topups: u64,
     pub(crate) recall_asks: BTreeMap<u64, usize>,
     pub(crate) next_recall: u64,
     /// What was measured.
-    pub tally: Tally,
+    pub stats: Stats,
     /// Steps of the decisions.
     pub steps: u64,
     /// Whether the whole history is kept, for a look at one seed.
-    pub keep_all: bool,
+    pub keep_full_history: bool,
     /// The latest happenings, for a failure's report.
     pub history: std::collections::VecDeque<String>,
 }
 
-impl World {
+impl Simulation {
     /// Opens a world at the start of a trace.
-    pub fn open(seed: u64, policy: Policy, trace: Trace) -> World {
-        let mut world = World {
+    pub fn new(seed: u64, policy: Policy, trace: Trace) -> Simulation {
+        let mut world = Simulation {
             now: 0,
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -127,15 +127,15 @@
             cut_platform: [false; ZONES],
             requests: Vec::new(),
             jobs: Vec::new(),
-            runs: Vec::new(),
+            attempts: Vec::new(),
             run_names: BTreeMap::new(),
             tombstones: BTreeSet::new(),
             topups: 0,
             recall_asks: BTreeMap::new(),
             next_recall: 0,
-            tally: Tally::default(),
+            stats: Stats::default(),
             steps: 0,
-            keep_all: false,
+            keep_full_history: false,
             history: Default::default(),
             trace,
         };
@@ -148,7 +148,7 @@
             world.top_up(account, tokens, account % ZONES);
         }
         for i in 0..world.trace.arrivals.len() {
-            let at = 3_000 + world.trace.arrivals[i].at;
+            let at = 3_000 + world.trace.arrivals[i].at_ms;
             world.put(at, Item::Arrive(i));
         }
         for i in 0..world.trace.faults.len() {
@@ -161,10 +161,10 @@
 
     /// Runs until everything has settled.
     pub fn run(&mut self) {
-        let end = 3_000 + self.trace.length;
+        let end = 3_000 + self.trace.length_ms;
         self.run_until(end);
         self.heal();
-        self.run_until(end + AFTER);
+        self.run_until(end + SETTLE_PERIOD_MS);
     }
 
     pub(crate) fn run_until(&mut self, end: u64) {
@@ -196,7 +196,7 @@
     pub(crate) fn note(&mut self, what: impl FnOnce() -> String) {
         let line = format!("{:>7} {}", self.now, what());
         self.history.push_back(line);
-        if self.history.len() > HISTORY && !self.keep_all {
+        if self.history.len() > HISTORY && !self.keep_full_history {
             self.history.pop_front();
         }
     }
@@ -208,13 +208,13 @@
         let bank = ShardManager::new(self.now, &id, SHARDS, WRITES_PER_SEC, params);
         self.nodes.push(Node {
             id,
-            slot,
+            instance: slot,
             zone: slot % ZONES,
-            state: State::Up,
-            since: self.now,
-            frozen_until: 0,
+            state: NodeState::Up,
+            state_since: self.now,
+            paused_until: 0,
             frozen_since: 0,
-            bank,
+            manager: bank,
             asks: BTreeMap::new(),
             next_ask: 1,
             silent: BTreeSet::new(),
@@ -257,11 +257,11 @@
     pub(crate) fn take(&mut self, item: Item) {
         if let Some(node) = self.target(&item) {
             let node = &self.nodes[node];
-            if matches!(node.state, State::Dead | State::Left) {
+            if matches!(node.state, NodeState::Killed | NodeState::Left) {
                 return;
             }
-            if node.frozen_until > self.now {
-                let at = node.frozen_until;
+            if node.paused_until > self.now {
+                let at = node.paused_until;
                 self.put(at, item);
                 return;
             }
@@ -322,11 +322,11 @@
 
     pub(crate) fn step(&mut self, node: usize, shard: u32, event: Event) {
         self.steps += 1;
-        if self.keep_all {
+        if self.keep_full_history {
             let short: String = format!("{event:?}").chars().take(300).collect();
             self.note(|| format!("node {node} shard {shard}: {short}"));
         }
-        let outputs = self.nodes[node].bank.step(self.now, shard, event);
+        let outputs = self.nodes[node].manager.step(self.now, shard, event);
         for output in outputs {
             self.act(node, output);
         }
@@ -334,7 +334,7 @@
 
     pub(crate) fn tick(&mut self, node: usize) {
         self.steps += 1;
-        let outputs = self.nodes[node].bank.step_all(self.now, &Event::Tick);
+        let outputs = self.nodes[node].manager.step_all(self.now, &Event::Tick);
         for output in outputs {
             self.act(node, output);
         }
@@ -343,21 +343,21 @@
     }
 
     pub(crate) fn leave_if_done(&mut self, node: usize) {
-        if self.nodes[node].state != State::Leaving {
+        if self.nodes[node].state != NodeState::Leaving {
             return;
         }
-        let open = |j: &Job| j.entry == node && j.phase != Phase::Ended;
+        let open = |j: &RequestContext| j.entry == node && j.phase != Phase::Ended;
         if self.jobs.iter().any(open) {
             return;
         }
         if !self.nodes[node].told_leave {
             self.nodes[node].told_leave = true;
-            self.nodes[node].bank.leave();
-        } else if self.nodes[node].bank.is_drained() {
+            self.nodes[node].manager.leave();
+        } else if self.nodes[node].manager.is_drained() {
             self.note(|| format!("node {node} left"));
-            self.nodes[node].state = State::Left;
-            self.nodes[node].since = self.now;
-            let slot = self.nodes[node].slot;
+            self.nodes[node].state = NodeState::Left;
+            self.nodes[node].state_since = self.now;
+            let slot = self.nodes[node].instance;
             self.put(self.now + RESTART, Item::Restart(slot));
         }
     }
@@ -366,35 +366,35 @@
     pub(crate) fn seems_live(&self, from: usize, to: usize) -> bool {
         let (a, b) = (&self.nodes[from], &self.nodes[to]);
         if from == to {
-            return a.state == State::Up;
+            return a.state == NodeState::Up;
         }
         let silent_since = match b.state {
-            State::Left | State::Leaving => return false,
-            State::Dead => b.since,
-            State::Up if b.frozen_until > self.now => b.frozen_since,
-            State::Up => u64::MAX,
+            NodeState::Left | NodeState::Leaving => return false,
+            NodeState::Killed => b.state_since,
+            NodeState::Up if b.paused_until > self.now => b.frozen_since,
+            NodeState::Up => u64::MAX,
         };
         self.now < silent_since.saturating_add(SUSPECT) && self.linked(a.zone, b.zone)
     }
 
     pub(crate) fn members(&mut self) {
-        let ids = |keep: fn(&State) -> bool| -> Vec<String> {
+        let ids = |keep: fn(&NodeState) -> bool| -> Vec<String> {
             let kept = self.nodes.iter().filter(|n| keep(&n.state));
             kept.map(|n| n.id.clone()).collect()
         };
-        let present = ids(|s| matches!(s, State::Up | State::Leaving));
-        let left = ids(|s| *s == State::Left);
+        let present = ids(|s| matches!(s, NodeState::Up | NodeState::Leaving));
+        let left = ids(|s| *s == NodeState::Left);
         for node in 0..self.nodes.len() {
             let me = &self.nodes[node];
-            let works = matches!(me.state, State::Up | State::Leaving);
-            if !works || me.frozen_until > self.now {
+            let works = matches!(me.state, NodeState::Up | NodeState::Leaving);
+            if !works || me.paused_until > self.now {
                 continue;
             }
             let live: Vec<usize> = (0..self.nodes.len())
                 .filter(|n| self.seems_live(node, *n))
                 .collect();
             let silent: BTreeSet<usize> = (0..self.nodes.len())
-                .filter(|n| !live.contains(n) && self.nodes[*n].state != State::Leaving)
+                .filter(|n| !live.contains(n) && self.nodes[*n].state != NodeState::Leaving)
                 .collect();
             let news: Vec<usize> = silent
                 .difference(&self.nodes[node].silent)
@@ -407,20 +407,20 @@
             });
             let candidates = candidates.collect();
             self.nodes[node].silent = silent;
-            self.nodes[node].bank.set_members(candidates);
+            self.nodes[node].manager.set_members(candidates);
             self.nodes[node]
-                .bank
+                .manager
                 .set_presence(self.now, &present, &left);
             for other in news {
                 let entry = self.nodes[other].id.clone();
                 let event = Event::InstanceUnresponsive { instance: entry };
-                let outputs = self.nodes[node].bank.step_all(self.now, &event);
+                let outputs = self.nodes[node].manager.step_all(self.now, &event);
                 for output in outputs {
                     self.act(node, output);
                 }
             }
         }
-        let is_long = self.trace.length > LONG_TRACE;
+        let is_long = self.trace.length_ms > LONG_TRACE;
         if !is_long || self.now % WATCH_LONG_EVERY == 0 {
             self.watch_overspend();
         }
@@ -428,14 +428,14 @@
 
     pub(crate) fn watch_overspend(&mut self) {
         for account in 0..self.trace.budgets.len() {
-            let (total, served) = (self.total(account), self.served(account));
+            let (total, served) = (self.budget_total(account), self.tokens_served(account));
             let over = served.saturating_sub(total);
-            self.tally.overspend = self.tally.overspend.max(over);
+            self.stats.overspend = self.stats.overspend.max(over);
         }
     }
 
     /// Returns the sum of an account's top-ups that are in force.
-    pub fn total(&self, account: usize) -> u64 {
+    pub fn budget_total(&self, account: usize) -> u64 {
         let name = self.account(account);
         let accounts = self
             .platform
@@ -445,20 +445,21 @@
     }
 
     /// Returns the tokens that engines served to an account.
-    pub fn served(&self, account: usize) -> u64 {
-        let own = self.runs.iter().filter(|r| r.account == account);
-        own.map(|r| r.served(self.now)).sum()
+    pub fn tokens_served(&self, account: usize) -> u64 {
+        let own = self.attempts.iter().filter(|r| r.account == account);
+        own.map(|r| r.tokens_served(self.now)).sum()
     }
 
     pub(crate) fn top_up(&mut self, account: usize, tokens: u64, zone: usize) {
-        let up = |n: &Node| n.state == State::Up && n.zone == zone && n.frozen_until <= self.now;
+        let up =
+            |n: &Node| n.state == NodeState::Up && n.zone == zone && n.paused_until <= self.now;
         let Some(node) = self.nodes.iter().position(up) else {
             return;
         };
         self.topups += 1;
         let id = format!("t{}", self.topups);
         let name = self.account(account);
-        let shard = self.nodes[node].bank.shard_of(&name);
+        let shard = self.nodes[node].manager.shard_of(&name);
         let ask = self.ask(node, Ask::Act);
         let act = OperatorCommand::TopUp { id, tokens };
         let account = name;
@@ -482,10 +483,10 @@
     }
 
     /// Returns the tokens that vanished holders left unspent.
-    pub fn stranded(&self) -> u64 {
+    pub fn stranded_tokens(&self) -> u64 {
         let gone = |h: &str| {
             let node = self.nodes.iter().find(|n| n.id == h);
-            node.is_none_or(|n| matches!(n.state, State::Dead | State::Left))
+            node.is_none_or(|n| matches!(n.state, NodeState::Killed | NodeState::Left))
         };
         let mut sum = 0;
         for account in self.platform.records().flat_map(|r| r.accounts.values()) {
--- a/crates/trial/tests/seeds.rs
+++ b/crates/trial/tests/seeds.rs
@@ -1,11 +1,11 @@
 //! A fixed small set of randomised runs; `trial random` runs more.
 
-use trial::{check, trace, Policy, World};
+use trial::{invariants, trace, Policy, Simulation};
 
 fn run(seed: u64) {
-    let mut world = World::open(seed, Policy::Chosen, trace::random(seed));
+    let mut world = Simulation::new(seed, Policy::Default, trace::random(seed));
     world.run();
-    if let Err(what) = check::check(&world) {
+    if let Err(what) = invariants::check(&world) {
         let history: Vec<String> = world.history.into();
         panic!("seed {seed}: {what}\n{}", history.join("\n"));
     }
