--- a/crates/stub/src/platform.rs
+++ b/crates/stub/src/platform.rs
@@ -8,8 +8,7 @@
 use kv::wire::{decode_base64, encode_base64, parse_int};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
-use tokio::sync::broadcast::error::RecvError;
-use tokio::sync::broadcast::{self};
+use tokio::sync::broadcast::{self, error::RecvError};
 use web::{Body, Req, Res};
 
 use crate::store::{Entry, Store};
