--- a/crates/proxy/src/event.rs
+++ b/crates/proxy/src/event.rs
@@ -1,4 +1,4 @@
-//! Numbered log events, which docs/EVENTS.md describes.
+//! The log events: number, level and text of each. docs/EVENTS.md describes them for operators.
 
 use catalogue::{row, Row};
 use tracing::Level;
@@ -6,89 +6,94 @@
 /// A log event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The instance listens.
+    /// The instance has started and its listeners are bound.
     Started,
     /// A planned stop has begun.
     Stopping,
     /// A planned stop has ended.
     Stopped,
-    /// Log lines were left out.
+    /// Log lines were dropped because there were more than the maximum per second.
     LogLinesDropped,
-    /// The settings file changed, or a signal said so.
+    /// The settings file has changed, is invalid or could not be read. A change takes effect at the
+    /// next start.
     SettingsReloaded,
-    /// An invariant failed: the process ends at once.
+    /// A panic, which ends the process at once: an invariant was violated.
     InvariantFailed,
-    /// The own link is full: new connections are wanted elsewhere.
+    /// The instance's network link is congested: new connections should go to other instances.
     LinkCongested,
-    /// The own link is free again.
+    /// The instance's network link is no longer congested.
     LinkRecovered,
-    /// Another configuration is in force.
+    /// A newer version of the configuration is in force.
     ConfigApplied,
-    /// A configuration can't be read; the one before stays in force.
+    /// A configuration could not be parsed; the previous one stays in force.
     ConfigInvalid,
-    /// The store does not answer.
+    /// The store is unavailable: it has not answered for a while.
     StoreUnavailable,
-    /// The store answers again.
+    /// The store is available again.
     StoreRecovered,
-    /// A write to the store was not carried out, or it is not known whether.
+    /// A write to the store was refused, or it is unknown whether it took effect.
     StoreWriteFailed,
-    /// How many calls of the store were made, by task, call, end and state of the store.
+    /// Total numbers of store calls, by task, operation, result and availability of the store.
     StoreCalls,
-    /// News came from another instance.
+    /// An update was received from another instance, or a request for one failed.
     PeerUpdate,
-    /// The list of instances changed.
+    /// The number of listed instances has changed.
     MembershipChanged,
-    /// What this instance has sent to others so far, and what it keeps.
+    /// Memory use, numbers of instances and connections, and the messages that this instance has
+    /// sent to others since its start.
     ResourceUsage,
-    /// An upstream is new; of more than 16 that come together only `count`.
+    /// A new upstream is listed. If one update adds more than 16, a single line contains their
+    /// number.
     UpstreamAdded,
-    /// An upstream started again under its name.
+    /// An upstream has started again under the same name.
     UpstreamRestarted,
     /// An upstream is leaving.
     UpstreamLeaving,
     /// An upstream is no longer listed.
     UpstreamRemoved,
-    /// An upstream's entry can't be read.
+    /// An upstream's entry could not be parsed; the upstream counts as not listed.
     UpstreamEntryInvalid,
-    /// An upstream ended without having said that it leaves, while requests ran there.
+    /// An upstream that had not announced that it is leaving ended while it ran requests.
     UpstreamCrashed,
-    /// An upstream's answer says that it leaves, or wants nothing for a while.
+    /// An upstream has announced in a response that it accepts no requests for a while.
     UpstreamPaused,
-    /// The request rate limit that an upstream advertises in its answers changed.
+    /// The request rate limit that an upstream advertises in its responses has changed.
     UpstreamLimitChanged,
-    /// A zone is evacuated: its upstreams get nothing.
+    /// A zone is evacuated: its upstreams get no requests.
     ZoneEvacuated,
-    /// A zone is no longer evacuated: its upstreams get requests again, few while they are cold.
+    /// A zone is in use again: its upstreams get requests, only a few while they are cold.
     ZoneRestored,
-    /// A request was answered.
+    /// A request was answered with the response of an upstream, which may be an error.
     Answered,
-    /// A request was refused, or failed.
+    /// A request was refused, or all its attempts failed.
     Refused,
     /// An attempt at an upstream failed.
     AttemptFailed,
-    /// An answer broke off.
+    /// A response was aborted after a part of it was sent to the caller.
     ResponseAborted,
-    /// A caller left before its answer.
+    /// The caller of a stream disconnected before its end.
     CallerDisconnected,
-    /// A stream was taken up at another upstream.
+    /// A stream was resumed at another upstream.
     StreamResumed,
-    /// Upstreams have ended under a request.
+    /// A request was running on several upstreams when these crashed.
     RequestSuspected,
-    /// A request is tried under which upstreams have ended.
+    /// A trial of a suspected request was granted, or an owner of its record could not be asked for
+    /// one.
     SuspectTrial,
-    /// A request under which upstreams have ended was answered.
+    /// A suspected request got a complete response, so its crashes no longer count.
     SuspectCleared,
-    /// What the store has of a suspected request can't be read.
+    /// The store's record of a suspected request could not be parsed.
     SuspectRecordInvalid,
-    /// An upstream made more than was asked for.
+    /// An upstream sent more tokens than were reserved for the request.
     TokensExceeded,
-    /// Tokens were taken from, or handed back to, a budget.
+    /// The instance's ledger entry for a customer has changed: tokens were taken from the budget,
+    /// returned to it or reported as spent.
     GrantChanged,
-    /// Tokens came from another instance.
+    /// Tokens were transferred from or to another instance, or a request for tokens failed.
     TokenTransfer,
-    /// A budget's record can't be read.
+    /// A customer's budget record, or the instance's own ledger, could not be parsed.
     BudgetRecordInvalid,
-    /// The incarnation before this one left tokens charged.
+    /// Tokens that the previous incarnation of this instance left charged to a budget.
     PreviousIncarnationTokens,
 }
 
