--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -30,8 +30,8 @@
 /// Retry time if no upstream is available, in milliseconds: an unreachable upstream is ejected for
 /// a similar time at first.
 const RETRY_NO_UPSTREAM_MS: u64 = 400;
-/// Retry time if no zone or region that the request may reach has an upstream in use, in
-/// milliseconds: only operators change that.
+/// Retry time if all upstreams that the request may reach are in evacuated zones, or none is in an
+/// allowed region, in milliseconds: only operators change that.
 const RETRY_EVACUATED_MS: u64 = 4_000;
 
 /// An attempt in progress at its upstream; dropping it records its outcome.
@@ -278,8 +278,8 @@
         ctx.router.metrics.connection_attempts.inc();
         match ctx.router.dialer.open(target, until).await {
             Ok(conn) if guard.may_send() => return Ok((guard, conn)),
-            // The upstream is leaving, paused, evacuated or cold by now. Nothing was sent, so
-            // another one is chosen.
+            // By now the upstream is leaving, paused, evacuated, no longer listed or throttled.
+            // Nothing was sent, so another one is chosen.
             Ok(_) => {}
             Err(e) => {
                 let detail = format_args!("upstream={} connect={e:?}", spec.id);
@@ -394,15 +394,16 @@
     }
 }
 
-/// Applies what a response says about its upstream: that it is leaving, that it accepts no more
-/// requests for a while, and its request rate limit. No other source is as direct as the response.
+/// Applies what an upstream announces in a response: that it is leaving, that it accepts no more
+/// requests for a while, and its request rate limit. The response is the most direct source of
+/// these.
 fn apply_announcements(
     ctx: &RequestContext,
     guard: &AttemptGuard,
     info: &ResponseInfo,
     status: StatusCode,
 ) {
-    // The response is about another upstream, which uses the address now.
+    // The response comes from another upstream, which uses the address now.
     if info.disposition == Disposition::Misdirected {
         return;
     }
--- a/crates/proxy/src/budgets/draw.rs
+++ b/crates/proxy/src/budgets/draw.rs
@@ -14,22 +14,25 @@
 use crate::peers::CALL_TIMEOUT;
 use crate::roster::HomeScope;
 
-/// How long a home waits for the store and for other instances: less than the instance that draws waits for the home.
+/// How long a home waits for the store and for other instances: less than the drawing instance
+/// waits for the home.
 const DRAW_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Asks a home for the tokens of one request.
+/// A request to a home for the tokens of one request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct DrawRequest {
     customer: String,
-    /// Tokens that the request needs beyond those that the caller holds.
+    /// Tokens that the request needs beyond those that the drawing instance holds.
     tokens: u64,
     /// The most that the request as a whole can cost.
     size: u64,
-    /// Total of spent tokens that the caller has forwarded to this home. The messages that did so may have been lost.
+    /// Total of spent tokens that the drawing instance has forwarded to this home: earlier messages
+    /// with it may have been lost.
     spent: CumulativeTotal,
-    /// Prepaid amount in the caller's configuration.
+    /// Prepaid amount in the configuration of the drawing instance.
     prepaid: u64,
-    /// Whether it goes to the home in the caller's availability zone, because the customer's home gets too many draws.
+    /// Whether it is sent to the home in the drawing instance's availability zone, because the
+    /// customer's home gets too many draws.
     #[serde(rename = "zone", default)]
     to_zone_home: bool,
 }
@@ -37,7 +40,7 @@
 /// A home's response to a draw.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum DrawResponse {
-    /// The home has debited the tokens; contains the total transferred to the caller.
+    /// The home has debited the tokens; contains the total transferred to the drawing instance.
     Tokens(CumulativeTotal),
     /// The budget does not cover the tokens.
     Exhausted,
@@ -46,20 +49,22 @@
         /// Whether enough tokens were free, held by no instance.
         free: bool,
     },
-    /// This instance holds too few tokens and cannot reach the store.
+    /// This instance holds too few tokens, and the store is unavailable to it.
     #[serde(rename = "CutOff")]
     StoreUnavailable,
-    /// This instance is not the incarnation that the caller asked, is stopping, or knows another prepaid amount.
+    /// This instance is another incarnation than the one that was asked, is stopping, or can't
+    /// decide because its configuration has another prepaid amount.
     #[serde(rename = "NotHere")]
     HomeUnavailable,
-    /// The customer has more draws than one instance answers: the caller is to ask the home in its availability zone.
+    /// The customer has more draws than one instance answers: the drawing instance is to ask the
+    /// home in its availability zone.
     #[serde(rename = "Crowded")]
     OverCapacity,
 }
 
 impl Budgets {
-    /// Reserves tokens, drawing those that are missing here from the customer's homes. Returns `None` if this instance
-    /// has to reserve them without the homes.
+    /// Reserves tokens, drawing those that are missing here from the customer's homes. Returns
+    /// `None` if this instance has to reserve them without the homes.
     pub(super) async fn reserve_at_home(
         &self,
         customer: &str,
@@ -99,7 +104,8 @@
                 }
             }
         }
-        // Unless this instance is the home, the home has asked the other instances: there is nothing to wait for.
+        // Unless this instance is a home itself, the homes have asked the other instances, so there
+        // is nothing to wait for.
         let all_unavailable = unavailable == homes.len() && !self.is_home(customer);
         let out_of_reach = all_unavailable && self.is_store_unavailable();
         out_of_reach.then_some(Err(ReserveError::OutOfReach { free: false }))
@@ -119,7 +125,7 @@
         traffic.record("draws", fleet.roster().is_same_zone(home.addr), bytes);
         let (budgets, addr) = (self.clone(), home.addr);
         let call = async move {
-            let response = budgets.deps().peers.draw_tokens(addr, &draw).await?;
+            let response = budgets.deps().peer_clients.draw_tokens(addr, &draw).await?;
             if let DrawResponse::Tokens(received) = &response {
                 budgets.with_known_budget(&draw.customer, |b| {
                     b.receive_tokens(&draw.spent.from, received);
@@ -134,8 +140,9 @@
         })
     }
 
-    /// Waits briefly for a call that may debit tokens at another instance. The call continues after the wait, or the
-    /// request that it is for, has ended: tokens in a late response are received as well.
+    /// Waits briefly for a call that may debit tokens at another instance. The call continues after
+    /// the wait, or the request that it is made for, has ended: tokens in a late response are
+    /// received as well.
     pub(super) async fn call_detached<T: Send + 'static>(
         &self,
         peer: &Member,
@@ -144,8 +151,8 @@
         match timeout(CALL_TIMEOUT, tokio::spawn(call)).await {
             Ok(result) => result.expect("calls to other instances do not panic"),
             Err(_) => {
-                self.deps().peers.back_off(peer.addr);
-                Err("no answer in time".to_string())
+                self.deps().peer_clients.back_off(peer.addr);
+                Err("timed out".to_string())
             }
         }
     }
@@ -176,8 +183,8 @@
             return DrawResponse::OverCapacity;
         }
         let until = Instant::now() + DRAW_TIMEOUT;
-        // While no instance reaches the store, a request asks all instances that may replace the home. If each counted
-        // the demand, each would later take tokens for all of it.
+        // While the store is unavailable to all instances, a request asks each instance that may
+        // replace the home. If each counted the demand, each would later take tokens for all of it.
         let is_home = draw.to_zone_home || self.is_home(&draw.customer);
         if is_home || !self.is_store_unavailable() {
             self.record_demand(&draw.customer, draw.tokens, draw.size);
@@ -188,12 +195,13 @@
                 let total = reservation.transfer_to(&draw.spent.from);
                 DrawResponse::Tokens(self.cumulative_total(&draw.spent.from, total))
             }
-            // One of the two configurations is older than the other: the caller decides by its own.
+            // The two configurations have different versions: the drawing instance decides by its
+            // own.
             Err(ReserveError::Exhausted) if self.prepaid(&draw.customer) > draw.prepaid => {
                 DrawResponse::HomeUnavailable
             }
             Err(ReserveError::Exhausted) => DrawResponse::Exhausted,
-            // The next instance that is asked may reach the store.
+            // The store may be available to the next instance that is asked.
             Err(ReserveError::OutOfReach { .. }) if self.is_store_unavailable() => {
                 DrawResponse::StoreUnavailable
             }
--- a/crates/proxy/src/budgets/mod.rs
+++ b/crates/proxy/src/budgets/mod.rs
@@ -1,18 +1,23 @@
-//! Prepaid token budgets: how tokens get from the store to a request and back. `escrow` decides how many an instance
-//! holds.
+//! Prepaid token budgets: how tokens get from the store to a request and back. `escrow` decides how
+//! many an instance holds.
 //!
-//! 1. A customer's home takes tokens from the budget: one transaction changes the customer's record and the home's own
-//!    ledger entry (`refill`).
-//! 2. A request arrives at any instance, which reserves the most that the request can cost: from the tokens that it
-//!    holds, and the rest from the home, in one call (`draw`). A home that holds too few asks the store and, in
-//!    parallel, other instances (`refill`, `transfer`).
-//! 3. The request holds the tokens until it ends (`reservation`). Those that it did not spend can be reserved again.
-//! 4. The instance forwards to the home what was spent, and transfers to it what is left (`settlement`).
-//! 5. The home reports the spent tokens in its ledger entry, and returns those that it no longer needs (`refill`).
-//! 6. An instance that stops returns all tokens to the store, or transfers them to other instances (`transfer`).
+//! 1. A customer's home takes tokens from the budget: one transaction changes the customer's record
+//!    and the home's own ledger entry (`refill`).
+//! 2. A request arrives at any instance, which reserves the most that the request can cost: from
+//!    the tokens that it holds, and the rest from the home, in one call (`draw`). A home that holds
+//!    too few asks the store and, in parallel, other instances (`refill`, `transfer`).
+//! 3. The request holds the tokens until it ends (`reservation`). Those that it did not spend can
+//!    be reserved again.
+//! 4. The instance forwards to the home what was spent, and transfers to it what is left
+//!    (`settlement`).
+//! 5. The home reports the spent tokens in its ledger entry, and returns those that it no longer
+//!    needs (`refill`).
+//! 6. An instance that stops returns all tokens to the store, or transfers them to other instances
+//!    (`transfer`).
 //!
-//! The sender debits tokens before it sends them, and each message carries a cumulative total. Tokens in a lost message
-//! stay charged to the budget until the next message arrives, and are never spent twice.
+//! The sender debits tokens before it sends them, and each message carries a cumulative total.
+//! Tokens in a lost message stay charged to the budget until the next message arrives, and are
+//! never spent twice.
 
 mod draw;
 mod records;
@@ -37,7 +42,7 @@
 use crate::datagram::Sender;
 use crate::fleet::Fleet;
 use crate::log::Log;
-use crate::peers::{Peers, TokenRequest};
+use crate::peers::{PeerClients, TokenRequest};
 use crate::roster::{HomeScope, Homes};
 use crate::store_health::StoreHealth;
 
@@ -47,27 +52,30 @@
 
 /// Maximum time that a request waits for tokens: a few calls to the store and to other instances.
 const MAX_TOKEN_WAIT: Duration = Duration::from_millis(600);
-/// How long requests that the balance does not cover are refused immediately after a search for tokens has failed.
+/// How long requests that the balance does not cover are refused immediately after a search for
+/// tokens has failed.
 const REFUSAL_PERIOD: Duration = Duration::from_millis(300);
-/// How long a customer whose home gets too many draws has a home in each availability zone. The zone homes return
-/// their tokens some seconds later, so switching back and forth costs writes.
+/// How long a customer whose home gets too many draws has a home in each availability zone. The
+/// zone homes return their tokens some seconds later, so switching back and forth costs writes.
 const ZONE_HOMES_PERIOD: Duration = Duration::from_secs(10);
-/// Maximum attempts at a transaction that conflicts with those of other instances, in one refill cycle or stop.
+/// Maximum attempts at a transaction that conflicts with those of other instances, in one refill
+/// cycle or stop.
 const MAX_COMMIT_ATTEMPTS: usize = 6;
 
-/// What the budgets need to reach the store and other instances.
+/// What the budgets need to call the store and other instances.
 pub(crate) struct BudgetDeps {
     pub(crate) store: Arc<dyn Store>,
     pub(crate) store_health: Arc<StoreHealth>,
     pub(crate) fleet: Fleet,
-    pub(crate) peers: Peers,
+    pub(crate) peer_clients: PeerClients,
     /// For datagrams to other instances.
     pub(crate) sender: Sender,
-    /// Time until service is back after a failure of all instances, in milliseconds, if the settings name one.
+    /// Time until service is back after a failure of all instances, in milliseconds, if the
+    /// settings specify it.
     pub(crate) recovery_ms: Option<u64>,
 }
 
-/// A handle to the budgets of all customers at this instance.
+/// Handle to the budgets of all customers at this instance; clones share it.
 #[derive(Clone)]
 pub(crate) struct Budgets(Arc<Inner>);
 
@@ -77,19 +85,21 @@
     customers: Mutex<BTreeMap<String, CustomerState>>,
     /// Revision of the own ledger in the store, once it was read; 0 if the store has none.
     ledger_revision: Mutex<Option<i64>>,
-    /// Revision of a record that includes a later write of the own ledger whose response was lost; 0 if none does.
+    /// Revision of a record that includes a later write of the own ledger whose response was lost;
+    /// 0 if none does.
     unconfirmed_revision: AtomicI64,
     /// Value of `unconfirmed_revision` when the own ledger was last read.
     checked_revision: AtomicI64,
     refill_requested: Notify,
-    /// Counts finished searches for tokens, and arrivals of tokens that waiting requests lack. These requests try again
-    /// at each change.
+    /// Counts finished searches for tokens, and arrivals of tokens that waiting requests lack.
+    /// These requests try again at each change.
     finished_searches: watch::Sender<u64>,
     deps: OnceLock<BudgetDeps>,
     /// Customers whose homes are to be sent a settlement, with the number of times left.
     pending_settlements: Mutex<BTreeMap<String, u8>>,
     settlement_requested: Notify,
-    /// Set when a planned stop begins to return tokens: from then on, none are taken from the budgets.
+    /// Set when a planned stop begins to return tokens: from then on, none are taken from the
+    /// budgets.
     shutting_down: AtomicBool,
 }
 
@@ -105,7 +115,7 @@
 }
 
 impl Budgets {
-    pub(crate) fn open(clock: Clock, log: Arc<Log>) -> Budgets {
+    pub(crate) fn new(clock: Clock, log: Arc<Log>) -> Budgets {
         Budgets(Arc::new(Inner {
             clock,
             log,
@@ -137,7 +147,8 @@
         self.0.refill_requested.notify_one();
     }
 
-    /// Reserves tokens, waiting briefly for other instances and for the store if this one holds too few.
+    /// Reserves tokens, waiting briefly for other instances and for the store if this one holds too
+    /// few.
     ///
     /// # Errors
     ///
@@ -156,7 +167,8 @@
         self.reserve_here(customer, tokens, tokens, deadline).await
     }
 
-    /// Records demand that this instance has to cover, and the most that the request as a whole can cost.
+    /// Records demand that this instance has to cover, and the most that the request as a whole can
+    /// cost.
     fn record_demand(&self, customer: &str, tokens: u64, size: u64) {
         let now = self.0.clock.now();
         self.with_budget(customer, |b| {
@@ -172,10 +184,11 @@
         f(&mut state.budget)
     }
 
-    /// Returns the instances to draw a customer's tokens from; none if this one takes them from the budget itself.
+    /// Returns the instances to draw a customer's tokens from; none if this one takes them from the
+    /// budget itself.
     ///
-    /// A home that cannot reach the store draws from the instances that would replace it: all callers of a customer may
-    /// use this instance, and no other one would take tokens for them.
+    /// A home to which the store is unavailable draws from the instances that would replace it: all
+    /// callers of a customer may use this instance, and no other one would take tokens for them.
     fn homes(&self, customer: &str) -> Homes {
         let (fleet, scope) = (&self.deps().fleet, self.home_scope(customer));
         let homes = fleet.preceding_homes(customer, scope);
@@ -202,7 +215,8 @@
         }
     }
 
-    /// Uses a home in each availability zone for a while, because the home reported more draws than it answers.
+    /// Uses a home in each availability zone for a while, because the home reported more draws than
+    /// it answers.
     fn use_zone_homes(&self, customer: &str) {
         let mut customers = self.0.customers.lock().expect("lock not poisoned");
         if let Some(state) = customers.get_mut(customer) {
@@ -231,8 +245,8 @@
         }
     }
 
-    /// Reserves tokens that this instance holds, for a request of the given size. If it holds too few, it waits briefly
-    /// for the store and for other instances to provide them.
+    /// Reserves tokens that this instance holds, for a request of the given size. If it holds too
+    /// few, it waits briefly for the store and for other instances to provide them.
     async fn reserve_here(
         &self,
         customer: &str,
@@ -248,7 +262,8 @@
         }
         let _wait = WaitGuard::new(self, customer, tokens);
         let mut searches = self.0.finished_searches.subscribe();
-        // The search under way may have begun before this request arrived.
+        // The search in progress may have begun before this request arrived, so the end of the next
+        // one is awaited.
         let last_search = *searches.borrow_and_update() + 2;
         let until = deadline.min(Instant::now() + MAX_TOKEN_WAIT);
         self.0.refill_requested.notify_one();
@@ -297,8 +312,8 @@
         self.reserve_error(&state.budget, tokens)
     }
 
-    /// Returns why a budget has too few tokens here for a request. Free tokens do not count while the store is
-    /// unreachable, because they cannot be taken then.
+    /// Returns why a budget has too few tokens here for a request. Free tokens do not count while
+    /// the store is unavailable, because they cannot be taken then.
     fn reserve_error(&self, budget: &LocalBudget, tokens: u64) -> ReserveError {
         let unavailable = self.is_store_unavailable();
         match budget.reserve_error(tokens) {
@@ -309,7 +324,7 @@
         }
     }
 
-    /// Returns whether the store is unreachable from this instance.
+    /// Returns whether the store is unavailable to this instance.
     pub(crate) fn is_store_unavailable(&self) -> bool {
         self.deps().store_health.is_unavailable()
     }
--- a/crates/proxy/src/budgets/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -1,4 +1,5 @@
-//! Budget data in the store: reads the customers' records and the own ledger, and applies them to the budgets.
+//! Budget data in the store: reads the customers' records and the own ledger, and applies them to
+//! the budgets.
 
 use std::collections::HashSet;
 use std::slice;
@@ -15,19 +16,21 @@
 const LEDGER_PREFIX: &str = "oriolehitch/books/";
 /// Prefix of the keys of the customers' records.
 pub(super) const RECORD_PREFIX: &str = "oriolehitch/budgets/";
-/// Records older than this are read again before requests are refused because of them, in milliseconds. Tokens that
-/// other instances return are then seen within a second, and refused callers retry later than that.
+/// Records older than this are read again before requests are refused because of them, in
+/// milliseconds. Tokens that other instances return are then seen within a second, and refused
+/// callers retry later than that.
 const MAX_RECORD_AGE_MS: u64 = 1_000;
-/// Approximate number of records that the store lists in one call. If listing all records takes more calls than there
-/// are records to read, each is read separately.
+/// Approximate number of records that the store lists in one call. If listing all records takes
+/// more calls than there are records to read, each is read separately.
 const RECORDS_PER_CALL: usize = 200;
 
 impl Budgets {
-    /// Returns the customers whose records should be read: those never read, if the customer is in use here or has its
-    /// home here, and those that are too old, if waiting requests lack more tokens than were free.
+    /// Returns the customers whose records should be read: those never read, if the customer is in
+    /// use here or has its home here, and those that are too old, if waiting requests lack more
+    /// tokens than were free.
     ///
-    /// An instance of a large fleet is not the home of most customers: it draws their tokens from other instances and
-    /// does not need their records.
+    /// An instance of a large fleet is not the home of most customers: it draws their tokens from
+    /// other instances and does not need their records.
     pub(super) fn customers_to_read(&self) -> Vec<String> {
         let now = self.0.clock.now();
         let fleet = &self.deps().fleet;
@@ -45,8 +48,8 @@
         outdated.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Reads the records of some customers, or all records if that takes no more calls, and the own ledger if it is
-    /// unknown or outdated; returns whether the store answered.
+    /// Reads the records of some customers, or all records if that takes no more calls, and the own
+    /// ledger if it is unknown or outdated; returns whether the store answered.
     pub(super) async fn read(&self, customers: &[String]) -> bool {
         let known = self.ledger_revision().is_some() && !self.is_ledger_outdated();
         if !known && !self.read_ledger().await {
@@ -134,25 +137,25 @@
     pub(super) fn update_snapshots(&self, items: &[KeyValue]) {
         let read_at = self.0.clock.now();
         let mut customers = self.0.customers.lock().expect("lock not poisoned");
-        for found in items {
-            let name = found.key.strip_prefix(RECORD_PREFIX).unwrap_or_default();
+        for item in items {
+            let name = item.key.strip_prefix(RECORD_PREFIX).unwrap_or_default();
             let Some(state) = customers.get_mut(name) else {
                 continue;
             };
-            match BudgetRecord::parse(&found.value) {
+            match BudgetRecord::parse(&item.value) {
                 Ok(record) => state.budget.update_snapshot(RecordSnapshot {
                     record,
-                    revision: found.revision,
+                    revision: item.revision,
                     read_at,
                 }),
-                Err(why) => self.log_malformed(&found.key, &why),
+                Err(why) => self.log_malformed(&item.key, &why),
             }
         }
     }
 
     /// Applies the own ledger as the store has it; `None` if the store has none.
     ///
-    /// A malformed ledger changes nothing: no tokens are taken because of it.
+    /// A malformed ledger is ignored, so that no tokens are taken because of it.
     pub(super) fn update_ledger(&self, found: Option<&KeyValue>) {
         let ledger = match found.map(|f| Ledger::parse(&f.value)) {
             None => Ledger::default(),
@@ -161,8 +164,8 @@
         };
         let revision = found.map_or(0, |f| f.revision);
         let mut known = self.0.ledger_revision.lock().expect("lock not poisoned");
-        // Responses may arrive out of order. A revision that is known already is not applied again either: a write that
-        // replaces its entries may be under way.
+        // Responses may arrive out of order. A revision that is known already is not applied again
+        // either: a write that replaces its entries may be in progress.
         if known.is_some_and(|k| k >= revision) {
             return;
         }
@@ -205,7 +208,8 @@
         format!("{LEDGER_PREFIX}{}", self.deps().fleet.name())
     }
 
-    /// Logs an own ledger entry that the store has: a planned one may be lost in a conflict with another instance.
+    /// Logs an own ledger entry that the store has: a planned one may be lost in a conflict with
+    /// another instance.
     fn log_grant(&self, customer: &str, entry: LedgerEntry, budget: &LocalBudget) {
         let record = budget.snapshot().map(|s| s.record);
         let shown = |sum: Option<u64>| sum.map_or("unknown".to_string(), |s| s.to_string());
--- a/crates/proxy/src/budgets/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -1,4 +1,5 @@
-//! The task that keeps the budgets filled: in each cycle, it plans changes of the own ledger entries and writes them.
+//! The task that keeps the budgets filled: in each cycle, it plans changes of the own ledger
+//! entries and writes them.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -14,26 +15,32 @@
 use crate::event::Event;
 use crate::roster::HomeScope;
 
-/// Interval of the refill cycles for all budgets: each takes a call to the store, and grants last ten times as long.
+/// Interval of the refill cycles for all budgets: a cycle that changes an entry takes a call to the
+/// store, and grants last ten times as long.
 const REFILL_INTERVAL: Duration = Duration::from_millis(1_000);
-/// In fleets of more instances than this, the interval grows with the fleet, so that all instances together write no
-/// more: with more writes, more of them conflict on a record, and one of two conflicting writes is in vain.
+/// In fleets of more instances than this, the interval grows with the fleet, so that all instances
+/// together write no more: with more writes, more of them conflict on a record, and one of two
+/// conflicting writes has no effect.
 const FULL_RATE_INSTANCES: u32 = 40;
-/// Maximum interval of the refill cycles for all budgets: less than half of the time that grants last.
+/// Maximum interval of the refill cycles for all budgets: less than half of the time that grants
+/// last.
 const MAX_REFILL_INTERVAL: Duration = Duration::from_secs(4);
-/// Maximum random addition to the interval, in milliseconds, so that instances that start together do not refill at the
-/// same time.
+/// Maximum random addition to the interval, in milliseconds, so that instances that start together
+/// do not refill at the same time.
 const REFILL_JITTER_MS: u64 = 100;
 /// Minimum pause between two refill cycles that requests trigger.
 const MIN_REFILL_PAUSE: Duration = Duration::from_millis(20);
 /// How long the store alone is waited for, before other instances are asked in parallel.
 const STORE_HEAD_START: Duration = Duration::from_millis(30);
-/// Maximum time for reading and writing records in a cycle; a transaction that was sent may still take effect later.
+/// Maximum time for reading and writing records in a cycle; a transaction that was sent may still
+/// take effect later.
 const UPDATE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Maximum number of records in a transaction besides the own ledger: each needs a condition and a write.
+/// Maximum number of records in a transaction besides the own ledger: each needs a condition and a
+/// write.
 const MAX_RECORDS_PER_TXN: usize = MAX_TXN_OPS / 2 - 1;
-/// Maximum random pause after a conflict, in milliseconds per failed attempt. It can be short, because the conflict
-/// returned the current records, and is random, because other instances have to try again as well.
+/// Maximum random pause after a conflict, in milliseconds per failed attempt. It can be short,
+/// because the conflict returned the current records, and is random, because other instances have
+/// to try again as well.
 const CONFLICT_BACKOFF_MS: u64 = 4;
 
 /// Result of a transaction.
@@ -57,7 +64,7 @@
 impl Budgets {
     /// Spawns the tasks that keep the budgets filled and send settlements.
     pub(crate) fn spawn(&self, deps: BudgetDeps) {
-        assert!(self.0.deps.set(deps).is_ok(), "spawned twice");
+        assert!(self.0.deps.set(deps).is_ok(), "`spawn` was called twice");
         tokio::spawn(self.clone().send_settlements());
         let budgets = self.clone();
         tokio::spawn(async move {
@@ -104,7 +111,8 @@
             self.request_shortfalls().await;
             return;
         }
-        // It takes a while until a store that does not answer counts as unreachable, and requests arrive meanwhile.
+        // It takes a while until a store that does not answer counts as unavailable, and requests
+        // arrive meanwhile.
         let ended = AtomicBool::new(false);
         let update = async {
             // Without a response in time, the next cycle begins with what is known.
@@ -115,8 +123,8 @@
         tokio::join!(update, self.request_shortfalls_until(&ended));
     }
 
-    /// Asks other instances for what waiting requests lack, and again at each request for a refill, until `ended` is
-    /// set.
+    /// Asks other instances for what waiting requests lack, and again at each request for a refill,
+    /// until `ended` is set.
     ///
     /// A call is never cancelled: the tokens that the other instance has debited would be lost.
     async fn request_shortfalls_until(&self, ended: &AtomicBool) {
@@ -149,8 +157,8 @@
 
     /// Writes the own ledger entries that need a change.
     ///
-    /// The records as last read suffice for the first attempt: a transaction that conflicts with another instance's
-    /// returns the current ones.
+    /// The records as last read suffice for the first attempt: a transaction that conflicts with
+    /// another instance's returns the current ones.
     async fn update_store(&self, scope: Scope) {
         let unread = self.customers_to_read();
         let read = !unread.is_empty() || self.is_ledger_outdated();
@@ -180,14 +188,14 @@
         let written = txn.puts.clone();
         match deps.store.commit(txn).await {
             Ok(TxnResult::Done(revision)) => {
-                let found = written.into_iter().map(|p| KeyValue {
+                let items = written.into_iter().map(|p| KeyValue {
                     key: p.key,
                     value: p.value,
                     revision,
                 });
-                let found: Vec<KeyValue> = found.collect();
-                self.update_snapshots(&found);
-                self.update_ledger(found.iter().find(|f| f.key == self.ledger_key()));
+                let items: Vec<KeyValue> = items.collect();
+                self.update_snapshots(&items);
+                self.update_ledger(items.iter().find(|f| f.key == self.ledger_key()));
                 CommitOutcome::Committed
             }
             Ok(TxnResult::Conflict(items)) => {
@@ -196,20 +204,21 @@
                 CommitOutcome::Conflict
             }
             Ok(TxnResult::LeaseEnded) => CommitOutcome::Failed,
-            Err(failure) => {
-                let detail = format_args!("what=budgets why={failure:?}");
+            Err(error) => {
+                let detail = format_args!("what=budgets why={error:?}");
                 self.0.log.event(Event::StoreWriteFailed, detail);
                 CommitOutcome::Failed
             }
         }
     }
 
-    /// Returns the transaction that writes the own ledger entries that need a change; empty if none does.
+    /// Returns the transaction that writes the own ledger entries that need a change; empty if none
+    /// does.
     ///
     /// # Panics
     ///
-    /// Panics if a record does not include the own ledger entry although the record is no newer than the ledger, or the
-    /// ledger was read again since: tokens could be spent twice.
+    /// Panics if a record does not include the own ledger entry although the record is no newer
+    /// than the ledger, or the ledger was read again since: tokens could be spent twice.
     pub(super) fn plan_txn(&self, scope: Scope) -> Txn {
         let (now, instances) = (
             self.0.clock.now(),
@@ -234,7 +243,8 @@
             let old = budget.entry();
             ledger.entries.insert(name.clone(), old);
             let in_scope = scope != Scope::Waiting || budget.shortfall() > 0;
-            // No entry changes without its record: in a large fleet, most customers have their homes elsewhere.
+            // No entry changes without its record: in a large fleet, most customers have their
+            // homes elsewhere.
             let snapshot = budget.snapshot().map(|s| (s.record, s.revision));
             let Some((record, revision)) = snapshot.filter(|_| in_scope) else {
                 continue;
--- a/crates/proxy/src/budgets/reservation.rs
+++ b/crates/proxy/src/budgets/reservation.rs
@@ -8,7 +8,8 @@
     pub(super) budgets: Budgets,
     pub(super) customer: String,
     pub(super) reserved: u64,
-    /// Tokens of the prompt, once it was sent to an upstream that may respond. They count once, even if sent again.
+    /// Tokens of the prompt, once it was sent to an upstream that may respond. They count once,
+    /// even if sent again.
     pub(super) prompt: u64,
     /// Tokens of the response that went to the caller.
     pub(super) delivered: u64,
@@ -25,9 +26,10 @@
         self.prompt = prompt;
     }
 
-    /// Stops counting the prompt: the upstreams that got it did not run it, or closed the connection before any part of
-    /// a response arrived. A customer pays for what it gets: if prompts without a response counted, they would use up
-    /// several percent of a budget within seconds while upstreams fail.
+    /// Stops counting the prompt: the upstreams that got it did not run it, or closed the
+    /// connection before any part of a response arrived. A customer pays for what it gets: if
+    /// prompts without a response counted, they would use up several percent of a budget within
+    /// seconds while upstreams fail.
     pub(crate) fn clear_prompt(&mut self) {
         self.prompt = 0;
     }
@@ -37,7 +39,8 @@
         self.delivered += tokens;
     }
 
-    /// Transfers the tokens to an instance that draws from this one; returns the total transferred to it.
+    /// Transfers the tokens to an instance that draws from this one; returns the total transferred
+    /// to it.
     pub(super) fn transfer_to(mut self, peer: &str) -> u64 {
         let reserved = std::mem::take(&mut self.reserved);
         self.budgets
--- a/crates/proxy/src/budgets/settlement.rs
+++ b/crates/proxy/src/budgets/settlement.rs
@@ -1,8 +1,8 @@
-//! Settlements: when requests have ended, an instance that draws from a home forwards to it what they spent, and
-//! transfers to it what they left, which others can then draw at once.
+//! Settlements: when requests have ended, an instance that draws from a home forwards to it what
+//! they spent, and transfers to it what they left, which others can then draw at once.
 //!
-//! Without settlements, the last part of a budget would be split over all instances into pieces smaller than a prompt,
-//! and the home would take spent tokens for unspent ones.
+//! Without settlements, the last part of a budget would be split over all instances into pieces
+//! smaller than a prompt, and the home would take spent tokens for unspent ones.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,7 +18,8 @@
 
 /// Requests that end within this time are settled together.
 const BATCH_DELAY: Duration = Duration::from_millis(40);
-/// How often each settlement is sent, because a datagram may be lost. Receiving a total twice changes nothing.
+/// How often each settlement is sent, because a datagram may be lost. Receiving a total twice
+/// changes nothing.
 const SEND_COUNT: u8 = 2;
 /// Maximum number of customers in one datagram, so that it fits in a packet.
 const MAX_PER_DATAGRAM: usize = 6;
@@ -82,10 +83,13 @@
                 .deps()
                 .fleet
                 .preceding_homes(&customer, self.home_scope(&customer));
-            // Tokens transferred to an instance that is gone would be out of reach, and spending forwarded to it would
-            // never be recorded: the own ledger entry reports it instead.
-            let peers = &self.deps().peers;
-            let home = homes.first().filter(|h| !peers.is_unresponsive(h.addr));
+            // Tokens transferred to an instance that is gone could not be used any more, and
+            // spending forwarded to it would never be recorded. The own ledger entry reports it
+            // instead.
+            let peer_clients = &self.deps().peer_clients;
+            let home = homes
+                .first()
+                .filter(|h| !peer_clients.is_unresponsive(h.addr));
             if let Some(home) = home {
                 let batch = settlements.entry(home.addr).or_default();
                 batch.extend(self.settlement(home, customer));
--- a/crates/proxy/src/budgets/transfer.rs
+++ b/crates/proxy/src/budgets/transfer.rs
@@ -16,13 +16,14 @@
 use crate::peers::{TokenRequest, TokenTransfer};
 use crate::roster::HomeScope;
 
-/// How long a stopping instance waits for the store before it transfers its tokens to other instances.
+/// How long a stopping instance waits for the store before it transfers its tokens to other
+/// instances.
 const SHUTDOWN_READ_TIMEOUT: Duration = Duration::from_millis(250);
 /// Maximum number of other instances asked for a customer's tokens in one search.
 const MAX_PEERS_ASKED: usize = 8;
 
 impl Budgets {
-    /// Asks other instances for the tokens that a customer's waiting requests lack.
+    /// Asks other instances for the tokens that a customer's waiting requests need.
     pub(super) async fn request_from_peers(&self, customer: &str) {
         for peer in self.peers_to_ask(customer).iter().take(MAX_PEERS_ASKED) {
             let Some(request) = self.token_request(customer) else {
@@ -32,7 +33,7 @@
             let call = async move {
                 let total = budgets
                     .deps()
-                    .peers
+                    .peer_clients
                     .request_tokens(from.addr, &request)
                     .await?;
                 budgets.receive_tokens(&request.customer, &total);
@@ -45,8 +46,9 @@
         }
     }
 
-    /// Returns the other instances in the order in which they are asked: the customer's homes, those of the own zone,
-    /// and the rest. Each group is shuffled, because it is not known which instances hold tokens.
+    /// Returns the other instances in the order in which they are asked: the customer's homes,
+    /// those of the own zone, and the rest. Each group is shuffled, because it is not known which
+    /// instances hold tokens.
     fn peers_to_ask(&self, customer: &str) -> Vec<Arc<Member>> {
         let fleet = &self.deps().fleet;
         let homes = fleet.other_homes(customer, HomeScope::Fleet);
@@ -88,8 +90,8 @@
         self.0.shutting_down.load(Ordering::Relaxed)
     }
 
-    /// Receives the tokens of an instance that stops; returns whether they are meant for this incarnation and it knows
-    /// their customer.
+    /// Receives the tokens of an instance that stops; returns whether they are meant for this
+    /// incarnation and it knows their customer.
     pub(crate) fn receive_transfer(&self, transfer: &TokenTransfer) -> bool {
         let own_id = self.own_id();
         let mut customers = self.0.customers.lock().expect("lock not poisoned");
@@ -101,12 +103,13 @@
         transfer.transferred.to == own_id
     }
 
-    /// Releases all tokens that are not reserved, to the store or to other instances: the last step of a planned stop.
-    /// Returns whether all of them were released.
+    /// Releases all tokens that are not reserved, to the store or to other instances, at a planned
+    /// stop. From then on, no tokens are taken from the budgets. Returns whether all of them were
+    /// released.
     pub(crate) async fn release_all(&self) -> bool {
         self.0.shutting_down.store(true, Ordering::Relaxed);
-        // A read shows whether the store answers. A write without a response may still take effect, so its tokens could
-        // not be transferred to other instances.
+        // A read shows whether the store answers. A write without a response may still take effect,
+        // so its tokens could not be transferred to other instances.
         let store_answered = timeout(
             SHUTDOWN_READ_TIMEOUT,
             self.read(&self.customers_to_release()),
@@ -134,7 +137,7 @@
                 return true;
             }
             match self.commit(txn).await {
-                // A transaction has room for a limited number of customers: the others follow.
+                // A transaction covers a limited number of customers: the others follow.
                 CommitOutcome::Committed => {}
                 CommitOutcome::Failed => return false,
                 CommitOutcome::Conflict => conflicts += 1,
@@ -153,7 +156,10 @@
                 return false;
             };
             let transfer = self.final_transfer(peer, customer);
-            let accepted = deps.peers.transfer_tokens(peer.addr, &transfer).await;
+            let accepted = deps
+                .peer_clients
+                .transfer_tokens(peer.addr, &transfer)
+                .await;
             complete &= accepted == Ok(true);
             let detail = format_args!("to={} gift={transfer:?} given={accepted:?}", peer.id);
             self.0.log.event(Event::TokenTransfer, detail);
@@ -161,15 +167,16 @@
         complete
     }
 
-    /// Returns the instances that answer and are not stopping: tokens sent to one that is gone are lost.
+    /// Returns the instances that answer and are not stopping: tokens sent to one that is gone are
+    /// lost.
     async fn available_peers(&self) -> Vec<Member> {
         let deps = self.deps();
         let mut pings = JoinSet::new();
         for peer in deps.fleet.peers() {
-            let peers = deps.peers.clone();
+            let peer_clients = deps.peer_clients.clone();
             pings.spawn(async move {
                 // The list may still show its previous incarnation.
-                let id = peers.ping(peer.addr).await?;
+                let id = peer_clients.ping(peer.addr).await?;
                 Some(Member {
                     id,
                     ..Member::clone(&peer)
@@ -188,7 +195,8 @@
         holders.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Debits all tokens left of a customer for another instance, and forwards what was spent.
+    /// Debits all tokens of a customer that are left here for another instance, and forwards what
+    /// was spent.
     fn final_transfer(&self, peer: &Member, customer: &str) -> TokenTransfer {
         self.with_budget(customer, |b| TokenTransfer {
             customer: customer.to_string(),
--- a/crates/proxy/src/config.rs
+++ b/crates/proxy/src/config.rs
@@ -19,7 +19,7 @@
 use crate::relay::Relay;
 use crate::replication::Topic;
 
-/// Maximum number of revoked keys that are remembered until the version that revokes them is in
+/// Maximum number of revoked API keys that are remembered until the version that revokes them is in
 /// force, to bound memory.
 const MAX_REVOKED_KEYS: usize = 1_024;
 
@@ -32,14 +32,15 @@
     pub(crate) raw: Bytes,
 }
 
-/// Handle on the configuration in force; clones share it.
+/// Handle to the configuration in force; clones share it.
 #[derive(Clone)]
 pub(crate) struct Config(Arc<Inner>);
 
 struct Inner {
     deps: ConfigDeps,
     active: RwLock<Option<Arc<ActiveConfig>>>,
-    /// Hashes of keys that a version revokes which is not in force here yet, with that version.
+    /// Hashes of API keys that are revoked by a version that is not in force here yet, with that
+    /// version.
     revoked_keys: RwLock<HashMap<u64, u64>>,
 }
 
@@ -52,7 +53,7 @@
     pub(crate) slack: f64,
 }
 
-/// What a configuration is applied to, and what that takes.
+/// What the configuration is parsed with and applied to.
 pub(crate) struct ConfigDeps {
     pub(crate) dialect: Arc<dyn Dialect>,
     pub(crate) budgets: Budgets,
@@ -64,7 +65,7 @@
 }
 
 impl Config {
-    pub(crate) fn open(deps: ConfigDeps) -> Config {
+    pub(crate) fn new(deps: ConfigDeps) -> Config {
         Config(Arc::new(Inner {
             deps,
             active: RwLock::new(None),
@@ -119,7 +120,7 @@
         self.publish_change(previous.as_deref(), &next);
     }
 
-    /// Publishes to peers what is urgent in a version that is in force now.
+    /// Publishes to peers what is urgent about a version that is now in force.
     fn publish_change(&self, previous: Option<&ActiveConfig>, next: &ActiveConfig) {
         let version = next.routing.version;
         self.0.deps.relay.set_config_version(version);
@@ -153,8 +154,8 @@
         pool.set_cold_starts(cold.collect());
     }
 
-    /// Records a peer's report that a version revokes a key. The key is refused from now on, even
-    /// if that version itself arrives later.
+    /// Records a peer's report that a version revokes an API key. The key is refused from now on,
+    /// even if that version itself arrives later.
     pub(crate) fn revoke_key(&self, key: u64, version: u64) {
         if version <= self.version() {
             return;
@@ -173,7 +174,7 @@
         revoked.retain(|_, by| *by > version);
     }
 
-    /// Returns the version, newer than the one in force, that revokes a key; `None` if none is
+    /// Returns the version, newer than the one in force, that revokes an API key; `None` if none is
     /// known.
     pub(crate) fn revoking_version(&self, key: &str) -> Option<u64> {
         let revoked = self.0.revoked_keys.read().expect("lock not poisoned");
@@ -195,7 +196,7 @@
             let dialect = &config.0.deps.dialect;
             let key = dialect.config_key().to_string();
             let prefix = dialect.operator_prefix().to_string();
-            let mut follower = Follower::open(
+            let mut follower = Follower::new(
                 store,
                 follower_deps,
                 Topic::Config,
--- a/crates/proxy/src/datagram.rs
+++ b/crates/proxy/src/datagram.rs
@@ -3,7 +3,7 @@
 //!
 //! An upstream reports its own load late, and each instance sees only a part of its requests.
 //! Without load reports, several instances would send long prompts to one engine at the same time.
-//! A lost datagram costs one round; nothing depends on it.
+//! A datagram may be lost. That only delays its content, which is sent again or soon outdated.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 use crate::suspect_gossip::PeerNetwork;
 use crate::traffic::Traffic;
 
-/// Interval between load reports in a small fleet: a long prompt is processed in some hundred
+/// Interval between load reports in a small fleet: a long prompt is processed in a few hundred
 /// milliseconds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(80);
 /// In a fleet of more instances than this, the interval grows with their number, so that each
@@ -42,10 +42,10 @@
 pub(crate) enum Datagram {
     /// The load that the sender puts on the upstreams.
     Loads(LoadReport),
-    /// What requests have spent of budgets, and what they have left.
+    /// The tokens that ended requests have spent, and those that they have left.
     #[serde(rename = "Settled")]
     Settlements(Vec<Settlement>),
-    /// How far the sender has read the store for its zone.
+    /// The heartbeat of a reader: how far it has read the store for its zone.
     #[serde(rename = "Head")]
     Heartbeat(Heartbeat),
     /// Records of requests that were running on upstreams when these crashed.
@@ -137,8 +137,7 @@
     tokio::spawn(broadcast_loads(sender.clone(), pool, clock));
 }
 
-/// Sends to the instances of the same zone how far this one has read the store, while it reads for
-/// them.
+/// Sends heartbeats to the instances of the same zone while this one reads the store for them.
 async fn broadcast_heartbeats(sender: Sender, relay: Relay) {
     loop {
         let Some(heartbeat) = relay.next_heartbeat().await else {
@@ -150,7 +149,7 @@
     }
 }
 
-/// Sends the load that this instance puts on the upstreams.
+/// Sends the load that this instance puts on the upstreams to other instances.
 async fn broadcast_loads(sender: Sender, pool: Arc<Mutex<Pool>>, clock: Clock) {
     let sender_id = rand::random();
     let mut reported_none = false;
@@ -168,18 +167,18 @@
             continue;
         }
         reported_none = loads.is_empty();
-        let to_row =
+        let to_tuple =
             |(hash, h): (u64, InstanceLoad)| (hash, h.pending_prefill_ms as u32, h.inflight);
         let report = LoadReport {
             sender: sender_id,
-            loads: loads.into_iter().map(to_row).collect(),
+            loads: loads.into_iter().map(to_tuple).collect(),
         };
         let to = load_peers.into_iter().map(|m| m.addr);
         sender.send(&Datagram::Loads(report), to);
     }
 }
 
-/// Receives datagrams of other instances and passes them on.
+/// Receives datagrams of other instances and applies them.
 struct Receiver {
     pool: Arc<Mutex<Pool>>,
     service: PeerService,
@@ -192,7 +191,8 @@
         let Sender { socket, fleet, .. } = &self.sender;
         let mut buf = vec![0; MAX_DATAGRAM_BYTES];
         loop {
-            // An error here comes from the host of another instance whose port is closed.
+            // An error here refers to a datagram that was sent before: the port of its receiver is
+            // closed.
             let Ok((n, from)) = socket.recv_from(&mut buf).await else {
                 sleep(ROUND_INTERVAL).await;
                 continue;
@@ -228,7 +228,7 @@
                             .send(&Datagram::Notices { version, batch }, [from]);
                     }
                 }
-                // It comes from another program or from an incompatible version.
+                // The datagram comes from another program or from an incompatible version.
                 Err(_) => {}
             }
         }
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -25,7 +25,7 @@
     Invalid(&'static str),
 }
 
-/// How long an upstream accepts no more requests.
+/// How long an upstream accepts no requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pause {
     /// For this time after its response.
@@ -56,8 +56,8 @@
     pub keep_alive: Option<Duration>,
     /// Whether the upstream announces that it is leaving.
     pub leaving: bool,
-    /// How long the upstream accepts no more requests; none if that is missing or could not be
-    /// parsed.
+    /// How long the upstream accepts no requests; `None` if the response does not say, or it could
+    /// not be parsed.
     pub pause: Option<Pause>,
     /// The request rate limit that the upstream advertises.
     pub limit: AdvertisedLimit,
--- a/crates/proxy/src/evacuation.rs
+++ b/crates/proxy/src/evacuation.rs
@@ -14,7 +14,7 @@
 use crate::log::Log;
 use crate::notices::Notices;
 
-/// Handle on the evacuated zones; clones share it.
+/// Handle to the evacuated zones; clones share it.
 #[derive(Clone)]
 pub(crate) struct Evacuations(Arc<Inner>);
 
@@ -27,7 +27,7 @@
 }
 
 impl Evacuations {
-    pub(crate) fn open(
+    pub(crate) fn new(
         dialect: Arc<dyn Dialect>,
         notices: Notices,
         pool: Arc<Mutex<Pool>>,
@@ -45,9 +45,9 @@
 
     /// Applies a complete list of the keys that operators have written, as of a revision.
     pub(crate) fn apply_snapshot(&self, items: &[KeyValue], revision: i64) {
-        let zone = |f: &KeyValue| {
-            let zone = self.0.dialect.evacuated_zone(&f.key)?;
-            Some((zone.to_string(), f.revision))
+        let zone = |item: &KeyValue| {
+            let zone = self.0.dialect.evacuated_zone(&item.key)?;
+            Some((zone.to_string(), item.revision))
         };
         let listed: BTreeMap<String, i64> = items.iter().filter_map(zone).collect();
         for (zone, revision) in &listed {
@@ -58,7 +58,7 @@
                 zone, evacuated, ..
             } = notice
             {
-                // If the notice has a later revision, it takes precedence over this list.
+                // A notice with a later revision than this list takes precedence over it.
                 if evacuated && !listed.contains_key(&zone) {
                     self.publish(&zone, revision, false);
                 }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -26,13 +26,14 @@
 const PREFIX: &str = "oriolehitch/instances/";
 /// Minimum time to live of a lease, in milliseconds. A lease must outlive an outage of the store
 /// and a partition of its holder, since that is when the other instances need the list most. In
-/// return, an instance that crashed stays listed for that time, which costs a message.
+/// return, a crashed instance stays listed for that time, and the others send it messages in vain.
 const MIN_LEASE_TTL_MS: u64 = 30_000;
-/// Interval between renewals of a lease: three of them fit into the shortest outage that it must
-/// outlive.
+/// Interval between renewals of a lease: three of them fit into the shortest outage of the store
+/// that the lease must outlive.
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(8);
-/// Maximum duration of a watch of the list, in milliseconds. A change that is learned late costs a
-/// message to an instance that is gone, or a wrong share of a limit that all instances divide.
+/// Maximum duration of a watch of the list, in milliseconds. A change that is learned late only
+/// means that a message is sent to an instance that is gone, or that this instance uses a wrong
+/// share of a limit that is divided among all instances.
 const WATCH_TIMEOUT_MS: u64 = 10_000;
 /// Instances whose starts are at most this far apart have started together, in seconds: machines
 /// come back one after the other.
@@ -56,7 +57,7 @@
     pub(crate) link_mbps: Option<u32>,
 }
 
-/// Handle on the membership of the fleet; clones share it.
+/// Handle to the membership of the fleet; clones share it.
 #[derive(Clone)]
 pub(crate) struct Fleet(Arc<Inner>);
 
@@ -73,7 +74,7 @@
     pool: Arc<Mutex<Pool>>,
     clock: Clock,
     members: Mutex<BTreeMap<String, Arc<Member>>>,
-    /// Derived from the members, each time that they change.
+    /// Derived from `members` each time that these change.
     roster: RwLock<Arc<Roster>>,
     /// Whether most instances have started together with this one, or later.
     mass_start: AtomicBool,
@@ -93,7 +94,7 @@
 }
 
 impl Fleet {
-    pub(crate) fn open(
+    pub(crate) fn new(
         name: &str,
         own: Member,
         seeds: &[SocketAddr],
@@ -149,7 +150,7 @@
         &self.0.own.zone
     }
 
-    /// Returns the roster of the latest list.
+    /// Returns the roster derived from the latest list.
     pub(crate) fn roster(&self) -> Arc<Roster> {
         Arc::clone(&self.0.roster.read().expect("lock not poisoned"))
     }
@@ -216,7 +217,7 @@
             let store = Arc::clone(&fleet.0.store);
             let follower_deps = fleet.0.follower_deps.clone();
             let priority_prefix = Some(zone_prefix(fleet.zone()));
-            let mut follower = Follower::open(
+            let mut follower = Follower::new(
                 store,
                 follower_deps,
                 Topic::Instances,
@@ -236,7 +237,7 @@
         let lease = store.grant_lease(self.0.lease_ttl_ms).await?;
         let value = serde_json::to_vec(&self.0.own).expect("a member can be serialized");
         // Most starts find no key under their name, so the first attempt expects none. A
-        // transaction that loses returns the key that is there.
+        // transaction that conflicts returns the existing key.
         let mut revision = 0;
         loop {
             let txn = Txn {
@@ -254,7 +255,7 @@
             match store.commit(txn).await? {
                 TxnResult::Done(_) => break,
                 TxnResult::Conflict(items) => {
-                    let found = items.iter().find(|f| f.key == self.0.key);
+                    let found = items.iter().find(|item| item.key == self.0.key);
                     let found = found.map_or(0, |f| f.revision);
                     // After the first attempt this means that a write of an earlier incarnation
                     // arrived late, or that its key expired.
@@ -304,18 +305,18 @@
 
     /// Applies an update of the list.
     fn apply(&self, update: Update) {
-        let parse = |f: &KeyValue| {
-            let member = serde_json::from_slice::<Member>(&f.value).ok();
+        let parse = |item: &KeyValue| {
+            let member = serde_json::from_slice::<Member>(&item.value).ok();
             member.map(Arc::new)
         };
         let mut members = self.0.members.lock().expect("lock not poisoned");
         let before = members.len();
         match update {
             Update::Snapshot(items, _) => {
-                let rows = items
+                let parsed = items
                     .iter()
-                    .filter_map(|f| Some((f.key.clone(), parse(f)?)));
-                *members = rows.collect();
+                    .filter_map(|item| Some((item.key.clone(), parse(item)?)));
+                *members = parsed.collect();
             }
             Update::Changes(changes, _) | Update::Partial(changes) => {
                 for change in changes {
@@ -341,7 +342,7 @@
     }
 
     /// Returns whether most instances have started together with this one, or later: at the first
-    /// start of the fleet, or after all instances were lost.
+    /// start of the fleet, or after a failure of all instances.
     pub(crate) fn is_mass_start(&self) -> bool {
         self.0.mass_start.load(Ordering::Relaxed)
     }
@@ -358,8 +359,8 @@
         self.0.mass_start.store(mass_start, Ordering::Relaxed);
     }
 
-    /// Passes the list on to what depends on it: the choice of the instances that read the store
-    /// for their zone, and of those that may send to throttled upstreams.
+    /// Passes the list to the components that select instances from it: those that read the store
+    /// for their zone, and those that may send to throttled upstreams.
     fn publish_instances(&self, members: &BTreeMap<String, Arc<Member>>, roster: &Roster) {
         let prefix = zone_prefix(&self.0.own.zone);
         let zone = members.iter().filter(|(_, m)| m.zone == self.0.own.zone);
@@ -388,9 +389,9 @@
         if lease == 0 {
             return;
         }
-        if let Err(failure) = self.0.store.revoke_lease(lease).await {
+        if let Err(error) = self.0.store.revoke_lease(lease).await {
             // The lease expires by itself later.
-            let detail = format_args!("what=lease why={failure:?}");
+            let detail = format_args!("what=lease why={error:?}");
             self.0.log.event(Event::StoreWriteFailed, detail);
         }
     }
--- a/crates/proxy/src/follower.rs
+++ b/crates/proxy/src/follower.rs
@@ -1,4 +1,5 @@
-//! Follows the keys under a prefix of the store, or what other instances have read of them.
+//! Follows the keys under a prefix of the store, by reading the store or fetching from instances
+//! that have read it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,7 +8,7 @@
 use kv::{Change, Consistency, KeyValue, Listing, Store, WatchResult};
 use tokio::time::{sleep, sleep_until, Instant};
 
-use crate::peers::Peers;
+use crate::peers::PeerClients;
 use crate::relay::{Relay, Source};
 use crate::replication::{DeltaRequest, DeltaResponse, Topic};
 use crate::store_health::StoreHealth;
@@ -27,28 +28,27 @@
 /// Delay after a failed call: short compared to the two seconds within which a change must be in
 /// force, long compared to a call.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
-/// Delay before an instance that is behind asks another one, after a peer had nothing newer or
-/// turned it away.
+/// Delay before an instance that is behind asks another peer, after one had nothing newer or
+/// rejected the request.
 const BEHIND_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Interval at which all keys are listed again, in case a watch keeps missing changes. No such case
-/// is known; this limits the damage that one would do.
+/// Interval at which all keys are listed again, in case watches miss changes. No such case is
+/// known; this limits the damage that one would do.
 const RELIST_INTERVAL: Duration = Duration::from_secs(30);
 
-/// What a follower has learned.
+/// An update of the keys that a follower follows.
 #[derive(Debug)]
 pub(crate) enum Update {
     /// All keys with their values, and the revision at which they were read.
     Snapshot(Vec<KeyValue>, i64),
     /// All changes up to a revision.
     Changes(Vec<Change>, i64),
-    /// Some keys with their current values; others may have changed too.
+    /// Changes of some keys; others may have changed too.
     Partial(Vec<Change>),
-    /// A call of the store failed.
+    /// A call of the store failed, so there is nothing to apply.
     Unavailable,
 }
 
-/// Follows the keys under one prefix: in the store, or through an instance that reads it for
-/// others.
+/// Follows the keys under one prefix: in the store, or through instances that have read it.
 pub(crate) struct Follower {
     store: Arc<dyn Store>,
     deps: FollowerDeps,
@@ -56,7 +56,8 @@
     prefix: String,
     /// The prefix of the keys that are needed first, if those are only some of them.
     priority_prefix: Option<String>,
-    /// Whether the next watch covers the priority keys only: a large zone has readers for the rest.
+    /// Whether the next watch is limited to the priority keys: a large zone has readers for the
+    /// rest.
     watch_priority_next: bool,
     /// Maximum duration of a watch, in milliseconds.
     watch_timeout_ms: u64,
@@ -81,9 +82,9 @@
 enum FetchOutcome {
     /// It returned something newer, or a page of it.
     Received(Update),
-    /// The instance has nothing newer, or turned this one away.
+    /// The instance has nothing newer, or rejected the request.
     Empty,
-    /// The instance did not answer in time, or its pages don't fit together.
+    /// The instance did not answer in time, or its pages don't belong together.
     Failed,
 }
 
@@ -96,16 +97,16 @@
     received: DeltaResponse,
 }
 
-/// What a follower uses besides the store.
+/// What a follower needs in addition to the store.
 #[derive(Clone)]
 pub(crate) struct FollowerDeps {
     pub(crate) store_health: Arc<StoreHealth>,
     pub(crate) relay: Relay,
-    pub(crate) peers: Peers,
+    pub(crate) peer_clients: PeerClients,
 }
 
 impl Follower {
-    pub(crate) fn open(
+    pub(crate) fn new(
         store: Arc<dyn Store>,
         deps: FollowerDeps,
         topic: Topic,
@@ -139,8 +140,8 @@
             let peer = self.fetch.as_ref().map(|f| f.peer).or(other_peer.take());
             let source = peer.map_or_else(|| self.source(), Source::Peer);
             if source != Source::Store {
-                // Only instances that keep reading the store list it again, to find what watches
-                // have missed.
+                // Only instances that keep reading the store list all keys again, to find changes
+                // that watches have missed.
                 self.relist_at = Instant::now() + RELIST_INTERVAL;
             }
             let outcome = match source {
@@ -189,14 +190,14 @@
         relay.source(self.topic)
     }
 
-    /// Returns whether to read the store after another instance did not answer. This is not the
-    /// case while other instances may have what is missing, nor if reading it takes many calls.
+    /// Returns whether to read the store after another instance did not answer. This is not done
+    /// while other instances may have what is missing, nor if it takes many calls.
     fn may_read_store(&self) -> bool {
         let relay = &self.deps.relay;
         relay.revision(self.topic) > 0 && !relay.is_behind(self.topic)
     }
 
-    /// Returns an instance that is known to have what is missing.
+    /// Returns an instance that is known to have what is missing here.
     fn peer_ahead(&self) -> Option<SocketAddr> {
         match self.deps.relay.source(self.topic) {
             Source::Peer(addr) => Some(addr),
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Fetches the next page of what is newer from another instance.
+    /// Fetches the next page of changes from another instance.
     async fn fetch_page(&mut self, addr: SocketAddr) -> FetchOutcome {
         let relay = &self.deps.relay;
         let (request, previous) = match self.fetch.take() {
@@ -215,11 +216,11 @@
                 (request, None)
             }
         };
-        let Ok(page) = self.deps.peers.fetch_delta(addr, &request).await else {
+        let Ok(page) = self.deps.peer_clients.fetch_delta(addr, &request).await else {
             relay.forget_peer(addr);
             return FetchOutcome::Failed;
         };
-        // Applying this answer would not advance the revision, and the same request would follow
+        // Applying this response would not advance the revision, and the same request would follow
         // immediately.
         let newer = page.revision > request.revision;
         if !newer && previous.is_none() {
@@ -232,8 +233,8 @@
                 (page, next)
             }
             Some(mut received) => {
-                // Between two pages the instance may have discarded the deletions that the first
-                // one was based on.
+                // Between two pages the instance may have discarded tombstones that the first one
+                // was based on.
                 if !received.delta.append(page.delta) {
                     return FetchOutcome::Failed;
                 }
@@ -303,7 +304,7 @@
         match page {
             Ok(page) => {
                 self.has_more_pages = true;
-                Update::Partial(page.entries.into_iter().map(found_to_change).collect())
+                Update::Partial(page.entries.into_iter().map(key_value_to_change).collect())
             }
             Err(_) => self.unavailable().await,
         }
@@ -356,7 +357,8 @@
         };
         let result = tokio::select! {
             result = self.store.watch(prefix, after, timeout_ms) => result,
-            // The watch does not return what other instances have already read.
+            // Other instances have read a change that the watch has not returned: it is read from
+            // another source.
             () = relay.wait_until_overdue(self.topic) => return None,
         };
         match result {
@@ -387,11 +389,11 @@
     }
 }
 
-/// Returns a key that was read as the change that wrote it.
-fn found_to_change(found: KeyValue) -> Change {
+/// Converts a key that was read to the change that wrote it.
+fn key_value_to_change(key_value: KeyValue) -> Change {
     Change {
-        key: found.key.clone(),
-        revision: found.revision,
-        current: Some(found),
+        key: key_value.key.clone(),
+        revision: key_value.revision,
+        current: Some(key_value),
     }
 }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -28,7 +28,7 @@
 use crate::metrics::Metrics;
 use crate::notices::{NoticeHandler, Notices};
 use crate::ops::{OpsEndpoint, ReadinessEndpoint};
-use crate::peers::{self, PeerService, Peers};
+use crate::peers::{self, PeerClients, PeerService};
 use crate::relay::Relay;
 use crate::router::Router;
 use crate::store_calls::StoreCalls;
@@ -39,7 +39,7 @@
 use crate::traffic::Traffic;
 use crate::upstream_list::UpstreamList;
 
-/// Maximum size of a request body at the readiness and operators' listeners, in bytes.
+/// Maximum size of a request body at the readiness and metrics listeners, in bytes.
 const MAX_OPS_BODY_BYTES: usize = 1 << 16;
 /// How long a stopping instance keeps idle connections open: load balancers check readiness once
 /// per second, and stop sending after two responses other than 200.
@@ -49,11 +49,11 @@
 const ACCEPT_PERIOD: Duration = Duration::from_millis(2_800);
 /// Time reserved at the end of a stop, for returning tokens and ending the lease.
 const CLEANUP_PERIOD: Duration = Duration::from_millis(600);
-/// Time for a stop if the settings contain none.
+/// Time for a stop if the settings do not specify it.
 const DEFAULT_STOP_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval between checks for idle connections to close.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Time for the readiness and operators' listeners to close.
+/// Time for the readiness and metrics listeners to close.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The settings and dependencies of an instance.
@@ -101,20 +101,20 @@
         let (listener, addr) =
             bound.map_err(|e| anyhow!("failed to bind the callers' listener: {e}"))?;
 
-        let store_health = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
+        let store_health = Arc::new(StoreHealth::new(clock, Arc::clone(&log)));
         let store_calls = StoreCalls::new(clock, Arc::clone(&store_health));
-        let relay = Relay::open(clock, Arc::clone(&store_health));
-        let peers = Peers::default();
+        let relay = Relay::new(clock, Arc::clone(&store_health));
+        let peer_clients = PeerClients::default();
         let follower_deps = FollowerDeps {
             store_health: Arc::clone(&store_health),
             relay: relay.clone(),
-            peers: peers.clone(),
+            peer_clients: peer_clients.clone(),
         };
-        let budgets = Budgets::open(clock, Arc::clone(&log));
+        let budgets = Budgets::new(clock, Arc::clone(&log));
         let pool = Arc::new(Mutex::new(new_pool(&fleet_settings)));
         let dialer = Dialer::default();
         let notices = Notices::default();
-        let config = Config::open(ConfigDeps {
+        let config = Config::new(ConfigDeps {
             dialect: Arc::clone(&dialect),
             budgets: budgets.clone(),
             log: Arc::clone(&log),
@@ -123,15 +123,15 @@
             pool: Arc::clone(&pool),
             cold_start_tolerance: cold_start_tolerance(&fleet_settings),
         });
-        let evacuations = Evacuations::open(
+        let evacuations = Evacuations::new(
             Arc::clone(&dialect),
             notices.clone(),
             Arc::clone(&pool),
             Arc::clone(&log),
             clock,
         );
-        let suspects = Suspects::open(&settings.name, clock, Arc::clone(&log), dialer.clone());
-        let upstream_list = UpstreamList::open(
+        let suspects = Suspects::new(&settings.name, clock, Arc::clone(&log), dialer.clone());
+        let upstream_list = UpstreamList::new(
             Arc::clone(&dialect),
             Arc::clone(&pool),
             dialer.clone(),
@@ -147,7 +147,7 @@
             zone: settings.zone.clone(),
             link_mbps: fleet_settings.link_mbps.map(|mbps| mbps as u32),
         };
-        let fleet = Fleet::open(
+        let fleet = Fleet::new(
             &settings.name,
             own,
             &settings.peers.clone().unwrap_or_default(),
@@ -161,7 +161,7 @@
         let traffic = Traffic::default();
         let network = PeerNetwork {
             fleet: fleet.clone(),
-            peers: peers.clone(),
+            peer_clients: peer_clients.clone(),
             sender: Sender {
                 socket: Arc::new(socket),
                 fleet: fleet.clone(),
@@ -232,7 +232,7 @@
             clock,
         );
         let peer = peers::serve(server, peer_service.clone());
-        peers.spawn_sync(
+        peer_clients.spawn_sync(
             fleet.clone(),
             peer_service,
             Arc::clone(&store_health),
@@ -242,7 +242,7 @@
             store: store_calls.counted_store("budgets", &store),
             store_health,
             fleet,
-            peers,
+            peer_clients,
             sender: network.sender,
             recovery_ms: fleet_settings.recovery_secs.map(|s| (s * 1000.0) as u64),
         });
@@ -295,7 +295,7 @@
         })
     }
 
-    /// Logs that the settings were read again; `what` tells the result.
+    /// Logs the result of reading the settings again.
     pub fn log_settings_reload(&self, what: &str) {
         self.router.log.event(Event::SettingsReloaded, what);
     }
@@ -328,7 +328,7 @@
             .log
             .event(Event::Stopping, format_args!("inflight={inflight}"));
         sleep(READINESS_NOTICE.min(self.stop_timeout / 2)).await;
-        // Closes idle connections, if there are any.
+        // Makes the listener close idle connections; fails only if its task has ended.
         let _ = self.phase.send(Phase::Draining);
         // If too few instances are ready, load balancers keep sending requests to this one. New
         // requests are accepted until none is in flight, or as long as there is time for them to
@@ -352,7 +352,7 @@
         if let Some(ops) = &self.ops {
             ops.stop(CLOSE_TIMEOUT);
         }
-        // Fails if it has stopped already.
+        // Fails only if it has stopped already.
         let _ = self.peer.stop();
         all_ended
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,8 +3,12 @@
 //!
 //! Each request is read, matched to a route and a customer, given tokens from the customer's
 //! budget, sent to an upstream, answered and settled. A [`Dialect`] defines the formats on the wire
-//! and in the store. The crates `escrow` and `place` make the decisions. Each task owns its state
-//! and hands out a handle to it.
+//! and in the store.
+//!
+//! The decisions are made by crates that do no I/O: `place` chooses upstreams, `escrow` divides
+//! budgets among instances, `relay` selects the instances that read the store, `notice` spreads
+//! urgent changes and `suspect` detects requests that crash upstreams. This crate runs the tasks
+//! and does the I/O. Tasks share state through handles that can be cloned.
 
 mod attempt;
 mod body;
--- a/crates/proxy/src/listen.rs
+++ b/crates/proxy/src/listen.rs
@@ -17,12 +17,13 @@
 /// Delay after a connection could not be accepted, by which file descriptors may be free again.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Phase of a planned stop.
+/// How the listener treats connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Phase {
     /// Connections are accepted, and kept open between requests.
     Serving,
-    /// Idle connections are closed; new ones are accepted for one request each.
+    /// A planned stop has begun: idle connections are closed, and new ones are accepted for one
+    /// request each.
     Draining,
 }
 
@@ -56,7 +57,7 @@
     router: Arc<Router>,
     mut phase: watch::Receiver<Phase>,
 ) {
-    // Without it, small events wait for the caller's acknowledgement. It fails only if the
+    // Otherwise small events would wait for the caller's acknowledgement. Fails only if the
     // connection is closed.
     let _ = stream.set_nodelay(true);
     let limits = router.config.active().map(|a| a.routing.limits);
--- a/crates/proxy/src/notices.rs
+++ b/crates/proxy/src/notices.rs
@@ -1,5 +1,5 @@
-//! Notices, that is, small and urgent changes: what this instance learns, sends to peers and acts
-//! on.
+//! Notices, that is, small and urgent changes: publishes those that this instance learns of, and
+//! applies those of peers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -22,11 +22,11 @@
 /// Delay between two rounds in which new notices are sent: those that are learned in between are
 /// sent together.
 const ROUND_INTERVAL: Duration = Duration::from_millis(60);
-/// Interval at which a random peer is sent what all instances should know: one that was cut off
-/// knows it again within the time after which it counts as reachable.
+/// Interval at which a random peer is sent what all instances should know: one that was cut off is
+/// up to date again within the time after which it counts as reachable.
 const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Handle on the notices that this instance knows; clones share it.
+/// Handle to the notices that this instance knows; clones share them.
 #[derive(Clone, Default)]
 pub(crate) struct Notices(Arc<Inner>);
 
@@ -134,14 +134,14 @@
         .send(&Datagram::Notices { version, batch }, chosen);
 }
 
-/// Returns the hash by which instances identify a key to each other: keys themselves are never
-/// sent.
+/// Returns the hash by which instances identify an API key to each other: the keys themselves are
+/// never sent.
 pub(crate) fn key_hash(key: &str) -> u64 {
     let digest = Sha256::digest(key.as_bytes());
     u64::from_be_bytes(digest[..8].try_into().expect("eight bytes"))
 }
 
-/// Applies notices to what they are about.
+/// Applies the notices of peers.
 #[derive(Clone)]
 pub(crate) struct NoticeHandler {
     pub(crate) notices: Notices,
@@ -159,16 +159,16 @@
         tokio::spawn(async move {
             let mut startup_peers = StartupPeers::new();
             while let Some(addr) = startup_peers.next(&network.fleet).await {
-                if let Ok(limits) = network.peers.fetch_limits(addr).await {
-                    startup_peers.record_answer();
+                if let Ok(limits) = network.peer_clients.fetch_limits(addr).await {
+                    startup_peers.record_response();
                     handler.apply(limits);
                 }
             }
         });
     }
 
-    /// Applies a batch from a peer that runs a version of the configuration; returns the notices
-    /// that the peer is missing.
+    /// Applies a batch from a peer, at which the given version of the configuration is in force;
+    /// returns the notices that the peer is missing.
     pub(crate) fn receive_batch(
         &self,
         from: SocketAddr,
@@ -180,8 +180,8 @@
         self.apply(batch)
     }
 
-    /// Adds the notices of a peer and acts on those that are new; returns the notices that the peer
-    /// is missing.
+    /// Adds notices of a peer and applies those that are new; returns the notices that the peer is
+    /// missing.
     pub(crate) fn apply(&self, batch: Vec<Notice>) -> Vec<Notice> {
         let received = self.notices.receive(batch);
         for notice in received.accepted {
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,5 +1,5 @@
-//! Calls between instances, over JSON-RPC: for tokens that one is missing, and for changes that one
-//! can't read from the store.
+//! Calls between instances, over JSON-RPC: for tokens, for changes that the calling instance has
+//! not read from the store, for suspected requests and for request rate limits.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -62,7 +62,7 @@
     pub(crate) rate: u64,
 }
 
-/// Tokens that a stopping instance hands over to another one because it can't return them to the
+/// Tokens that a stopping instance transfers to another one because it can't return them to the
 /// store.
 #[derive(Clone, Serialize, Deserialize)]
 pub(crate) struct TokenTransfer {
@@ -86,14 +86,16 @@
     }
 }
 
-/// A request for changes by an instance that can't read the store, with what it knows.
+/// A request for changes, by an instance to which the store is unavailable.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SyncRequest {
+    /// The version of the configuration in force at the requesting instance.
     version: u64,
+    /// The incarnations of upstreams that it knows to be leaving.
     leaving: Vec<String>,
 }
 
-/// What the instance that sent a [`SyncRequest`] may be missing.
+/// The response to a [`SyncRequest`]: what the requesting instance may be missing.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct SyncResponse {
     /// The configuration as stored, if it is newer.
@@ -209,11 +211,11 @@
     unresponsive: bool,
 }
 
-/// Calls other instances; clones share the connections.
+/// Clients for calls to other instances; clones share the connections.
 #[derive(Clone, Default)]
-pub(crate) struct Peers(Arc<Mutex<HashMap<SocketAddr, Connection>>>);
+pub(crate) struct PeerClients(Arc<Mutex<HashMap<SocketAddr, Connection>>>);
 
-impl Peers {
+impl PeerClients {
     /// Returns the client for an instance.
     ///
     /// # Errors
@@ -367,12 +369,12 @@
         self.call_with_timeout(addr, "trial", request).await
     }
 
-    /// Hands over tokens that were debited here to an instance.
+    /// Transfers tokens that were debited here to an instance.
     ///
     /// # Errors
     ///
     /// Returns why there is no response. The tokens are then lost to the budget unless another
-    /// handover follows.
+    /// transfer to that instance follows.
     pub(crate) async fn transfer_tokens(
         &self,
         addr: SocketAddr,
@@ -381,7 +383,7 @@
         self.call_with_timeout(addr, "gift", transfer).await
     }
 
-    /// Fetches what is newer than what is known here from an instance that may know more.
+    /// Fetches changes that are not known here from an instance that may know more.
     ///
     /// # Errors
     ///
@@ -405,7 +407,7 @@
         store_health: Arc<StoreHealth>,
         log: Arc<Log>,
     ) {
-        let peers = self.clone();
+        let peer_clients = self.clone();
         tokio::spawn(async move {
             loop {
                 sleep(SYNC_INTERVAL).await;
@@ -413,11 +415,11 @@
                 if !store_health.is_unavailable() || members.is_empty() {
                     continue;
                 }
-                // An instance known to have a newer configuration is preferred. Otherwise any one
-                // is asked, since the whole zone may be cut off.
+                // An instance known to have a newer configuration is preferred. Otherwise one of
+                // any zone is asked, since the whole zone may be cut off from the store.
                 let any = members.choose(&mut rand::rng()).map(|m| m.addr);
                 if let Some(peer) = service.notice_handler.relay.config_holder().or(any) {
-                    peers.sync_from(peer, &service, &log).await;
+                    peer_clients.sync_from(peer, &service, &log).await;
                 }
             }
         });
@@ -463,8 +465,8 @@
         }
     }
 
-    /// Fetches what is newer in the list of upstreams, all pages of it; `None` if one of them
-    /// fails.
+    /// Fetches the changes of the list of upstreams, all pages of them; `None` if a page could not
+    /// be fetched.
     async fn fetch_upstreams(&self, addr: SocketAddr, relay: &Relay) -> Option<DeltaResponse> {
         let revision = relay.revision(Topic::Upstreams);
         let mut request = DeltaRequest::first_page(Topic::Upstreams, revision);
--- a/crates/proxy/src/pipeline.rs
+++ b/crates/proxy/src/pipeline.rs
@@ -26,7 +26,7 @@
 use crate::router::Router;
 use crate::{buffered, stream};
 
-/// Retry time while the instance has no configuration yet, in milliseconds: loading it takes a few
+/// Retry time while the instance has no configuration yet, in milliseconds: reading it takes a few
 /// store calls.
 const RETRY_NOT_CONFIGURED_MS: u64 = 500;
 /// Retry time if the instance is stopping, or its link or memory is full, in milliseconds: another
@@ -35,7 +35,7 @@
 /// Retry time if tokens could not be obtained although the budget has free ones, in milliseconds:
 /// instances take free tokens within a second.
 const RETRY_FREE_TOKENS_MS: u64 = 700;
-/// Retry time if the budget has no free tokens, or the store is unreachable, in milliseconds.
+/// Retry time if the budget has no free tokens, or the store is unavailable, in milliseconds.
 /// Outages last several seconds, and so does the return of tokens by other instances. An earlier
 /// retry would be refused again.
 const RETRY_NO_TOKENS_MS: u64 = 4_000;
@@ -191,7 +191,8 @@
         })
     }
 
-    /// Returns the customer that has the request's API key; none if the route requires no key.
+    /// Returns the customer that has the request's API key; `None` if the route is public, or the
+    /// configuration contains no accounts.
     fn customer(
         &self,
         active: &ActiveConfig,
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,5 +1,5 @@
-//! Passes on what was read from the store between the instances of a zone. Which of them read the
-//! store is decided by the crate `relay`.
+//! Replicates what was read from the store to the instances of a zone. The crate `relay` decides
+//! which of them read the store.
 
 use std::future::pending;
 use std::net::SocketAddr;
@@ -17,13 +17,12 @@
 
 use crate::follower::Update;
 use crate::replication::{
-    change_to_entry, entry_to_change, found_to_entry, DeltaRequest, DeltaResponse, Topic,
+    change_to_entry, entry_to_change, key_value_to_entry, DeltaRequest, DeltaResponse, Topic,
     TOPIC_COUNT,
 };
 use crate::store_health::StoreHealth;
 
-/// How often a reader announces how far it has read, and the others check whether a reader still
-/// does.
+/// Interval at which a reader sends heartbeats, and at which followers check their sources again.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(HEARTBEAT_INTERVAL_MS);
 
 /// Where to read a topic next.
@@ -31,13 +30,13 @@
 pub(crate) enum Source {
     /// The store.
     Store,
-    /// An instance that may know more than this one.
+    /// An instance that may have newer data than this one.
     Peer(SocketAddr),
-    /// Nowhere: nothing newer is known to exist.
+    /// Nowhere: no source is known to have newer data.
     Nowhere,
 }
 
-/// Handle on the replicated topics and their sources; clones share it.
+/// Handle to the replicated topics and their sources; clones share it.
 #[derive(Clone)]
 pub(crate) struct Relay(Arc<Inner>);
 
@@ -47,22 +46,22 @@
     readers: Mutex<Readers>,
     /// The other instances of the same zone.
     zone_peers: Mutex<Vec<SocketAddr>>,
-    /// What is known of each topic.
+    /// The replica of each topic.
     replicas: Mutex<[Replica; TOPIC_COUNT]>,
-    /// Fetches of the whole list of upstreams, by instances that have just started.
+    /// Limits the fetches of the whole list of upstreams, by instances that have just started.
     list_fetches: Mutex<FetchLimiter>,
-    /// Fetches of the configuration.
+    /// Limits the fetches of the configuration.
     config_fetches: Mutex<FetchLimiter>,
     /// Versions of the configuration that are known to exist but have not arrived here.
     catch_up: Mutex<CatchUp>,
-    /// Wakes the tasks that wait for the head of a reader.
+    /// Wakes the tasks that wait for the heartbeat of a reader.
     heartbeat_received: Notify,
-    /// Wakes the task that announces how far this instance has read.
+    /// Wakes the task that sends heartbeats.
     replica_advanced: Notify,
 }
 
 impl Relay {
-    pub(crate) fn open(clock: Clock, store_health: Arc<StoreHealth>) -> Relay {
+    pub(crate) fn new(clock: Clock, store_health: Arc<StoreHealth>) -> Relay {
         Relay(Arc::new(Inner {
             clock,
             store_health,
@@ -129,10 +128,10 @@
         ahead.map_or(Source::Nowhere, Source::Peer)
     }
 
-    /// Returns where to read a topic of which nothing is known yet. `many_calls` says whether
+    /// Returns where to read a topic of which nothing is known yet. `many_calls` tells whether
     /// reading it from the store takes many calls.
     pub(crate) fn initial_source(&self, topic: Topic, many_calls: bool) -> Source {
-        // The first page of the list of instances names those that can be asked for the rest.
+        // The first page of the list of instances contains some that can be asked for the rest.
         if topic == Topic::Instances && !many_calls {
             return Source::Store;
         }
@@ -152,7 +151,7 @@
         zone_peers.choose(&mut rand::rng()).copied()
     }
 
-    /// Returns where to read a topic after a peer had nothing newer, or turned this instance away.
+    /// Returns where to read a topic after a peer had nothing newer, or rejected the request.
     pub(crate) fn alternative_source(&self, topic: Topic) -> Source {
         let now = self.0.clock.now();
         let is_reader = {
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Returns whether a newer state of a topic is known to exist than is known here.
+    /// Returns whether a topic is known to have a newer state than its replica here.
     pub(crate) fn is_behind(&self, topic: Topic) -> bool {
         let catch_up = self.0.catch_up.lock().expect("lock not poisoned");
         topic == Topic::Config && catch_up.is_behind()
@@ -205,8 +204,8 @@
         topic == Topic::Config && self.peek_catch_up_source() == CatchUpSource::Store
     }
 
-    /// Waits until something of a topic has been missing for longer than readers take to pass it
-    /// on.
+    /// Waits until something of a topic has been missing for longer than readers take to distribute
+    /// it.
     pub(crate) async fn wait_until_overdue(&self, topic: Topic) {
         if topic != Topic::Config {
             // Only the configuration has version numbers that show that something is missing.
@@ -244,21 +243,21 @@
         self.0.catch_up.lock().expect("lock not poisoned").holder()
     }
 
-    /// Waits for the head of a reader, at most for one heartbeat interval.
+    /// Waits for the heartbeat of a reader, at most for one heartbeat interval.
     pub(crate) async fn wait_for_heartbeat(&self) {
         // The caller checks its sources again either way.
         let _ = timeout(HEARTBEAT_INTERVAL, self.0.heartbeat_received.notified()).await;
     }
 
-    /// Returns whether other instances probe the unavailable store, and announce when it is
-    /// available again.
+    /// Returns whether other instances probe the unavailable store, and report in their heartbeats
+    /// when it is available again.
     pub(crate) fn others_probe_store(&self) -> bool {
         let now = self.0.clock.now();
         let readers = self.0.readers.lock().expect("lock not poisoned");
         readers.others_probe_store(now)
     }
 
-    /// Forgets a peer that did not answer, until it is heard from again.
+    /// Removes a peer that did not answer from the sources, until it reports again what it has.
     pub(crate) fn forget_peer(&self, peer: SocketAddr) {
         let mut readers = self.0.readers.lock().expect("lock not poisoned");
         readers.remove_reader(peer);
@@ -274,13 +273,13 @@
     pub(crate) fn apply_store_update(&self, topic: Topic, update: &Update) {
         self.update_replica(topic, |replica| match update {
             Update::Snapshot(items, revision) => {
-                let entries: Vec<Entry> = items.iter().map(found_to_entry).collect();
+                let entries: Vec<Entry> = items.iter().map(key_value_to_entry).collect();
                 replica.apply_list(&entries, *revision);
             }
             Update::Changes(changes, _) => {
                 replica.apply_changes(changes.iter().map(change_to_entry))
             }
-            // These do not tell up to which revision everything is known.
+            // These do not show up to which revision all changes are known.
             Update::Partial(_) | Update::Unavailable => {}
         });
     }
@@ -297,8 +296,8 @@
         }
     }
 
-    /// Answers a request of another instance. If the answer is large and too many instances are
-    /// being served, the requesting instance is turned away with an empty answer of revision 0.
+    /// Answers a request of another instance. If the response would be large and too many instances
+    /// are being served, the request is rejected with an empty response of revision 0.
     pub(crate) fn serve_delta(&self, request: &DeltaRequest) -> DeltaResponse {
         let replicas = self.0.replicas.lock().expect("lock not poisoned");
         let replica = &replicas[request.topic as usize];
@@ -335,7 +334,7 @@
         limiter.admit(now, request.fetch_id)
     }
 
-    /// Applies the complete answer of another instance, and returns it as an update.
+    /// Applies the complete response of another instance, and returns it as an update.
     pub(crate) fn apply_delta(&self, topic: Topic, response: DeltaResponse) -> Update {
         self.update_replica(topic, |replica| {
             replica.apply_delta(&response.delta, response.revision)
@@ -346,15 +345,15 @@
                 Update::Changes(changes, response.revision)
             }
             Delta::All(entries) => {
-                let found = entries
+                let key_values = entries
                     .into_iter()
                     .filter_map(|e| entry_to_change(e).current);
-                Update::Snapshot(found.collect(), response.revision)
+                Update::Snapshot(key_values.collect(), response.revision)
             }
         }
     }
 
-    /// Records the head of a reader.
+    /// Records the heartbeat of a reader.
     pub(crate) fn receive_heartbeat(&self, from: SocketAddr, heartbeat: Heartbeat) {
         let now = self.0.clock.now();
         if let Some(ago_ms) = heartbeat.ms_since_recovery {
@@ -371,15 +370,16 @@
         if all_unavailable {
             self.0.store_health.report_unavailable();
         } else if !unavailable && self.0.store_health.is_unavailable() {
-            // The store is available to that reader. It may not be from here, so it is probed.
+            // The store is available to that reader. It may not be to this instance, so it is
+            // probed.
             self.0.store_health.request_probe();
         }
     }
 
     /// Waits until this instance has read something new, at most for one heartbeat interval, and
-    /// returns its head; `None` if no instance follows this one.
+    /// returns its heartbeat; `None` if it is to send none at present.
     pub(crate) async fn next_heartbeat(&self) -> Option<Heartbeat> {
-        // The head is sent either way: it is also the sign that this instance still reads.
+        // The heartbeat is sent either way, since it also shows that this instance still reads.
         let _ = timeout(HEARTBEAT_INTERVAL, self.0.replica_advanced.notified()).await;
         let now = self.0.clock.now();
         let unavailable = self.0.store_health.is_unavailable();
--- a/crates/proxy/src/replication.rs
+++ b/crates/proxy/src/replication.rs
@@ -1,11 +1,11 @@
-//! Messages by which instances pass on to each other what was read from the store.
+//! Messages by which instances replicate what was read from the store.
 
 use kv::{Change, KeyValue};
 use relay::{Cursor, Delta, Entry};
 use serde::{Deserialize, Serialize};
 
 /// A set of keys that is replicated among instances. The order is that of the revisions in a
-/// reader's head.
+/// heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Topic {
     /// The operators' configuration.
@@ -19,16 +19,16 @@
 /// Number of topics.
 pub(crate) const TOPIC_COUNT: usize = 3;
 
-/// A request for what has changed since a revision, to an instance that may know more.
+/// A request for what has changed since a revision, to an instance that may have newer data.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct DeltaRequest {
     pub(crate) topic: Topic,
     /// The revision up to which the requesting instance knows the topic; 0 for none.
     pub(crate) revision: i64,
-    /// The end of the previous page of the same answer; `None` for the first page.
+    /// The end of the previous page of the same response; `None` for the first page.
     #[serde(default)]
     pub(crate) after: Option<Cursor>,
-    /// Identifies the fetch that the pages of one answer belong to.
+    /// Identifies the fetch that the pages of one response belong to.
     #[serde(default, rename = "fetch")]
     pub(crate) fetch_id: u64,
 }
@@ -45,13 +45,13 @@
     }
 }
 
-/// The answer to a [`DeltaRequest`], or one page of it.
+/// The response to a [`DeltaRequest`], or one page of it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct DeltaResponse {
     #[serde(rename = "since")]
     pub(crate) delta: Delta,
-    /// The revision up to which the answer is complete; of several pages, the one of the first page
-    /// counts. 0 if nothing is known, or the requesting instance is turned away.
+    /// The revision up to which the response is complete; of several pages, the one of the first
+    /// page counts. 0 if nothing is known, or the request is rejected.
     pub(crate) revision: i64,
     /// Where the next page begins; `None` for the last page.
     #[serde(default)]
@@ -78,18 +78,18 @@
     }
 }
 
-/// Returns a key that was read as a replica's entry.
-pub(crate) fn found_to_entry(found: &KeyValue) -> Entry {
+/// Converts a key that was read to a replica's entry.
+pub(crate) fn key_value_to_entry(key_value: &KeyValue) -> Entry {
     Entry {
-        key: found.key.clone(),
-        value: Some(String::from_utf8_lossy(&found.value).into_owned()),
-        revision: found.revision,
+        key: key_value.key.clone(),
+        value: Some(String::from_utf8_lossy(&key_value.value).into_owned()),
+        revision: key_value.revision,
     }
 }
 
-/// Returns a change as a replica's entry.
+/// Converts a change to a replica's entry.
 pub(crate) fn change_to_entry(change: &Change) -> Entry {
-    let entry = change.current.as_ref().map(found_to_entry);
+    let entry = change.current.as_ref().map(key_value_to_entry);
     entry.unwrap_or_else(|| Entry {
         key: change.key.clone(),
         value: None,
@@ -97,9 +97,9 @@
     })
 }
 
-/// Returns a replica's entry as the change that wrote or deleted the key.
+/// Converts a replica's entry to the change that wrote or deleted the key.
 pub(crate) fn entry_to_change(entry: Entry) -> Change {
-    let found = entry.value.map(|value| KeyValue {
+    let key_value = entry.value.map(|value| KeyValue {
         key: entry.key.clone(),
         value: value.into_bytes(),
         revision: entry.revision,
@@ -107,6 +107,6 @@
     Change {
         key: entry.key,
         revision: entry.revision,
-        current: found,
+        current: key_value,
     }
 }
--- a/crates/proxy/src/request_info.rs
+++ b/crates/proxy/src/request_info.rs
@@ -36,7 +36,7 @@
 pub struct AttemptContext<'a> {
     /// The intended upstream; another one at the same address must refuse the request.
     pub upstream: &'a str,
-    /// The customer; none on routes that require no key.
+    /// The customer; `None` if the route is public, or the configuration contains no accounts.
     pub customer: Option<&'a str>,
     /// Time until the response is no longer wanted, in milliseconds.
     pub remaining_ms: u64,
--- a/crates/proxy/src/roster.rs
+++ b/crates/proxy/src/roster.rs
@@ -125,12 +125,12 @@
         homes.clone()
     }
 
-    /// Returns whether this instance is the first of some homes, or the list contains no home.
+    /// Returns whether this instance is the first of the given homes, or there are none.
     pub(crate) fn is_primary_home(&self, homes: &Homes) -> bool {
         homes.first().is_none_or(|m| m.id == self.own_incarnation)
     }
 
-    /// Returns the instances that own a record; the first one decides on it.
+    /// Returns the instances that own the record with a placement key; the first one decides on it.
     pub(crate) fn owners(&self, key: u64) -> SmallVec<[Arc<Member>; RECORD_OWNERS]> {
         let owners =
             escrow::rendezvous_select::<_, RECORD_OWNERS>(key, &self.instances, |l| l.key_hash);
--- a/crates/proxy/src/store_calls.rs
+++ b/crates/proxy/src/store_calls.rs
@@ -22,7 +22,7 @@
 /// Interval between two log lines: few compared with the hundreds that requests write meanwhile.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What calls are counted by. The fields are the labels of the metric.
+/// The labels by which calls are counted. The names of the fields are those of the metric's labels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, EncodeLabelSet)]
 pub(crate) struct CallLabels {
     /// The task that makes the call.
@@ -31,7 +31,7 @@
     call: &'static str,
     /// The result.
     end: &'static str,
-    /// Whether the store was reachable when the call began.
+    /// Whether the store was available when the call began.
     store: &'static str,
 }
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// A handle to the counts.
+/// Handle to the counts; clones share them.
 #[derive(Clone)]
 pub(crate) struct StoreCalls(Arc<Inner>);
 
@@ -115,7 +115,7 @@
 }
 
 /// A call in flight, which is counted when dropped. One that is dropped without a result was
-/// abandoned by its caller; it may have been sent.
+/// abandoned by its caller, and may have been sent.
 struct PendingCall {
     store_calls: StoreCalls,
     labels: CallLabels,
@@ -123,8 +123,8 @@
 }
 
 impl PendingCall {
-    /// Records the result, and whether the store is reachable. `end` returns the label of a
-    /// response.
+    /// Records the result, for the labels and for the health of the store. `end` returns the label
+    /// of a response.
     fn record_result<T>(&mut self, result: &Result<T, StoreError>, end: fn(&T) -> &'static str) {
         let store_health = &self.store_calls.0.store_health;
         match result {
@@ -132,9 +132,9 @@
                 store_health.record_response();
                 self.labels.end = end(response);
             }
-            Err(failure) => {
-                store_health.record_failure(self.began_at, failure);
-                self.labels.end = match failure {
+            Err(error) => {
+                store_health.record_failure(self.began_at, error);
+                self.labels.end = match error {
                     StoreError::Refused(_) => "refused",
                     StoreError::Unknown(_) => "unknown",
                 };
--- a/crates/proxy/src/store_health.rs
+++ b/crates/proxy/src/store_health.rs
@@ -38,13 +38,13 @@
     clock: Clock,
     log: Arc<Log>,
     last_response_at: AtomicU64,
-    /// Since when calls have failed, in milliseconds; 0 if the last one was answered.
+    /// Since when calls have failed, in milliseconds; 0 if the last one succeeded.
     failing_since: AtomicU64,
     /// When the store last became available again, in milliseconds; 0 if it has always been
     /// available.
     recovered_at: AtomicU64,
-    /// When all readers first reported the store as unavailable to them after the last response
-    /// here, in milliseconds; 0 for never. A value before the last response is outdated.
+    /// When all readers first reported the store as unavailable after the last response here, in
+    /// milliseconds; 0 for never. A value before the last response is outdated.
     reported_unavailable_at: AtomicU64,
     unavailable: AtomicBool,
     /// Wakes the tasks that wait until the store is available again.
@@ -54,7 +54,7 @@
 }
 
 impl StoreHealth {
-    pub(crate) fn open(clock: Clock, log: Arc<Log>) -> StoreHealth {
+    pub(crate) fn new(clock: Clock, log: Arc<Log>) -> StoreHealth {
         StoreHealth {
             clock,
             log,
@@ -102,9 +102,9 @@
         }
     }
 
-    /// Records that the store is unavailable to all readers, by their own reports. The first report
-    /// triggers a probe. If there is no response by a later report, the store counts as unavailable
-    /// here too, so that requests don't wait for calls that will not be answered.
+    /// Records that all readers report the store as unavailable. The first report triggers a probe.
+    /// If there is no response by a later report, the store counts as unavailable here too, so that
+    /// requests don't wait for calls that will not be answered.
     pub(crate) fn report_unavailable(&self) {
         if self.is_unavailable() {
             return;
@@ -145,15 +145,16 @@
     /// Records when the store became available again to another instance.
     pub(crate) fn report_recovery(&self, recovered_at: u64) {
         let known = self.recovered_at.load(Ordering::Relaxed);
-        // An earlier time means the same recovery, reported with a different network delay.
+        // Otherwise it is the same recovery, reported with a different network delay.
         if recovered_at > known + UNAVAILABLE_AFTER_MS {
             self.recovered_at.store(recovered_at, Ordering::Relaxed);
         }
     }
 
-    /// Waits until the store is to be probed: after `idle_interval` while it is available, else
-    /// after the probe interval, which is longer if other instances probe (`others_probe`). A
-    /// requested probe is due earlier, but not within the probe interval.
+    /// Waits until the store is to be probed: after `idle_interval` while it is available,
+    /// otherwise after the probe interval, which is longer if other instances probe it too
+    /// (`others_probe`). A requested probe is due earlier, but not before `PROBE_INTERVAL` has
+    /// passed.
     pub(crate) async fn wait_until_probe_due(&self, idle_interval: Duration, others_probe: bool) {
         let earliest = Instant::now() + PROBE_INTERVAL;
         let max_wait = match (self.is_unavailable(), others_probe) {
--- a/crates/proxy/src/suspect_gossip.rs
+++ b/crates/proxy/src/suspect_gossip.rs
@@ -8,33 +8,33 @@
 
 use crate::datagram::{Datagram, Sender};
 use crate::fleet::Fleet;
-use crate::peers::Peers;
+use crate::peers::PeerClients;
 use crate::suspects::Suspects;
 
 /// Delay between two rounds in which updates are sent: what is learned in between is sent together.
 const UPDATE_INTERVAL: Duration = Duration::from_millis(150);
 /// Interval at which one peer in turn is sent what all instances should know: one that was cut off
-/// or suspended knows it again within the time after which it counts as reachable.
+/// or suspended is up to date again within the time after which it counts as reachable.
 const PAGE_INTERVAL: Duration = Duration::from_millis(500);
 /// Maximum number of records in a datagram.
 const MAX_RECORDS_PER_DATAGRAM: usize = 12;
 /// Number of records that are sent to one peer in turn. This continues for as long as there are any
 /// records, so it must cost next to nothing.
 const PAGE_SIZE: usize = 4;
-/// Number of peers from which an instance needs an answer when it starts: one of them may have just
-/// started, too.
-const REQUIRED_ANSWERS: usize = 2;
-/// Delay before the list is checked again for peers that were not queried yet.
+/// Number of peers from which an instance needs a response when it starts: one of them may have
+/// just started, too.
+const REQUIRED_RESPONSES: usize = 2;
+/// Delay before the list of instances is checked again for peers that were not queried yet.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Time after which an instance stops looking for peers to query: if it has found none, it is
 /// alone.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The other instances, and the means to call them and to send them datagrams.
+/// The list of instances, and the clients and the sender for calls and datagrams to them.
 #[derive(Clone)]
 pub(crate) struct PeerNetwork {
     pub(crate) fleet: Fleet,
-    pub(crate) peers: Peers,
+    pub(crate) peer_clients: PeerClients,
     pub(crate) sender: Sender,
 }
 
@@ -46,7 +46,7 @@
         tokio::spawn(self.clone().query_startup_peers(network.clone()));
     }
 
-    /// Sends new records to all instances or to their owners.
+    /// Sends changed records to all instances or to their owners.
     async fn send_updates(self, network: PeerNetwork) {
         loop {
             self.wait_for_updates().await;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Sends what all instances should know to one peer after another.
+    /// Sends the records that all instances should have to one peer after another.
     async fn send_pages(self, network: PeerNetwork) {
         let mut turn: usize = rand::random::<u32>() as usize;
         loop {
@@ -87,12 +87,13 @@
         }
     }
 
-    /// Queries peers for what all instances should know, since this instance has just started.
+    /// Queries peers for the records that all instances should have, since this one has just
+    /// started.
     async fn query_startup_peers(self, network: PeerNetwork) {
         let mut startup_peers = StartupPeers::new();
         while let Some(addr) = startup_peers.next(&network.fleet).await {
-            if let Ok(records) = network.peers.fetch_suspects(addr).await {
-                startup_peers.record_answer();
+            if let Ok(records) = network.peer_clients.fetch_suspects(addr).await {
+                startup_peers.record_response();
                 if !records.is_empty() {
                     self.log_received(addr, records.len());
                 }
@@ -103,11 +104,11 @@
 }
 
 /// The peers that an instance queries when it starts, one after another, until enough of them have
-/// answered.
+/// responded.
 pub(crate) struct StartupPeers {
     deadline: Instant,
     queried: Vec<SocketAddr>,
-    answers: usize,
+    responses: usize,
 }
 
 impl StartupPeers {
@@ -115,18 +116,18 @@
         StartupPeers {
             deadline: Instant::now() + QUERY_TIMEOUT,
             queried: Vec::new(),
-            answers: 0,
+            responses: 0,
         }
     }
 
-    /// Counts an answer. A peer that does not answer is not counted, so another one is asked.
-    pub(crate) fn record_answer(&mut self) {
-        self.answers += 1;
+    /// Counts a response. For a peer that does not respond, another one is queried.
+    pub(crate) fn record_response(&mut self) {
+        self.responses += 1;
     }
 
-    /// Returns the next peer to query; `None` after enough answers or the timeout.
+    /// Returns the next peer to query; `None` after enough responses or the timeout.
     pub(crate) async fn next(&mut self, fleet: &Fleet) -> Option<SocketAddr> {
-        while self.answers < REQUIRED_ANSWERS && Instant::now() < self.deadline {
+        while self.responses < REQUIRED_RESPONSES && Instant::now() < self.deadline {
             let peers = fleet.peers();
             let next = peers.iter().find(|m| !self.queried.contains(&m.addr));
             if let Some(next) = next {
--- a/crates/proxy/src/suspect_store.rs
+++ b/crates/proxy/src/suspect_store.rs
@@ -1,5 +1,4 @@
-//! Keeps records of requests that crash upstreams in the store, for the case that all instances are
-//! killed at once.
+//! Keeps records of requests that crash upstreams in the store, for a failure of all instances.
 //!
 //! The first owner of a record writes it when the request is refused, tried or cleared, which takes
 //! a few calls per day. When a fleet starts, two instances read all records and send them to the
@@ -24,10 +23,9 @@
 /// The instances that would own a record with this placement key read the store for all when they
 /// start.
 const READER_PLACEMENT_KEY: u64 = 0;
-/// Time after which an instance knows whether it is one of them: it is listed once it has
-/// registered.
+/// How long an instance waits to become one of them: it is listed only once it has registered.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_secs(3);
-/// Delay before it checks that again.
+/// Interval at which it checks this until then.
 const ROSTER_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Delay after a failed call.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
@@ -44,7 +42,8 @@
 }
 
 impl SuspectStore {
-    /// Reads the records in the store if this instance is to, then writes those that change.
+    /// Reads the records in the store if this instance is to read them for all, then writes those
+    /// that change.
     pub(crate) async fn run(mut self) {
         if self.is_reader().await {
             self.load().await;
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Returns whether this instance reads the store for all.
+    /// Returns whether this instance reads the records for all, once that is known.
     async fn is_reader(&self) -> bool {
         let until = Instant::now() + REGISTRATION_TIMEOUT;
         while Instant::now() < until {
@@ -116,8 +115,8 @@
                 Ok(true) => return self.suspects.mark_saved(digest, record.as_ref()),
                 // Another instance has written it; its revision is known now.
                 Ok(false) => {}
-                Err(failure) => {
-                    let detail = format!("what=suspect why={failure:?}");
+                Err(error) => {
+                    let detail = format!("what=suspect why={error:?}");
                     self.log.event(Event::StoreWriteFailed, detail);
                     self.wait_for_retry().await;
                 }
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -31,18 +31,18 @@
 /// longest delay before a trial.
 const RETRY_NO_TRIAL_LEFT_MS: u64 = 600_000;
 
-/// What an instance sends to an owner of a record when a trial of the request is due.
+/// A request to an owner of a record when a trial of the request is due.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TrialRequest {
     /// What the sender knows of the request.
     #[serde(rename = "word")]
     record: SuspectRecord,
-    /// Whether the owner decides on the trial; otherwise it only returns its record.
+    /// Whether the owner decides on the trial; otherwise it only merges and returns the record.
     #[serde(rename = "decides")]
     may_grant: bool,
 }
 
-/// The answer of an owner to a [`TrialRequest`].
+/// The response of an owner to a [`TrialRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct TrialResponse {
     pub(crate) granted: bool,
@@ -51,7 +51,7 @@
     pub(crate) record: Option<SuspectRecord>,
 }
 
-/// Handle on the requests that were running on upstreams when these crashed; clones share it.
+/// Handle to the requests that were running on upstreams when these crashed; clones share it.
 #[derive(Clone)]
 pub(crate) struct Suspects(Arc<Inner>);
 
@@ -69,7 +69,7 @@
 }
 
 impl Suspects {
-    pub(crate) fn open(name: &str, clock: Clock, log: Arc<Log>, dialer: Dialer) -> Suspects {
+    pub(crate) fn new(name: &str, clock: Clock, log: Arc<Log>, dialer: Dialer) -> Suspects {
         Suspects(Arc::new(Inner {
             clock,
             log,
@@ -137,7 +137,8 @@
                     return self.0.dialer.keep(conn, None);
                 }
                 Err(ConnectError::Refused(_)) => return self.upstream_crashed(&incarnation),
-                // The network path may be down: a later check or the list of upstreams will show.
+                // The network path may be down: a later check, or the list of upstreams, will show
+                // whether the upstream has crashed.
                 Err(_) => delay = CRASH_CHECK_RETRY_DELAY,
             }
         }
@@ -211,7 +212,8 @@
     async fn request_trial(&self, network: &PeerNetwork, digest: Digest) -> bool {
         let owners = network.fleet.roster().owners(digest.placement_key());
         let own = network.fleet.incarnation();
-        let unresponsive = |m: &&Arc<Member>| m.id != own && network.peers.is_unresponsive(m.addr);
+        let unresponsive =
+            |m: &&Arc<Member>| m.id != own && network.peer_clients.is_unresponsive(m.addr);
         let mut owners = owners.iter().filter(|m| !unresponsive(m));
         let Some(first) = owners.next() else {
             return self.grant_trial(digest);
@@ -243,7 +245,11 @@
             return false;
         };
         let request = TrialRequest { record, may_grant };
-        let response = match network.peers.request_trial(owner.addr, &request).await {
+        let response = match network
+            .peer_clients
+            .request_trial(owner.addr, &request)
+            .await
+        {
             Ok(response) => response,
             Err(why) => {
                 let detail = format!("request={digest} failed={why}");
--- a/crates/proxy/src/traffic.rs
+++ b/crates/proxy/src/traffic.rs
@@ -33,7 +33,7 @@
     bytes: u64,
 }
 
-/// A handle to the counts.
+/// Handle to the counts; clones share them.
 #[derive(Clone, Default)]
 pub(crate) struct Traffic(Arc<Mutex<BTreeMap<TrafficClass, Totals>>>);
 
--- a/crates/proxy/src/upstream_list.rs
+++ b/crates/proxy/src/upstream_list.rs
@@ -24,7 +24,7 @@
 /// Maximum number of new upstreams in one update that are logged one by one.
 const MAX_LOGGED_UPSTREAMS: usize = 16;
 
-/// Handle on the list of upstreams; clones share it.
+/// Handle to the list of upstreams; clones share it.
 #[derive(Clone)]
 pub(crate) struct UpstreamList(Arc<Inner>);
 
@@ -68,7 +68,7 @@
 }
 
 impl UpstreamList {
-    pub(crate) fn open(
+    pub(crate) fn new(
         dialect: Arc<dyn Dialect>,
         pool: Arc<Mutex<Pool>>,
         dialer: Dialer,
@@ -156,8 +156,8 @@
         limits.into_iter().map(notice).collect()
     }
 
-    /// Records the request rate limit in an upstream's answer to a request, or its absence, and
-    /// publishes a change.
+    /// Records the request rate limit in an upstream's response to a request sent at `sent_at`, or
+    /// its absence, and publishes a change.
     pub(crate) fn set_limit(
         &self,
         key: UpstreamKey,
@@ -173,7 +173,7 @@
         Some(changed)
     }
 
-    /// Handles a peer's report that an upstream's entry was removed at a revision.
+    /// Handles a peer's notice that an upstream's entry was removed at a revision.
     pub(crate) fn record_removal(&self, id: &str, revision: i64) {
         let key = format!("{}{id}", self.0.dialect.upstream_prefix());
         self.handle_missing_unless_rewritten(&key, revision);
@@ -194,7 +194,7 @@
         let list = self.clone();
         tokio::spawn(async move {
             let prefix = list.0.dialect.upstream_prefix().to_string();
-            let mut follower = Follower::open(
+            let mut follower = Follower::new(
                 store,
                 follower_deps,
                 Topic::Upstreams,
@@ -253,10 +253,10 @@
         let mut new = Vec::new();
         for change in changes {
             match change.current {
-                Some(found) if self.is_removed(&found.key, found.revision) => {}
-                Some(found) => {
-                    new.extend(self.apply_entry(&found.key, &found.value));
-                    let (key, entry) = to_listed_entry(found);
+                Some(current) if self.is_removed(&current.key, current.revision) => {}
+                Some(current) => {
+                    new.extend(self.apply_entry(&current.key, &current.value));
+                    let (key, entry) = to_listed_entry(current);
                     let mut state = self.state();
                     state.entries.insert(key, entry);
                 }
@@ -401,8 +401,8 @@
 }
 
 /// Returns a key and its entry as read from the store.
-fn to_listed_entry(found: KeyValue) -> (String, ListedEntry) {
-    let value = Bytes::from(found.value);
-    let revision = found.revision;
-    (found.key, ListedEntry { value, revision })
+fn to_listed_entry(key_value: KeyValue) -> (String, ListedEntry) {
+    let value = Bytes::from(key_value.value);
+    let revision = key_value.revision;
+    (key_value.key, ListedEntry { value, revision })
 }
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -29,9 +29,9 @@
 fn metrics_keep_their_names_and_labels() {
     let clock = Clock::start();
     let log = Arc::new(Log::new(clock));
-    let reach = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
+    let reach = Arc::new(StoreHealth::new(clock, Arc::clone(&log)));
     let calls = StoreCalls::new(clock, reach);
-    let suspects = Suspects::open("r1", clock, log, Dialer::default());
+    let suspects = Suspects::new("r1", clock, log, Dialer::default());
     let metrics = Metrics::new(&calls, &suspects);
     calls.count(call());
     metrics.count_request("chat", "ok");
