--- a/crates/catalogue/src/lib.rs
+++ b/crates/catalogue/src/lib.rs
@@ -1,21 +1,21 @@
-//! Rows of a catalogue of numbered log events.
+//! Catalogues of numbered log events.
 
 use tracing::Level;
 
-/// A row of a catalogue.
+/// A log event in a catalogue.
 #[derive(Clone, Copy, Debug)]
 pub struct Row<E> {
     /// The event.
     pub event: E,
-    /// Its number, which never changes.
+    /// Stable number of the event.
     pub id: u16,
-    /// Its severity.
+    /// Severity.
     pub level: Level,
-    /// Its text.
+    /// Message text.
     pub text: &'static str,
 }
 
-/// Makes a row.
+/// Creates a row.
 pub const fn row<E: Copy>(event: E, id: u16, level: Level, text: &'static str) -> Row<E> {
     Row {
         event,
@@ -25,25 +25,31 @@
     }
 }
 
-/// Returns an event's row.
+/// Returns the row of an event.
 ///
 /// # Panics
 ///
-/// Panics when the catalogue lacks the event; a test holds them together.
+/// Panics if the catalogue has no row for the event.
 pub fn find<E: Copy + PartialEq>(rows: &'static [Row<E>], event: E) -> &'static Row<E> {
     let mut rows = rows.iter();
     rows.find(|r| r.event == event)
         .expect("every event has a row")
 }
 
-/// Returns how a page differs from a catalogue; the page's rows begin with `first`.
-pub fn differences<E>(page: &str, rows: &[Row<E>], first: &str) -> Vec<String> {
+/// Returns the differences between a catalogue and the Markdown page that documents it. The rows of the
+/// page's table start with `row_prefix`.
+pub fn differences<E>(page: &str, rows: &[Row<E>], row_prefix: &str) -> Vec<String> {
     let line = |r: &Row<E>| format!("| {} | {} | {} |", r.id, r.level, r.text);
-    let lacking = rows.iter().map(line).filter(|l| !page.contains(l));
-    let mut out: Vec<String> = lacking.map(|l| format!("the page lacks {l}")).collect();
-    let shown = page.lines().filter(|l| l.starts_with(first)).count();
-    if shown != rows.len() {
-        out.push(format!("the page shows {shown} rows, not {}", rows.len()));
+    let missing = rows.iter().map(line).filter(|l| !page.contains(l));
+    let mut differences: Vec<String> = missing
+        .map(|l| format!("the page does not contain {l}"))
+        .collect();
+    let count = page.lines().filter(|l| l.starts_with(row_prefix)).count();
+    if count != rows.len() {
+        differences.push(format!(
+            "the page has {count} rows instead of {}",
+            rows.len()
+        ));
     }
-    out
+    differences
 }
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,10 +1,11 @@
-//! Time since a start: monotonic for deadlines, wall-clock only for what people and ids read.
+//! Monotonic time since the start of a process, for deadlines; wall-clock time only for ids and for
+//! times that people read.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use tokio::time::Instant;
 
-/// A clock that starts with the process.
+/// A monotonic clock that starts at 0 when it is created.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
@@ -20,17 +21,17 @@
         Clock(Instant::now())
     }
 
-    /// Returns the milliseconds since the start; never goes back.
+    /// Returns the milliseconds since the start.
     pub fn now(&self) -> u64 {
         self.0.elapsed().as_millis() as u64
     }
 
-    /// Returns the microseconds since the start; never goes back.
+    /// Returns the microseconds since the start.
     pub fn now_us(&self) -> u64 {
         self.0.elapsed().as_micros() as u64
     }
 
-    /// Returns the instant of a deadline.
+    /// Converts milliseconds since the start into an instant.
     pub fn at(&self, ms: u64) -> Instant {
         self.0 + Duration::from_millis(ms)
     }
--- a/crates/err/src/lib.rs
+++ b/crates/err/src/lib.rs
@@ -1,17 +1,19 @@
-//! The closed list of error kinds, and the one table that says how each is answered.
+//! The kinds of errors, and the table of the responses to them.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// Whether the request that failed ran at an upstream.
+/// Whether a failed request ran at an upstream.
+///
+/// The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// Nothing ran; the caller may safely send the request again.
+    /// It did not run; the caller may safely send it again.
     No,
-    /// It may have run, partly or wholly.
+    /// It may have run, partly or completely.
     Unknown,
     /// It ran.
     Yes,
@@ -25,64 +27,65 @@
     BadRequest,
     /// The request's body is larger than the settings allow.
     TooLarge,
-    /// The bearer key belongs to no customer.
+    /// The API key belongs to no customer, or the admin key is wrong.
     UnknownKey,
-    /// The budget can't cover the request, and no token is held elsewhere.
+    /// The budget can't cover the request, and no other instance holds tokens of it.
     BudgetExhausted,
     /// The customer may not use this model or service.
     NotAllowed,
-    /// There is nothing under this path.
+    /// The path, or the customer in it, is unknown.
     NotFound,
-    /// A request that may not be repeated came without a request id that bears a time.
+    /// A request that must run at most once has no request id with a timestamp.
     IdRequired,
-    /// The request id was used before with another body.
+    /// The request id was used before for a different request.
     IdReused,
-    /// The request id is older than the retention of claims.
+    /// The request id is older than the retention period of claims.
     IdTooOld,
     /// The same request is running at another instance.
     InProgress,
-    /// The request may or may not have run, and nothing more can be learned.
+    /// Whether the request ran is unknown and can't be determined.
     OutcomeUnknown,
-    /// The request ran and was billed, but its answer is no longer kept.
+    /// The request ran and was billed, but its response is no longer stored.
     AnswerGone,
-    /// The revision expected by the operator is not the current one.
+    /// The operator's request conflicts with the current state: the expected revision is not the current
+    /// one, or a holder whose tokens are to be released may still run.
     Conflict,
-    /// The upstreams' queues are full for the time the caller has.
+    /// The upstreams, or this instance, have no capacity for the request within the caller's time.
     Overloaded,
-    /// Tokens remain but can't be reached now.
+    /// Tokens remain in the budget, but can't be obtained now.
     BudgetOutOfReach,
-    /// No upstream can take the request.
+    /// No upstream is available for the request.
     NoUpstream,
-    /// Upstreams ended whenever they ran this request.
+    /// Upstreams crashed whenever they ran this request.
     EndsUpstreams,
-    /// The platform's service can't be reached, and the request needs it.
+    /// The platform's key-value service is unreachable, and the request needs it.
     PlatformDown,
     /// The instance is stopping.
     Draining,
     /// The instance has no configuration yet.
     NotConfigured,
-    /// The upstream's answer broke off and could not be resumed.
+    /// The upstream's response was interrupted and could not be resumed.
     Incomplete,
-    /// The upstream answered with an error of its own.
+    /// The upstream returned an error or no valid response.
     UpstreamError,
     /// The request's deadline passed.
     DeadlinePassed,
-    /// A fault of this program.
+    /// A bug in this program.
     Internal,
 }
 
-/// How a kind of error is answered.
+/// The response to a kind of error.
 #[derive(Clone, Copy, Debug)]
 pub struct ErrorResponse {
     /// The kind.
     pub kind: Kind,
-    /// The code in the answer's body.
+    /// The code in the response body.
     pub code: &'static str,
     /// The HTTP status.
     pub status: u16,
-    /// What is known of the request's run, unless the error says otherwise.
+    /// Whether the request ran, unless the error specifies it.
     pub ran: Ran,
-    /// Seconds after which coming back makes sense, unless the error says otherwise.
+    /// Seconds after which a retry makes sense, unless the error specifies them.
     pub retry_after_secs: Option<u32>,
 }
 
@@ -102,7 +105,7 @@
     }
 }
 
-/// Every kind with its answer.
+/// The response to each kind.
 pub const ERROR_RESPONSES: &[ErrorResponse] = &[
     row(Kind::BadRequest, "bad_request", 400, Ran::No, None),
     row(Kind::TooLarge, "too_large", 413, Ran::No, None),
@@ -167,51 +170,51 @@
 ];
 
 impl Kind {
-    /// Returns the kind's row of the table.
+    /// Returns the response to this kind of error.
     ///
     /// # Panics
     ///
-    /// Panics when the table lacks the kind; a test holds them together.
+    /// Panics if the table has no row for the kind.
     pub fn response(self) -> &'static ErrorResponse {
         ERROR_RESPONSES
             .iter()
-            .find(|a| a.kind == self)
-            .expect("every kind has a row")
+            .find(|r| r.kind == self)
+            .expect("every kind has a response")
     }
 }
 
-/// An error on its way to a caller.
+/// An error to be returned to a caller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Error {
     /// The kind.
     pub kind: Kind,
-    /// What happened, in words.
+    /// Description of what happened.
     pub message: String,
-    /// What is known of the request's run.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// Seconds after which coming back makes sense.
+    /// Seconds after which a retry makes sense.
     pub retry_after_secs: Option<u32>,
 }
 
 impl Error {
-    /// Makes an error with the answer that its kind has in the table.
+    /// Creates an error with the values that the table has for its kind.
     pub fn new(kind: Kind, message: impl Into<String>) -> Self {
-        let answer = kind.response();
+        let response = kind.response();
         Error {
             kind,
             message: message.into(),
-            ran: answer.ran,
-            retry_after_secs: answer.retry_after_secs,
+            ran: response.ran,
+            retry_after_secs: response.retry_after_secs,
         }
     }
 
-    /// Says what is known of the request's run.
+    /// Sets whether the request ran.
     pub fn ran(mut self, ran: Ran) -> Self {
         self.ran = ran;
         self
     }
 
-    /// Says when to come back.
+    /// Sets the time after which a retry makes sense, at least one second.
     pub fn retry_after(mut self, secs: u32) -> Self {
         self.retry_after_secs = Some(secs.max(1));
         self
@@ -222,7 +225,7 @@
         self.kind.response().status
     }
 
-    /// Returns the answer's JSON body.
+    /// Returns the JSON body of the response.
     pub fn body(&self) -> serde_json::Value {
         let status = self.status();
         let class = match status {
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -1,7 +1,7 @@
-//! HTTP listeners: one request in, one answer out.
+//! HTTP listeners, which pass requests with their complete bodies to a service and send its full or
+//! streamed responses.
 //!
-//! The areas above deal with whole requests and with answers that are whole or streamed. Only this
-//! crate knows the HTTP library.
+//! Only this crate depends on salvo, the HTTP server library.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -20,83 +20,83 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-/// A caller has this long to send its body.
+/// Time in which a caller must send the body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// A caller has this long to send its headers.
+/// Time in which a caller must send the headers.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Parts of a streamed answer that may wait for a slow caller.
-const STREAM_DEPTH: usize = 32;
+/// Maximum number of chunks of a streamed response that are buffered for a slow caller.
+const STREAM_BUFFER: usize = 32;
 
-/// A request with its whole body.
+/// A request with its complete body.
 #[derive(Clone, Debug)]
 pub struct Req {
-    /// The method, in capitals.
+    /// The method, such as `GET`.
     pub method: String,
-    /// The path, without the query.
+    /// The path without the query.
     pub path: String,
-    /// The query, without its mark.
+    /// The query without the question mark.
     pub query: String,
     /// The headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: Bytes,
-    /// Who sent it.
+    /// Address of the caller.
     pub remote_addr: SocketAddr,
 }
 
 impl Req {
-    /// Returns a header that is a text.
+    /// Returns the value of a header; `None` if it is missing or not visible ASCII text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Returns the parts of the path.
+    /// Returns the non-empty segments of the path.
     pub fn segments(&self) -> Vec<&str> {
         self.path.split('/').filter(|s| !s.is_empty()).collect()
     }
 
-    /// Reads the body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it, and where.
+    /// Returns what is wrong and where.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, String> {
         serde_json::from_slice(&self.body).map_err(|e| e.to_string())
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// It is whole.
+    /// The complete body.
     Full(Bytes),
-    /// It comes in parts, until the sender is dropped.
+    /// Chunks of the body; it ends when the sender is dropped.
     Stream(mpsc::Receiver<Bytes>),
 }
 
-/// An answer.
+/// A response.
 #[derive(Debug)]
 pub struct Res {
-    /// The status.
+    /// HTTP status.
     pub status: u16,
     /// Headers.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// Body.
     pub body: Body,
 }
 
 impl Res {
-    /// Makes an answer of JSON.
+    /// Creates a response in JSON.
     ///
     /// # Panics
     ///
-    /// Panics when the value can't be written as JSON, which is a fault of this program.
+    /// Panics if the value can't be serialized, which is a bug.
     pub fn json(status: u16, value: &impl Serialize) -> Res {
-        let text = serde_json::to_vec(value).expect("a value that JSON can hold");
+        let text = serde_json::to_vec(value).expect("serializable value");
         Res::new(status, "application/json", text)
     }
 
-    /// Makes an answer of some media type.
+    /// Creates a response of a media type.
     pub fn new(status: u16, media: &str, body: impl Into<Bytes>) -> Res {
         Res {
             status,
@@ -105,9 +105,9 @@
         }
     }
 
-    /// Makes an answer of server-sent events, and the sender of its parts.
+    /// Creates a response of server-sent events, and the sender of its chunks.
     pub fn event_stream() -> (mpsc::Sender<Bytes>, Res) {
-        let (tx, rx) = mpsc::channel(STREAM_DEPTH);
+        let (tx, rx) = mpsc::channel(STREAM_BUFFER);
         let res = Res {
             status: 200,
             headers: vec![
@@ -126,30 +126,30 @@
     }
 }
 
-/// Returns one server-sent event of JSON.
+/// Returns a server-sent event with JSON data.
 pub fn sse_event(value: &Value) -> Bytes {
     Bytes::from(format!("data: {value}\n\n"))
 }
 
-/// What answers the requests of a listener.
+/// Handles the requests of a listener.
 pub trait Service: Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles a request.
     fn call(self: Arc<Self>, req: Req) -> impl Future<Output = Res> + Send;
 
-    /// Answers a request whose body could not be read.
+    /// Returns the response to a request whose body could not be read.
     fn unreadable_body(&self, too_large: bool) -> Res {
         let status = if too_large { 413 } else { 400 };
         Res::new(status, "text/plain", "the body can't be read")
     }
 }
 
-struct Goal<S> {
+struct ServiceHandler<S> {
     service: Arc<S>,
     body_limit: usize,
 }
 
 #[async_trait]
-impl<S: Service> Handler for Goal<S> {
+impl<S: Service> Handler for ServiceHandler<S> {
     async fn handle(
         &self,
         req: &mut Request,
@@ -157,19 +157,19 @@
         res: &mut Response,
         _ctrl: &mut FlowCtrl,
     ) {
-        let answer = match take(req, self.body_limit).await {
+        let response = match read_request(req, self.body_limit).await {
             Ok(req) => Arc::clone(&self.service).call(req).await,
             Err(too_large) => self.service.unreadable_body(too_large),
         };
-        give(answer, res);
+        write_response(response, res);
     }
 }
 
-/// Reads a request; tells whether it was too large if that fails.
-async fn take(req: &mut Request, limit: usize) -> Result<Req, bool> {
+/// Reads a request. If that fails, returns whether the request is too large.
+async fn read_request(req: &mut Request, limit: usize) -> Result<Req, bool> {
     let remote = req.remote_addr().clone().into_std();
-    let announced: usize = req.header("content-length").unwrap_or(0);
-    if announced > limit {
+    let content_length: usize = req.header("content-length").unwrap_or(0);
+    if content_length > limit {
         return Err(true);
     }
     let read = req.payload_with_max_size(limit);
@@ -188,20 +188,21 @@
     })
 }
 
-/// The library wraps its limit's error without a kind of its own; its name is all there is.
+/// Returns whether the error is about the size limit. The library wraps that error without a variant of
+/// its own, so it can only be recognized by its name.
 fn is_too_large(error: &impl std::fmt::Debug) -> bool {
     format!("{error:?}").contains("LengthLimitError")
 }
 
-fn give(answer: Res, res: &mut Response) {
-    res.status_code(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY));
-    for (name, value) in answer.headers {
+fn write_response(response: Res, res: &mut Response) {
+    res.status_code(StatusCode::from_u16(response.status).unwrap_or(StatusCode::BAD_GATEWAY));
+    for (name, value) in response.headers {
         if let Ok(value) = HeaderValue::from_str(&value) {
             res.headers_mut()
                 .insert(HeaderName::from_static(name), value);
         }
     }
-    match answer.body {
+    match response.body {
         Body::Full(bytes) => {
             res.body(bytes);
         }
@@ -211,7 +212,7 @@
     }
 }
 
-/// A running listener.
+/// Handle on a running listener.
 #[derive(Clone)]
 pub struct ServerHandle {
     addr: SocketAddr,
@@ -219,18 +220,18 @@
 }
 
 impl ServerHandle {
-    /// Returns the address that it listens on.
+    /// Returns the address that the listener is bound to.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Stops taking connections and ends the open ones after a time.
+    /// Stops accepting connections, and closes the open ones after a grace period at the latest.
     pub fn stop(&self, grace: Duration) {
         self.server.stop_graceful(Some(grace));
     }
 }
 
-/// Binds a listener and answers its requests.
+/// Binds a listener and starts to serve its requests.
 ///
 /// # Errors
 ///
@@ -244,11 +245,11 @@
     let acceptor = listener.map_err(|e| format!("{addr}: {e}"))?;
     let holding = acceptor.holdings().first().map(|h| h.local_addr.clone());
     let addr = holding.and_then(|a| a.into_std()).unwrap_or(addr);
-    let goal = Goal {
+    let handler = ServiceHandler {
         service,
         body_limit,
     };
-    let router = Router::with_path("{**path}").goal(goal);
+    let router = Router::with_path("{**path}").goal(handler);
     let mut server = Server::new(acceptor);
     let http1 = server.http1_mut();
     http1.timer(TokioTimer::new());
@@ -261,7 +262,7 @@
     })
 }
 
-/// Returns the method for a name.
+/// Returns the HTTP method with a name; GET if the name is invalid.
 pub fn parse_method(name: &str) -> Method {
     Method::from_bytes(name.as_bytes()).unwrap_or(Method::GET)
 }
--- a/crates/web/tests/edge.rs
+++ b/crates/web/tests/edge.rs
@@ -1,4 +1,4 @@
-//! What callers do that no client library would.
+//! Malformed and malicious requests that no client library sends.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
 use web::{Req, Res, Service};
 
 const LIMIT: usize = 1024;
-const PATIENCE: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Echo;
 
@@ -31,56 +31,54 @@
     (handle, stream)
 }
 
-/// Sends bytes and returns all that comes back until the end or the patience's.
+/// Sends bytes and returns everything received until the connection is closed, or until the timeout.
 async fn send(stream: &mut TcpStream, bytes: &[u8]) -> String {
-    // The other side may close in the middle of a flood.
+    // The server may close the connection before everything is sent.
     let _ = stream.write_all(bytes).await;
     let mut buf = Vec::new();
-    let _ = tokio::time::timeout(PATIENCE, stream.read_to_end(&mut buf)).await;
+    let _ = tokio::time::timeout(RESPONSE_TIMEOUT, stream.read_to_end(&mut buf)).await;
     String::from_utf8_lossy(&buf).into_owned()
 }
 
-/// Symptom: one caller takes the memory of all.
-/// Sequence: it sends headers without end.
-/// Cause: headers without a bound.
+/// A caller that sends headers without end must not exhaust the memory of the process: the size of the
+/// headers is limited.
 #[tokio::test]
-async fn flood_of_headers_is_refused() {
+async fn endless_headers_are_refused() {
     let (_handle, mut stream) = open().await;
-    let mut flood = b"GET / HTTP/1.1\r\nhost: a\r\n".to_vec();
+    let mut req = b"GET / HTTP/1.1\r\nhost: a\r\n".to_vec();
     for i in 0..5_000 {
-        flood.extend_from_slice(format!("x-{i}: {}\r\n", "y".repeat(100)).as_bytes());
+        req.extend_from_slice(format!("x-{i}: {}\r\n", "y".repeat(100)).as_bytes());
     }
-    let answer = send(&mut stream, &flood).await;
+    let response = send(&mut stream, &req).await;
     assert!(
-        answer.is_empty() || answer.contains(" 431 ") || answer.contains(" 400 "),
-        "{answer}"
+        response.is_empty() || response.contains(" 431 ") || response.contains(" 400 "),
+        "{response}"
     );
 }
 
-/// Symptom: connections pile up that never ask for anything.
-/// Sequence: a caller sends half of its headers and then nothing.
-/// Cause: no limit of time on the headers.
+/// Connections of callers that send only a part of their headers must not accumulate: the time to
+/// receive the headers is limited.
 #[tokio::test]
-async fn slow_headers_end_the_connection() {
+async fn incomplete_headers_time_out() {
     let (_handle, mut stream) = open().await;
     let began = Instant::now();
     send(&mut stream, b"GET / HTTP/1.1\r\nhost: a\r\n").await;
-    assert!(began.elapsed() < PATIENCE);
+    assert!(began.elapsed() < RESPONSE_TIMEOUT);
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_text_are_no_header() {
+async fn header_with_invalid_bytes_counts_as_missing() {
     let (_handle, mut stream) = open().await;
     let req = b"GET / HTTP/1.1\r\nhost: a\r\nx-odd: \xff\xfe\r\nconnection: close\r\n\r\n";
-    let answer = send(&mut stream, req).await;
+    let response = send(&mut stream, req).await;
     assert!(
-        answer.starts_with("HTTP/1.1 200") && answer.ends_with("none"),
-        "{answer}"
+        response.starts_with("HTTP/1.1 200") && response.ends_with("none"),
+        "{response}"
     );
 }
 
 #[tokio::test]
-async fn body_without_an_announced_length_is_bounded() {
+async fn body_without_content_length_is_limited() {
     let (_handle, mut stream) = open().await;
     let mut req =
         b"POST / HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\nconnection: close\r\n\r\n"
@@ -89,6 +87,6 @@
         req.extend_from_slice(format!("400\r\n{}\r\n", "z".repeat(1024)).as_bytes());
     }
     req.extend_from_slice(b"0\r\n\r\n");
-    let answer = send(&mut stream, &req).await;
-    assert!(answer.starts_with("HTTP/1.1 413"), "{answer}");
+    let response = send(&mut stream, &req).await;
+    assert!(response.starts_with("HTTP/1.1 413"), "{response}");
 }
