--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -28,8 +28,8 @@
 /// and a partition of its holder, since that is when the other instances need the list most. In
 /// return, a crashed instance stays listed for that time, and the others send it messages in vain.
 const MIN_LEASE_TTL_MS: u64 = 30_000;
-/// Interval between renewals of a lease: three of them fit into the shortest outage of the store
-/// that the lease must outlive.
+/// Interval between renewals of a lease: three of them fit into the shortest outage that it must
+/// outlive.
 const LEASE_RENEWAL_INTERVAL: Duration = Duration::from_secs(8);
 /// Maximum duration of a watch of the list, in milliseconds. A change that is learned late only
 /// means that a message is sent to an instance that is gone, or that this instance uses a wrong
