--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,6 +1,7 @@
-//! Which instances there are: heartbeats to random partners, joined with the instance list.
+//! Membership of instances, by gossip of heartbeats and by the instance list.
 //!
-//! Suspicion changes routing and homes only. It never frees anything that another instance holds.
+//! That an instance is suspected to have failed affects only routing and the choice of homes. It never
+//! releases anything that the instance holds.
 
 use std::collections::BTreeMap;
 
@@ -8,101 +9,106 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Silence after which an instance is suspected, in milliseconds.
-const SUSPECT_MS: u64 = 4_000;
-/// The same for each known instance, where that is more: messages are bounded, so in a larger fleet
-/// each instance is heard of less often, and would be suspected for no other reason.
-const SUSPECT_EACH_MS: u64 = 150;
-/// Silence after which an instance is forgotten, in milliseconds.
-const FORGET_MS: u64 = 120_000;
-/// Heartbeats in one message: bounds its bytes, whatever the fleet's size.
-const MESSAGE_MOST: usize = 24;
-/// Members that a message lists whole because they changed lately.
-const NEWS_MOST: usize = 8;
-/// How long a change is told, in milliseconds.
-const NEWS_MS: u64 = 10_000;
-
-/// What an instance says of itself.
+/// Minimum time without a new heartbeat after which an instance is suspected, in milliseconds.
+const MIN_SUSPECT_TIMEOUT_MS: u64 = 4_000;
+/// The same timeout per known instance, which applies if the total is longer. The size of updates is
+/// limited, so in a larger fleet the heartbeats of each instance arrive less often. With a fixed timeout,
+/// running instances would be suspected.
+const SUSPECT_TIMEOUT_PER_MEMBER_MS: u64 = 150;
+/// Time without a new heartbeat after which an instance is forgotten, in milliseconds.
+const FORGET_TIMEOUT_MS: u64 = 120_000;
+/// Maximum number of heartbeats in an update, which limits its size in a fleet of any size.
+const MAX_HEARTBEATS: usize = 24;
+/// Maximum number of recently changed members that an update contains completely.
+const MAX_CHANGED_MEMBERS: usize = 8;
+/// How long a changed member counts as recently changed, in milliseconds.
+const RECENT_CHANGE_MS: u64 = 10_000;
+
+/// Status of an instance, as it reports it itself.
+///
+/// The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
-    /// It takes work.
+    /// It accepts requests.
     Live,
-    /// It is stopping as planned.
+    /// It is in a planned stop.
     Leaving,
-    /// It has stopped as planned.
+    /// It has completed a planned stop.
     Left,
 }
 
-/// One instance as its peers know it.
+/// An instance as its peers know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its incarnation: name, dot, and what makes the start unique.
+    /// Incarnation: the name, a dot and a unique id of the start.
     pub id: String,
-    /// Its region.
+    /// Region.
     pub region: String,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: String,
-    /// Where its peers reach it.
+    /// Address for its peers.
     pub peer_addr: String,
-    /// What it says of itself.
+    /// Status.
     #[serde(rename = "standing")]
     pub status: Status,
-    /// Goes up with each of its heartbeats.
+    /// Counter that the instance increments with each heartbeat.
     #[serde(rename = "beat")]
     pub heartbeat: u64,
-    /// The revision of the configuration that is in force there.
+    /// Revision of the configuration that is in force there.
     pub revision: u64,
 }
 
 impl Member {
-    /// Returns the name without the incarnation.
+    /// Returns the name of the instance without the id of its start.
     pub fn name(&self) -> &str {
         self.id.split('.').next().unwrap_or_default()
     }
 }
 
-/// A heartbeat of an instance that the listener knows: a fourth of a whole member's bytes.
+/// A heartbeat of an instance that the receiver already knows: a quarter of the size of a [`Member`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat(
-    /// Its incarnation.
+    /// Incarnation.
     pub String,
-    /// The heartbeat.
+    /// Counter of heartbeats.
     pub u64,
-    /// The revision of the configuration that is in force there.
+    /// Revision of the configuration that is in force there.
     pub u64,
 );
 
-/// What one instance tells another.
+/// What an instance sends to another one about members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
-    /// The teller first, then the instances that changed lately.
+    /// The sender first, then recently changed instances.
     pub members: Vec<Member>,
-    /// Heartbeats of some others.
+    /// Heartbeats of a random selection of the other instances.
     #[serde(rename = "beats")]
     pub heartbeats: Vec<Heartbeat>,
 }
 
 #[derive(Clone, Debug)]
-struct Seen {
+struct KnownMember {
     member: Member,
+    /// When its last new heartbeat was received.
     heard_at: u64,
+    /// When it was added, or its status changed.
     changed_at: u64,
 }
 
-/// All instances that one instance knows of.
+/// The instances that this instance knows, itself included.
 #[derive(Clone, Debug)]
 pub struct Membership {
     local: Member,
-    seen: BTreeMap<String, Seen>,
+    known: BTreeMap<String, KnownMember>,
 }
 
 impl Membership {
-    /// Opens a table that knows this instance only.
-    pub fn new(me: Member) -> Membership {
+    /// Creates a membership that contains this instance only.
+    pub fn new(local: Member) -> Membership {
         Membership {
-            local: me,
-            seen: BTreeMap::new(),
+            local,
+            known: BTreeMap::new(),
         }
     }
 
@@ -111,140 +117,153 @@
         &self.local
     }
 
-    /// Changes what this instance says of itself.
-    pub fn set_status(&mut self, standing: Status) {
-        self.local.status = standing;
+    /// Changes the status of this instance.
+    pub fn set_status(&mut self, status: Status) {
+        self.local.status = status;
         self.local.heartbeat += 1;
     }
 
-    /// Changes the revision that this instance says it runs.
+    /// Changes the configuration revision of this instance.
     pub fn set_revision(&mut self, revision: u64) {
         self.local.revision = revision;
         self.local.heartbeat += 1;
     }
 
-    /// Beats, and returns the partner to talk to and what to tell it.
+    /// Starts a gossip round: increments the heartbeat of this instance, and returns a random partner
+    /// with the update to send to it.
     pub fn start_round(
         &mut self,
         now: u64,
         rng: &mut impl Rng,
     ) -> Option<(Member, MembershipUpdate)> {
         self.local.heartbeat += 1;
-        self.seen.retain(|_, s| now < s.heard_at + FORGET_MS);
+        self.known
+            .retain(|_, k| now < k.heard_at + FORGET_TIMEOUT_MS);
         let partners = self
-            .seen
+            .known
             .values()
-            .filter(|s| s.member.status != Status::Left);
+            .filter(|k| k.member.status != Status::Left);
         let partner = partners.choose(rng)?.member.clone();
-        let tell = self.compose_update(now, rng);
-        Some((partner, tell))
+        let update = self.compose_update(now, rng);
+        Some((partner, update))
     }
 
-    /// Returns what to tell a partner: oneself, the news, and some others.
+    /// Returns the update to send to a partner: this instance, recently changed members, and heartbeats
+    /// of some others. Suspected instances are left out.
     pub fn compose_update(&self, now: u64, rng: &mut impl Rng) -> MembershipUpdate {
-        let suspect = self.suspect_timeout_ms();
-        let live = |s: &&Seen| now < s.heard_at + suspect || s.member.status == Status::Left;
-        let mut known: Vec<&Seen> = self.seen.values().filter(live).collect();
-        known.sort_by_key(|s| std::cmp::Reverse(s.changed_at));
-        let is_news = |s: &&&Seen| now < s.changed_at + NEWS_MS;
-        let news = known.iter().take(NEWS_MOST).take_while(is_news).count();
-        let mut rest = known.split_off(news);
+        let timeout = self.suspect_timeout_ms();
+        let is_sent =
+            |k: &&KnownMember| now < k.heard_at + timeout || k.member.status == Status::Left;
+        let mut changed: Vec<&KnownMember> = self.known.values().filter(is_sent).collect();
+        changed.sort_by_key(|k| std::cmp::Reverse(k.changed_at));
+        let is_recent = |k: &&&KnownMember| now < k.changed_at + RECENT_CHANGE_MS;
+        let count = changed
+            .iter()
+            .take(MAX_CHANGED_MEMBERS)
+            .take_while(is_recent)
+            .count();
+        let mut rest = changed.split_off(count);
         rest.shuffle(rng);
-        rest.truncate(MESSAGE_MOST);
-        let beat = |s: &Seen| Heartbeat(s.member.id.clone(), s.member.heartbeat, s.member.revision);
-        let others = known.into_iter().map(|s| s.member.clone());
+        rest.truncate(MAX_HEARTBEATS);
+        let heartbeat =
+            |k: &KnownMember| Heartbeat(k.member.id.clone(), k.member.heartbeat, k.member.revision);
+        let changed = changed.into_iter().map(|k| k.member.clone());
         MembershipUpdate {
-            members: std::iter::once(self.local.clone()).chain(others).collect(),
-            heartbeats: rest.into_iter().map(beat).collect(),
+            members: std::iter::once(self.local.clone()).chain(changed).collect(),
+            heartbeats: rest.into_iter().map(heartbeat).collect(),
         }
     }
 
-    /// Takes in what a partner told; returns the members that are new or changed their standing.
-    pub fn merge(&mut self, now: u64, told: MembershipUpdate) -> Vec<Member> {
-        for Heartbeat(id, beat, revision) in told.heartbeats {
-            // One that is not known is told whole by somebody, or is in the instance list.
-            if let Some(seen) = self.seen.get_mut(&id).filter(|s| s.member.heartbeat < beat) {
-                seen.heard_at = now;
-                seen.member.heartbeat = beat;
-                seen.member.revision = revision;
+    /// Merges an update from a partner; returns the members that are new or whose status changed.
+    pub fn merge(&mut self, now: u64, update: MembershipUpdate) -> Vec<Member> {
+        for Heartbeat(id, heartbeat, revision) in update.heartbeats {
+            // Unknown instances arrive as complete members in another update, or in the instance list.
+            let known = self.known.get_mut(&id);
+            if let Some(known) = known.filter(|k| k.member.heartbeat < heartbeat) {
+                known.heard_at = now;
+                known.member.heartbeat = heartbeat;
+                known.member.revision = revision;
             }
         }
-        let mut news = Vec::new();
-        for member in told.members {
+        let mut changed = Vec::new();
+        for member in update.members {
             if member.id == self.local.id {
                 continue;
             }
-            match self.seen.get_mut(&member.id) {
-                Some(seen) if seen.member.heartbeat >= member.heartbeat => {}
-                Some(seen) => {
-                    seen.heard_at = now;
-                    if seen.member.status != member.status {
-                        seen.changed_at = now;
-                        news.push(member.clone());
+            match self.known.get_mut(&member.id) {
+                Some(known) if known.member.heartbeat >= member.heartbeat => {}
+                Some(known) => {
+                    known.heard_at = now;
+                    if known.member.status != member.status {
+                        known.changed_at = now;
+                        changed.push(member.clone());
                     }
-                    seen.member = member;
+                    known.member = member;
                 }
                 None => {
-                    news.push(member.clone());
+                    changed.push(member.clone());
                     self.insert(now, member);
                 }
             }
         }
-        news
+        changed
     }
 
-    /// Takes in the instance list: it introduces instances, but never speaks for their health.
+    /// Adds the instances of the instance list that are not known yet. The list does not tell whether
+    /// the known ones are running.
     pub fn add_listed(&mut self, now: u64, listed: Vec<Member>) {
         for member in listed {
-            if member.id != self.local.id && !self.seen.contains_key(&member.id) {
+            if member.id != self.local.id && !self.known.contains_key(&member.id) {
                 self.insert(now, member);
             }
         }
     }
 
     fn insert(&mut self, now: u64, member: Member) {
-        let seen = Seen {
+        let known = KnownMember {
             member,
             heard_at: now,
             changed_at: now,
         };
-        self.seen.insert(seen.member.id.clone(), seen);
+        self.known.insert(known.member.id.clone(), known);
     }
 
-    /// Returns the silence after which an instance is suspected, in milliseconds.
+    /// Returns the time without a new heartbeat after which an instance is suspected, in milliseconds.
     pub fn suspect_timeout_ms(&self) -> u64 {
-        SUSPECT_MS.max(self.seen.len() as u64 * SUSPECT_EACH_MS)
+        MIN_SUSPECT_TIMEOUT_MS.max(self.known.len() as u64 * SUSPECT_TIMEOUT_PER_MEMBER_MS)
     }
 
-    /// Returns the instances that take work, this one among them unless it is leaving.
+    /// Returns the instances that accept requests and are not suspected, including this one unless it is
+    /// leaving.
     pub fn live(&self, now: u64) -> Vec<Member> {
-        let suspect = self.suspect_timeout_ms();
-        let fresh = |s: &&Seen| now < s.heard_at + suspect;
-        let live = self.seen.values().filter(fresh).map(|s| &s.member);
-        let all = std::iter::once(&self.local).chain(live);
+        let timeout = self.suspect_timeout_ms();
+        let is_heard = |k: &&KnownMember| now < k.heard_at + timeout;
+        let heard = self.known.values().filter(is_heard).map(|k| &k.member);
+        let all = std::iter::once(&self.local).chain(heard);
         all.filter(|m| m.status == Status::Live).cloned().collect()
     }
 
-    /// Returns an instance by its incarnation.
+    /// Returns the instance with an incarnation.
     pub fn get(&self, id: &str) -> Option<&Member> {
         if id == self.local.id {
             return Some(&self.local);
         }
-        self.seen.get(id).map(|s| &s.member)
+        self.known.get(id).map(|k| &k.member)
     }
 
-    /// Returns the instances that are silent, or have left.
+    /// Returns the incarnations of the instances that are suspected or have left.
     pub fn silent_or_left(&self, now: u64) -> Vec<String> {
-        let suspect = self.suspect_timeout_ms();
-        let gone = |s: &&Seen| now >= s.heard_at + suspect || s.member.status == Status::Left;
-        let ids = self.seen.values().filter(gone);
-        ids.map(|s| s.member.id.clone()).collect()
+        let timeout = self.suspect_timeout_ms();
+        let is_gone =
+            |k: &&KnownMember| now >= k.heard_at + timeout || k.member.status == Status::Left;
+        let gone = self.known.values().filter(is_gone);
+        gone.map(|k| k.member.id.clone()).collect()
     }
 
-    /// Returns all instances with the milliseconds since each was heard.
+    /// Returns all instances, each with the milliseconds since its last new heartbeat.
     pub fn all(&self, now: u64) -> Vec<(Member, u64)> {
-        let row = |s: &Seen| (s.member.clone(), now - s.heard_at.min(now));
-        let others = self.seen.values().map(row);
+        let with_silence = |k: &KnownMember| (k.member.clone(), now - k.heard_at.min(now));
+        let others = self.known.values().map(with_silence);
         std::iter::once((self.local.clone(), 0))
             .chain(others)
             .collect()
