--- a/crates/kv/src/etcd.rs
+++ b/crates/kv/src/etcd.rs
@@ -1,4 +1,4 @@
-//! Implements the `Store` trait by the etcd v3 JSON protocol.
+//! Implementation of the `Store` trait with the etcd v3 JSON protocol.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
