--- a/crates/dial/src/conn.rs
+++ b/crates/dial/src/conn.rs
@@ -1,4 +1,4 @@
-//! One connection, which carries one request at a time.
+//! A connection to an upstream, which carries one request at a time.
 
 use std::error::Error;
 use std::io::ErrorKind;
@@ -13,25 +13,27 @@
 
 use crate::pool::Pools;
 
-/// Why a request has no answer.
+/// Why a request has no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No byte of it was sent.
+    /// No byte of the request was sent.
     NotSent(String),
-    /// It may have been received and run; the other side closed the connection before its answer came.
+    /// The upstream may have received and run the request, and closed the connection before its response
+    /// arrived.
     Closed(String),
-    /// It may have been received and run, and something of its answer may have been on its way.
+    /// The upstream may have received and run the request, and may have sent a part of the response.
     Broken(String),
 }
 
-/// Returns whether an error is the other side's close, and neither a lost connection nor a broken answer.
+/// Returns whether an error means that the upstream closed the connection, as opposed to a lost connection
+/// or an invalid response.
 fn is_closed(error: &hyper::Error) -> bool {
     let reset = |e: &std::io::Error| e.kind() == ErrorKind::ConnectionReset;
     let cause = error.source().and_then(|e| e.downcast_ref());
     error.is_incomplete_message() || cause.is_some_and(reset)
 }
 
-/// A connection; dropping it closes it at once, whatever is under way.
+/// A connection to an upstream. Dropping it closes it immediately, even if a request is in progress.
 pub struct Conn {
     pub(crate) upstream: String,
     pub(crate) send: SendRequest<Full<Bytes>>,
@@ -40,11 +42,11 @@
 }
 
 impl Conn {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have been received.
+    /// Returns why there is no response, and whether the request may have been received.
     pub async fn send(
         &mut self,
         req: Request<Full<Bytes>>,
@@ -61,18 +63,18 @@
         })
     }
 
-    /// Returns whether another request may be sent on it: the answer before was read to its end, and
-    /// nothing came since.
-    pub(crate) fn is_clean(&self) -> bool {
+    /// Returns whether another request may be sent: the previous response was read completely, and nothing
+    /// was received since.
+    pub(crate) fn is_reusable(&self) -> bool {
         self.send.is_ready() && !self.send.is_closed()
     }
 }
 
 impl Drop for Conn {
     fn drop(&mut self) {
-        // The upstream sees the end of the connection, and stops its work.
+        // The upstream notices that the connection is closed, and cancels the request.
         self.task.abort();
-        let mut pools = self.pools.lock().expect("no panic inside");
-        pools.closed(&self.upstream);
+        let mut pools = self.pools.lock().expect("lock not poisoned");
+        pools.release_slot(&self.upstream);
     }
 }
--- a/crates/dial/src/lib.rs
+++ b/crates/dial/src/lib.rs
@@ -1,8 +1,8 @@
 //! Connections to upstreams.
 //!
-//! A general HTTP client hides what has to be decided here: whether a request that failed was sent at
-//! all, whether a kept connection is still clean, when one is closed because its caller left, and
-//! how many an upstream takes. HTTP/1.1 itself is hyper's.
+//! A general HTTP client hides what has to be decided here: whether a failed request was sent at all,
+//! whether an idle connection can be reused, when a connection is closed because its caller has
+//! disconnected, and how many connections an upstream accepts. HTTP/1.1 itself is implemented by hyper.
 
 mod conn;
 mod pool;
--- a/crates/dial/src/pool.rs
+++ b/crates/dial/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections by upstream.
+//! The pool of connections by upstream.
 
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -15,57 +15,61 @@
 
 use crate::conn::Conn;
 
-/// A connection to an upstream opens within a few milliseconds, or the upstream is not there: the
-/// request waits meanwhile, and nothing of it was sent. A lost packet costs the choice of another one.
+/// Timeout of a connection attempt. An upstream accepts a connection within a few milliseconds, or it is
+/// not available. The request waits meanwhile, and nothing of it was sent, so a lost packet only makes the
+/// router choose another upstream.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Bytes that stay unacknowledged this long mean that the other side is gone: without it a cut link
-/// shows only after minutes. Leaves room for three lost packets in a row.
+/// Time after which a connection with unacknowledged data is considered lost. Without it, an interrupted
+/// network path is noticed only after minutes. It allows for three consecutive lost packets.
 const UNACKED_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Pause after which a silent connection is probed.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// Connections kept for later requests are closed after this time where the upstream names none.
-const IDLE_DEFAULT: Duration = Duration::from_millis(2_000);
-/// An idle connection is closed this long before the upstream would: a request that crosses the
-/// upstream's close has an unknown outcome.
+/// Idle time before TCP keepalive probes, and interval between them.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long an idle connection is kept if the upstream does not specify a timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// An idle connection is closed this long before the upstream's timeout: if the upstream closes it just
+/// as a request is sent, the outcome of that request is unknown.
 const IDLE_MARGIN: Duration = Duration::from_millis(500);
-/// Longest time that a connection is kept, whatever the upstream names.
-const IDLE_MOST: Duration = Duration::from_secs(20);
+/// Maximum time that an idle connection is kept, whatever timeout the upstream specifies.
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Where to connect to.
+/// What to connect to.
 #[derive(Clone, Copy, Debug)]
 pub struct Target<'a> {
-    /// The upstream's incarnation: another one may have its address, or its name, later.
+    /// Incarnation of the upstream: another one may use its address or name later.
     pub upstream: &'a str,
-    /// Its address.
+    /// Address of the upstream.
     pub addr: SocketAddr,
-    /// Connections that it may have from here.
+    /// Maximum number of connections to it from this instance.
     pub max_connections: usize,
 }
 
-/// Why there is no connection; nothing was sent.
+/// Why a connection was not established; nothing was sent.
+///
+/// The names of the variants are written to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConnectError {
-    /// All that it may have from here are in use.
+    /// All connections to the upstream that this instance may have are in use.
     Full,
-    /// Nobody listens at its address.
+    /// Nothing listens at the address.
     Refused(String),
-    /// It can't be reached, or was lost at once.
+    /// The upstream can't be reached, or the connection was lost immediately.
     Unreachable(String),
-    /// It did not answer in time.
+    /// The connection was not established in time.
     TimedOut,
 }
 
-struct Idle {
+struct IdleConn {
     conn: Conn,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// The connections of one upstream.
 #[derive(Default)]
 struct Pool {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConn>,
+    /// Number of connections, including those that are idle or being opened.
     open: usize,
-    /// The tasks of the open connections, those in use among them.
+    /// The tasks of the connections, including those in use.
     tasks: Vec<AbortHandle>,
 }
 
@@ -74,7 +78,8 @@
 pub(crate) struct Pools(HashMap<String, Pool>);
 
 impl Pools {
-    pub(crate) fn closed(&mut self, upstream: &str) {
+    /// Releases the slot of a connection that was closed or not established.
+    pub(crate) fn release_slot(&mut self, upstream: &str) {
         if let Some(pool) = self.0.get_mut(upstream) {
             pool.open -= 1;
             pool.tasks.retain(|t| !t.is_finished());
@@ -85,21 +90,21 @@
     }
 }
 
-/// Opens connections and keeps them for later requests.
+/// Opens connections, and keeps idle ones for later requests; clones share them.
 #[derive(Clone, Default)]
 pub struct Dialer(Arc<Mutex<Pools>>);
 
 impl Dialer {
-    /// Returns a kept connection that is clean, the latest used first.
+    /// Takes the most recently used idle connection that can be reused.
     pub fn take_idle(&self, upstream: &str) -> Option<Conn> {
         let now = Instant::now();
         loop {
-            // Dropped outside of the lock, which their drop takes.
+            // Dropped after the lock is released, because dropping a connection takes the lock.
             let idle = {
-                let mut pools = self.0.lock().expect("no panic inside");
+                let mut pools = self.0.lock().expect("lock not poisoned");
                 pools.0.get_mut(upstream)?.idle.pop()?
             };
-            if idle.until > now && idle.conn.is_clean() {
+            if idle.expires_at > now && idle.conn.is_reusable() {
                 return Some(idle.conn);
             }
         }
@@ -109,85 +114,90 @@
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
-    pub async fn connect(&self, to: Target<'_>, deadline: Instant) -> Result<Conn, ConnectError> {
-        self.take_place(to)?;
-        let place = Place {
+    /// Returns why the connection was not established.
+    pub async fn connect(
+        &self,
+        target: Target<'_>,
+        deadline: Instant,
+    ) -> Result<Conn, ConnectError> {
+        self.reserve_slot(target)?;
+        let guard = SlotGuard {
             pools: &self.0,
-            upstream: to.upstream,
-            kept: false,
+            upstream: target.upstream,
+            in_use: false,
         };
         let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
         let unreachable = |e: std::io::Error| ConnectError::Unreachable(e.to_string());
-        let stream = timeout_at(deadline, TcpStream::connect(to.addr))
+        let stream = timeout_at(deadline, TcpStream::connect(target.addr))
             .await
             .map_err(|_| ConnectError::TimedOut)?
             .map_err(|e| match e.kind() {
                 ErrorKind::ConnectionRefused => ConnectError::Refused(e.to_string()),
                 _ => unreachable(e),
             })?;
-        tune(&stream).map_err(unreachable)?;
+        set_socket_options(&stream).map_err(unreachable)?;
         let handshake = http1::Builder::new()
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|e| ConnectError::Unreachable(e.to_string()))?;
         let (send, conn) = handshake;
-        // An error of the connection shows at its request; between requests it only ends.
+        // The request in progress gets the error of the connection. Without a request, the connection just
+        // ends.
         let task = tokio::spawn(async move {
             let _ = conn.await;
         });
-        place.keep(task.abort_handle());
+        guard.keep(task.abort_handle());
         Ok(Conn {
-            upstream: to.upstream.to_string(),
+            upstream: target.upstream.to_string(),
             send,
             task: task.abort_handle(),
             pools: Arc::clone(&self.0),
         })
     }
 
-    fn take_place(&self, to: Target<'_>) -> Result<(), ConnectError> {
-        let mut pools = self.0.lock().expect("no panic inside");
-        let pool = pools.0.entry(to.upstream.to_string()).or_default();
-        if pool.open >= to.max_connections.max(1) {
+    fn reserve_slot(&self, target: Target<'_>) -> Result<(), ConnectError> {
+        let mut pools = self.0.lock().expect("lock not poisoned");
+        let pool = pools.0.entry(target.upstream.to_string()).or_default();
+        if pool.open >= target.max_connections.max(1) {
             return Err(ConnectError::Full);
         }
         pool.open += 1;
         Ok(())
     }
 
-    /// Keeps a connection whose answer was read to its end; `keep_alive` is the upstream's word on
-    /// how long it keeps idle ones.
+    /// Keeps a connection whose response was read completely for later requests. `keep_alive` is the
+    /// upstream's timeout for idle connections, if it specified one.
     pub fn put_idle(&self, conn: Conn, keep_alive: Option<Duration>) {
-        let keep = match keep_alive {
-            Some(named) => named.saturating_sub(IDLE_MARGIN).min(IDLE_MOST),
-            None => IDLE_DEFAULT,
+        let timeout = match keep_alive {
+            Some(timeout) => timeout.saturating_sub(IDLE_MARGIN).min(MAX_IDLE_TIMEOUT),
+            None => DEFAULT_IDLE_TIMEOUT,
         };
         let upstream = conn.upstream.clone();
-        let idle = Idle {
+        let idle = IdleConn {
             conn,
-            until: Instant::now() + keep,
+            expires_at: Instant::now() + timeout,
         };
-        let mut pools = self.0.lock().expect("no panic inside");
+        let mut pools = self.0.lock().expect("lock not poisoned");
         if let Some(pool) = pools.0.get_mut(&upstream) {
             pool.idle.push(idle);
         }
     }
 
-    /// Closes the kept connections of an upstream that is gone.
+    /// Closes the idle connections of an upstream.
     pub fn close_idle(&self, upstream: &str) {
         let dropped = {
-            let mut pools = self.0.lock().expect("no panic inside");
+            let mut pools = self.0.lock().expect("lock not poisoned");
             let pool = pools.0.get_mut(upstream);
             pool.map(|p| std::mem::take(&mut p.idle))
         };
         drop(dropped);
     }
 
-    /// Closes all connections of an upstream whose incarnation has ended, those in use too: what waits on them
-    /// for an answer learns at once that none will come.
+    /// Closes all connections of an upstream's incarnation that has ended, including those in use, so that
+    /// requests that wait for a response fail immediately.
     pub fn close_all(&self, upstream: &str) {
         let tasks = {
-            let mut pools = self.0.lock().expect("no panic inside");
+            let mut pools = self.0.lock().expect("lock not poisoned");
             let pool = pools.0.get_mut(upstream);
             pool.map(|p| std::mem::take(&mut p.tasks))
         };
@@ -197,63 +207,64 @@
         self.close_idle(upstream);
     }
 
-    /// Closes the kept connections that have been idle for too long.
+    /// Closes the idle connections that have expired or were closed by the upstream.
     pub fn close_expired(&self) {
         let now = Instant::now();
         let mut dropped = Vec::new();
         {
-            let mut pools = self.0.lock().expect("no panic inside");
+            let mut pools = self.0.lock().expect("lock not poisoned");
             for pool in pools.0.values_mut() {
-                let (keep, drop) = std::mem::take(&mut pool.idle)
+                let (kept, expired) = std::mem::take(&mut pool.idle)
                     .into_iter()
-                    .partition(|i| i.until > now && !i.conn.send.is_closed());
-                pool.idle = keep;
-                let drop: Vec<Idle> = drop;
-                dropped.extend(drop);
+                    .partition(|i| i.expires_at > now && !i.conn.send.is_closed());
+                pool.idle = kept;
+                let expired: Vec<IdleConn> = expired;
+                dropped.extend(expired);
             }
         }
         drop(dropped);
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of connections, including those that are being opened.
     pub fn connection_count(&self) -> usize {
-        let pools = self.0.lock().expect("no panic inside");
+        let pools = self.0.lock().expect("lock not poisoned");
         pools.0.values().map(|p| p.open).sum()
     }
 }
 
-/// A place in an upstream's share that is given back when no connection comes of it.
-struct Place<'a> {
+/// A reserved slot for a connection, which is released on drop unless the connection was established.
+struct SlotGuard<'a> {
     pools: &'a Mutex<Pools>,
     upstream: &'a str,
-    kept: bool,
+    in_use: bool,
 }
 
-impl Place<'_> {
+impl SlotGuard<'_> {
+    /// Keeps the slot for an established connection with the given task.
     fn keep(mut self, task: AbortHandle) {
-        self.kept = true;
-        let mut pools = self.pools.lock().expect("no panic inside");
+        self.in_use = true;
+        let mut pools = self.pools.lock().expect("lock not poisoned");
         if let Some(pool) = pools.0.get_mut(self.upstream) {
             pool.tasks.push(task);
         }
     }
 }
 
-impl Drop for Place<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
-        if !self.kept {
-            let mut pools = self.pools.lock().expect("no panic inside");
-            pools.closed(self.upstream);
+        if !self.in_use {
+            let mut pools = self.pools.lock().expect("lock not poisoned");
+            pools.release_slot(self.upstream);
         }
     }
 }
 
-fn tune(stream: &TcpStream) -> std::io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_AFTER);
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)
 }
