--- a/crates/trial/src/fault.rs
+++ b/crates/trial/src/fault.rs
@@ -2,10 +2,10 @@
 
 use rand::Rng;
 
-use crate::item::Item;
 use crate::node::NodeState;
 use crate::request::{Phase, RequestState};
-use crate::simulation::{Simulation, RESTART, RETRY, RETRY_PCT};
+use crate::sim_event::SimEvent;
+use crate::simulation::{Simulation, CALLER_RETRY_MS, CALLER_RETRY_PCT, RESTART_MS};
 
 /// One fault, or its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,20 +31,20 @@
 }
 
 impl Simulation {
-    pub(crate) fn fault(&mut self, i: usize) {
+    pub(crate) fn apply_fault(&mut self, i: usize) {
         let fault = self.trace.faults[i].1;
-        self.note(|| format!("{fault:?}"));
+        self.log(|| format!("{fault:?}"));
         match fault {
-            Fault::Kill(slot) => self.kill(slot),
-            Fault::Pause(slot, ms) => {
-                let node = self.slots[slot];
+            Fault::Kill(instance) => self.kill(instance),
+            Fault::Pause(instance, ms) => {
+                let node = self.current_nodes[instance];
                 if self.nodes[node].paused_until <= self.now {
-                    self.nodes[node].frozen_since = self.now;
+                    self.nodes[node].paused_since = self.now;
                     self.nodes[node].paused_until = self.now + ms;
                 }
             }
-            Fault::PlannedStop(slot) => {
-                let node = self.slots[slot];
+            Fault::PlannedStop(instance) => {
+                let node = self.current_nodes[instance];
                 if self.nodes[node].state == NodeState::Up {
                     self.nodes[node].state = NodeState::Leaving;
                 }
@@ -52,31 +52,31 @@
             Fault::PlatformDown(down) => self.platform.faults.down = down,
             Fault::PlatformDelay(ms) => self.platform.faults.delay_ms = ms,
             Fault::PlatformReplyLoss(pct) => self.platform.faults.reply_loss_pct = pct,
-            Fault::Partition(zone, cut) => {
-                self.cut[zone] = cut;
-                self.cut_platform[zone] = cut;
+            Fault::Partition(zone, active) => {
+                self.partitioned[zone] = active;
+                self.platform_unreachable[zone] = active;
             }
-            Fault::PeerPartition(zone, cut) => self.cut[zone] = cut,
+            Fault::PeerPartition(zone, active) => self.partitioned[zone] = active,
             Fault::TopUp(account, tokens, zone) => self.top_up(account, tokens, zone),
         }
     }
 
-    pub(crate) fn kill(&mut self, slot: usize) {
-        let node = self.slots[slot];
+    pub(crate) fn kill(&mut self, instance: usize) {
+        let node = self.current_nodes[instance];
         if matches!(self.nodes[node].state, NodeState::Killed | NodeState::Left) {
             return;
         }
         self.stats.kills += 1;
         self.nodes[node].state = NodeState::Killed;
         self.nodes[node].state_since = self.now;
-        self.put(self.now + RESTART, Item::Restart(slot));
-        for job in 0..self.jobs.len() {
-            if self.jobs[job].entry == node && self.jobs[job].phase != Phase::Ended {
-                self.jobs[job].phase = Phase::Ended;
-                let request = self.jobs[job].request;
-                if self.rng.random_range(0..100) < RETRY_PCT {
-                    let at = self.now + self.rng.random_range(RETRY);
-                    self.put(at, Item::Comeback { request });
+        self.schedule(self.now + RESTART_MS, SimEvent::Restart(instance));
+        for cx in 0..self.contexts.len() {
+            if self.contexts[cx].entry == node && self.contexts[cx].phase != Phase::Ended {
+                self.contexts[cx].phase = Phase::Ended;
+                let request = self.contexts[cx].request;
+                if self.rng.random_range(0..100) < CALLER_RETRY_PCT {
+                    let at = self.now + self.rng.random_range(CALLER_RETRY_MS);
+                    self.schedule(at, SimEvent::CallerRetry { request });
                 } else {
                     self.requests[request].state = RequestState::Lost;
                 }
--- a/crates/trial/src/invariants.rs
+++ b/crates/trial/src/invariants.rs
@@ -10,26 +10,26 @@
 /// # Errors
 ///
 /// Returns what does not hold.
-pub fn check(world: &Simulation) -> Result<(), String> {
-    if world.stats.overspend > 0 {
-        return Err(format!("{} tokens overspent", world.stats.overspend));
+pub fn check(sim: &Simulation) -> Result<(), String> {
+    if sim.stats.overspend > 0 {
+        return Err(format!("{} tokens overspent", sim.stats.overspend));
     }
-    for account in 0..world.trace.budgets.len() {
-        check_account(world, account)?;
+    for account in 0..sim.trace.budgets.len() {
+        check_account(sim, account)?;
     }
     Ok(())
 }
 
-fn check_account(world: &Simulation, account: usize) -> Result<(), String> {
+fn check_account(sim: &Simulation, account: usize) -> Result<(), String> {
     let name = format!("c{account}");
-    let bills = world.platform.bills(&name);
+    let bills = sim.platform.bills(&name);
     let mut seen = BTreeSet::new();
     for bill in &bills {
         if !seen.insert(bill.request_id.clone()) {
             return Err(format!("{name}: {} has two bills", bill.request_id));
         }
     }
-    for (i, request) in world.requests.iter().enumerate() {
+    for (i, request) in sim.requests.iter().enumerate() {
         let served = request.account == account && request.state == RequestState::Served;
         if !served {
             continue;
@@ -38,44 +38,49 @@
         let Some(bill) = bill else {
             return Err(format!("{name}: {} was served and has no bill", request.id));
         };
-        let runs = world.attempts.iter().filter(|r| r.request == i);
-        let most = runs.map(|r| r.tokens_served(world.now)).max().unwrap_or(0);
-        if bill.tokens > most {
+        let attempts = sim.attempts.iter().filter(|a| a.request == i);
+        let max_served = attempts
+            .map(|a| a.tokens_served(sim.now))
+            .max()
+            .unwrap_or(0);
+        if bill.tokens > max_served {
             let billed = bill.tokens;
             return Err(format!(
-                "{name}: {} billed {billed}, ran {most}",
+                "{name}: {} billed {billed}, ran {max_served}",
                 request.id
             ));
         }
     }
-    check_sums(world, account, bills.iter().map(|b| b.tokens).sum())
+    check_token_sums(sim, account, bills.iter().map(|b| b.tokens).sum())
 }
 
 /// Every token served is settled, or still charged to a holder that can't tell.
-fn check_sums(world: &Simulation, account: usize, billed: u64) -> Result<(), String> {
+fn check_token_sums(sim: &Simulation, account: usize, billed: u64) -> Result<(), String> {
     let name = format!("c{account}");
-    let records = world.platform.records();
+    let records = sim.platform.records();
     let Some(stored) = records.filter_map(|r| r.accounts.get(&name)).next() else {
         return Ok(());
     };
     let settled = stored.settled();
-    let served = world.tokens_served(account);
+    let served = sim.tokens_served(account);
     if settled > served {
         return Err(format!("{name}: settled {settled}, served {served}"));
     }
-    let lines = stored.ledger.keys().cloned();
-    let joints = stored
+    let ledger = stored.ledger.keys().cloned();
+    let joint_grants = stored
         .joint_grants
         .keys()
         .filter_map(|k| budget::record::parse_joint_key(k));
-    let holders: BTreeSet<String> = lines.chain(joints.map(|(h, _)| h.to_string())).collect();
+    let holders: BTreeSet<String> = ledger
+        .chain(joint_grants.map(|(h, _)| h.to_string()))
+        .collect();
     let holders: BTreeSet<&String> = holders.iter().collect();
     let unopened = |h: &&String| stored.unopened(h);
-    let charged: u64 = holders.iter().map(|h| stored.unspent(h)).sum();
-    let charged = charged + holders.iter().map(unopened).sum::<u64>();
-    if served > settled + charged {
+    let unspent: u64 = holders.iter().map(|h| stored.unspent(h)).sum();
+    let unspent = unspent + holders.iter().map(unopened).sum::<u64>();
+    if served > settled + unspent {
         return Err(format!(
-            "{name}: served {served}, settled {settled}, still charged {charged}"
+            "{name}: served {served}, settled {settled}, still charged {unspent}"
         ));
     }
     if billed > settled {
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -3,17 +3,17 @@
 //! The fakes stand at the interfaces of the decisions: a platform, a network between instances,
 //! engines that count what they serve, and callers. Time is a number; nothing waits.
 
-mod caller;
+mod actions;
+mod entry;
 pub mod fault;
 pub mod invariants;
-mod item;
-mod link;
 pub mod load;
 pub mod node;
 pub mod platform;
 pub mod policy;
 pub mod report;
 pub mod request;
+mod sim_event;
 pub mod simulation;
 pub mod trace;
 
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -13,18 +13,18 @@
 const ENTRIES: usize = 9;
 const SLOTS: usize = 16;
 const STEP_MS: u64 = 4;
-const PREFILL: u64 = 512;
+const PREFILL_TOKENS_PER_STEP: u64 = 512;
 /// Prefixes that an engine keeps, and prefixes that long reads share.
-const CACHE: usize = 8;
-const PREFIXES: u64 = 100;
-const REPORT_EVERY: u64 = 250;
-const REPORT_LAG: u64 = 250;
-const QUICK_DEADLINE: u64 = 5_000;
-const LONG_DEADLINE: u64 = 60_000;
+const CACHED_PREFIXES: usize = 8;
+const SHARED_PREFIXES: u64 = 100;
+const REPORT_INTERVAL_MS: u64 = 250;
+const REPORT_DELAY_MS: u64 = 250;
+const SHORT_DEADLINE_MS: u64 = 5_000;
+const LONG_DEADLINE_MS: u64 = 60_000;
 /// A quick answer counts only if it begins within this, in milliseconds.
-const QUICK_FIRST: u64 = 2_000;
-const ATTEMPTS: u32 = 3;
-const UNLIMITED: u32 = 50;
+const SHORT_FIRST_TOKEN_MS: u64 = 2_000;
+const MAX_ATTEMPTS: u32 = 3;
+const MAX_RANDOM_ATTEMPTS: u32 = 50;
 
 /// How requests find an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,31 +83,31 @@
 
 #[derive(Clone, Debug)]
 struct Request {
-    at: u64,
-    quick: bool,
-    prompt: u64,
-    answer: u64,
+    arrived_at: u64,
+    is_short: bool,
+    prompt_tokens: u64,
+    response_tokens: u64,
     prefix: u64,
     entry: usize,
     deadline: u64,
     attempts: u32,
     tried: Vec<UpstreamKey>,
-    first: Option<u64>,
-    end: Option<u64>,
+    first_token_at: Option<u64>,
+    finished_at: Option<u64>,
 }
 
 #[derive(Clone, Debug)]
-struct Run {
+struct Attempt {
     request: usize,
-    unread: u64,
-    left: u64,
+    prefill_left: u64,
+    tokens_left: u64,
 }
 
 #[derive(Default)]
 struct Engine {
-    running: Vec<Run>,
-    waiting: Vec<Run>,
-    cache: VecDeque<u64>,
+    running: Vec<Attempt>,
+    waiting: Vec<Attempt>,
+    prefix_cache: VecDeque<u64>,
     down: bool,
     reports: VecDeque<(u64, Load)>,
 }
@@ -116,185 +116,199 @@
     pool: Pool,
     queue: Queue,
     waiting: BTreeMap<WaiterId, usize>,
-    retry: RetryBudget,
-    turn: usize,
+    retry_budget: RetryBudget,
+    round_robin: usize,
 }
 
 /// The whole fake world of one run.
 pub struct LoadSimulation {
     now: u64,
-    way: Strategy,
-    mix: LoadProfile,
+    strategy: Strategy,
+    profile: LoadProfile,
     rng: ChaCha8Rng,
     engines: Vec<Engine>,
     entries: Vec<Entry>,
     requests: Vec<Request>,
     refused: u64,
     sent: u64,
-    sent_failing: u64,
-    came_failing: u64,
-    hits: u64,
-    longs: u64,
+    sent_during_failure: u64,
+    arrived_during_failure: u64,
+    prefix_hits: u64,
+    long_attempts: u64,
 }
 
 impl LoadSimulation {
     /// Opens a world.
-    pub fn new(seed: u64, way: Strategy, mix: LoadProfile) -> LoadSimulation {
-        let entry = || {
+    pub fn new(seed: u64, strategy: Strategy, profile: LoadProfile) -> LoadSimulation {
+        let new_entry = || {
             let mut pool = Pool::default();
             let spec = |i: usize| Spec::engine(&format!("e{i}"), &format!("z{}", i % 3), "m");
-            pool.apply_list((0..mix.engines).map(spec).collect());
+            pool.apply_list((0..profile.engines).map(spec).collect());
             pool.set_instance_count(ENTRIES);
             Entry {
                 pool,
                 queue: Queue::default(),
                 waiting: BTreeMap::new(),
-                retry: RetryBudget::default(),
-                turn: 0,
+                retry_budget: RetryBudget::default(),
+                round_robin: 0,
             }
         };
         LoadSimulation {
             now: 0,
-            way,
-            mix,
+            strategy,
+            profile,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            engines: (0..mix.engines).map(|_| Engine::default()).collect(),
-            entries: (0..ENTRIES).map(|_| entry()).collect(),
+            engines: (0..profile.engines).map(|_| Engine::default()).collect(),
+            entries: (0..ENTRIES).map(|_| new_entry()).collect(),
             requests: Vec::new(),
             refused: 0,
             sent: 0,
-            sent_failing: 0,
-            came_failing: 0,
-            hits: 0,
-            longs: 0,
+            sent_during_failure: 0,
+            arrived_during_failure: 0,
+            prefix_hits: 0,
+            long_attempts: 0,
         }
     }
 
-    fn failing(&self) -> bool {
-        let third = self.mix.length_ms / 3;
-        self.mix.with_failures && (third..2 * third).contains(&self.now)
+    fn engines_failing(&self) -> bool {
+        let third = self.profile.length_ms / 3;
+        self.profile.with_failures && (third..2 * third).contains(&self.now)
     }
 
     /// Runs to the end, without new requests in the last minute.
     pub fn run(mut self) -> LoadReport {
-        let mut next = 0.0;
-        while self.now < self.mix.length_ms + LONG_DEADLINE {
-            while next <= self.now as f64 && self.now < self.mix.length_ms {
-                self.arrive();
+        let mut next_arrival = 0.0;
+        while self.now < self.profile.length_ms + LONG_DEADLINE_MS {
+            while next_arrival <= self.now as f64 && self.now < self.profile.length_ms {
+                self.add_arrival();
                 let unit: f64 = self.rng.random_range(1e-9..1.0);
-                next += -unit.ln() * 1000.0 / self.mix.requests_per_sec;
+                next_arrival += -unit.ln() * 1000.0 / self.profile.requests_per_sec;
             }
-            let failing = self.failing();
+            let failing = self.engines_failing();
             for i in 0..self.engines.len() / 3 {
-                self.fail(i, failing);
+                self.set_engine_down(i, failing);
             }
             if self.now % STEP_MS == 0 {
-                (0..self.engines.len()).for_each(|i| self.step(i));
+                (0..self.engines.len()).for_each(|i| self.step_engine(i));
             }
-            if self.now % REPORT_EVERY == 0 {
-                self.report();
+            if self.now % REPORT_INTERVAL_MS == 0 {
+                self.send_load_reports();
             }
             if self.now % 20 == 0 {
-                (0..ENTRIES).for_each(|e| self.wake(e));
+                (0..ENTRIES).for_each(|e| self.release_waiting(e));
             }
             self.now += 1;
         }
-        self.seen()
+        self.report()
     }
 
-    fn arrive(&mut self) {
-        let quick = self.rng.random_range(0..100) >= self.mix.long_request_pct;
-        let (prompt, answer, wait) = if quick {
-            let prompt = self.rng.random_range(20..200);
-            (prompt, self.rng.random_range(20..100), QUICK_DEADLINE)
+    fn add_arrival(&mut self) {
+        let is_short = self.rng.random_range(0..100) >= self.profile.long_request_pct;
+        let (prompt_tokens, response_tokens, time_limit_ms) = if is_short {
+            let prompt_tokens = self.rng.random_range(20..200);
+            (
+                prompt_tokens,
+                self.rng.random_range(20..100),
+                SHORT_DEADLINE_MS,
+            )
         } else {
-            let prompt = self.rng.random_range(2_000..8_000);
-            (prompt, self.rng.random_range(200..500), LONG_DEADLINE)
+            let prompt_tokens = self.rng.random_range(2_000..8_000);
+            (
+                prompt_tokens,
+                self.rng.random_range(200..500),
+                LONG_DEADLINE_MS,
+            )
         };
         let request = Request {
-            at: self.now,
-            quick,
-            prompt,
-            answer,
-            prefix: if quick {
+            arrived_at: self.now,
+            is_short,
+            prompt_tokens,
+            response_tokens,
+            prefix: if is_short {
                 self.rng.random()
             } else {
-                self.rng.random_range(0..PREFIXES)
+                self.rng.random_range(0..SHARED_PREFIXES)
             },
             entry: self.rng.random_range(0..ENTRIES),
-            deadline: self.now + wait,
+            deadline: self.now + time_limit_ms,
             attempts: 0,
             tried: Vec::new(),
-            first: None,
-            end: None,
+            first_token_at: None,
+            finished_at: None,
         };
-        self.came_failing += u64::from(self.failing());
+        self.arrived_during_failure += u64::from(self.engines_failing());
         self.requests.push(request);
         self.admit(self.requests.len() - 1);
     }
 
-    fn queues(&self) -> bool {
-        matches!(self.way, Strategy::LeastLoaded | Strategy::Default)
+    fn uses_queue(&self) -> bool {
+        matches!(self.strategy, Strategy::LeastLoaded | Strategy::Default)
     }
 
     fn admit(&mut self, id: usize) {
         let request = &self.requests[id];
-        let (quick, deadline) = (request.quick, request.deadline);
+        let (is_short, deadline) = (request.is_short, request.deadline);
         let now = self.now;
         let entry = &mut self.entries[request.entry];
-        entry.retry.record_request();
-        if !self.queues() {
+        entry.retry_budget.record_request();
+        if !self.uses_queue() {
             self.send(id);
             return;
         }
         let entry = &mut self.entries[self.requests[id].entry];
-        let rooms = entry.pool.capacity(now, UpstreamKind::Engine, "m");
-        let priority = if quick { 8 } else { 4 };
+        let capacity = entry.pool.capacity(now, UpstreamKind::Engine, "m");
+        let priority = if is_short { 8 } else { 4 };
         // Waiting is worth it only as long as the answer would still be in time.
-        let wait = if quick { now + QUICK_FIRST } else { deadline };
-        match entry.queue.admit(now, &rooms, priority, wait) {
+        let queue_deadline = if is_short {
+            now + SHORT_FIRST_TOKEN_MS
+        } else {
+            deadline
+        };
+        match entry.queue.admit(now, &capacity, priority, queue_deadline) {
             AdmissionDecision::Admit => self.send(id),
-            AdmissionDecision::Wait(ticket) => {
-                entry.waiting.insert(ticket, id);
+            AdmissionDecision::Wait(waiter) => {
+                entry.waiting.insert(waiter, id);
             }
             AdmissionDecision::Refuse { .. } => self.refused += 1,
         }
     }
 
-    fn wake(&mut self, e: usize) {
+    fn release_waiting(&mut self, index: usize) {
         let now = self.now;
-        let entry = &mut self.entries[e];
-        for ticket in entry.queue.expire(now) {
-            entry.waiting.remove(&ticket);
+        let entry = &mut self.entries[index];
+        for waiter in entry.queue.expire(now) {
+            entry.waiting.remove(&waiter);
             self.refused += 1;
         }
         if entry.queue.is_empty() {
             return;
         }
-        let rooms = entry.pool.capacity(now, UpstreamKind::Engine, "m");
+        let capacity = entry.pool.capacity(now, UpstreamKind::Engine, "m");
         let ids: Vec<usize> = entry
             .queue
-            .release(&rooms)
+            .release(&capacity)
             .into_iter()
             .filter_map(|t| entry.waiting.remove(&t))
             .collect();
         ids.into_iter().for_each(|id| self.send(id));
     }
 
-    fn choose(&mut self, id: usize) -> Option<UpstreamKey> {
+    fn choose_engine(&mut self, id: usize) -> Option<UpstreamKey> {
         let random: u64 = self.rng.random();
         let request = &self.requests[id];
         let entry = &mut self.entries[request.entry];
-        match self.way {
+        match self.strategy {
             Strategy::RoundRobin => {
-                entry.turn += 1;
-                Some(UpstreamKey((entry.turn % self.mix.engines) as u32))
+                entry.round_robin += 1;
+                Some(UpstreamKey(
+                    (entry.round_robin % self.profile.engines) as u32,
+                ))
             }
-            Strategy::Random => Some(UpstreamKey((random % self.mix.engines as u64) as u32)),
+            Strategy::Random => Some(UpstreamKey((random % self.profile.engines as u64) as u32)),
             Strategy::LeastLoaded | Strategy::Default => {
-                let prefix =
-                    (self.way == Strategy::Default && !request.quick).then_some(request.prefix);
-                let ask = Criteria {
+                let prefix = (self.strategy == Strategy::Default && !request.is_short)
+                    .then_some(request.prefix);
+                let criteria = Criteria {
                     kind: UpstreamKind::Engine,
                     target: "m",
                     version: None,
@@ -303,117 +317,119 @@
                     tried: &request.tried,
                     random,
                 };
-                entry.pool.choose(self.now, &ask).map(|c| c.key)
+                entry.pool.choose(self.now, &criteria).map(|c| c.key)
             }
         }
     }
 
     fn send(&mut self, id: usize) {
-        let Some(key) = self.choose(id) else {
+        let Some(key) = self.choose_engine(id) else {
             self.refused += 1;
             return;
         };
         self.sent += 1;
-        self.sent_failing += u64::from(self.failing());
+        self.sent_during_failure += u64::from(self.engines_failing());
         let entry = self.requests[id].entry;
         self.entries[entry].pool.get_mut(key).record_start();
         let request = &mut self.requests[id];
         request.attempts += 1;
         request.tried.push(key);
         if self.engines[key.0 as usize].down {
-            self.broke(id, key);
+            self.on_attempt_failed(id, key);
             return;
         }
-        let (long, prefix, prompt) = (!request.quick, request.prefix, request.prompt);
+        let (is_long, prefix, prompt) = (!request.is_short, request.prefix, request.prompt_tokens);
         let engine = &mut self.engines[key.0 as usize];
-        let hit = engine.cache.contains(&prefix);
-        if long {
-            self.longs += 1;
-            self.hits += u64::from(hit);
-            engine.cache.retain(|p| *p != prefix);
-            engine.cache.push_back(prefix);
-            if engine.cache.len() > CACHE {
-                engine.cache.pop_front();
+        let is_hit = engine.prefix_cache.contains(&prefix);
+        if is_long {
+            self.long_attempts += 1;
+            self.prefix_hits += u64::from(is_hit);
+            engine.prefix_cache.retain(|p| *p != prefix);
+            engine.prefix_cache.push_back(prefix);
+            if engine.prefix_cache.len() > CACHED_PREFIXES {
+                engine.prefix_cache.pop_front();
             }
         }
-        let unread = if hit { prompt / 10 } else { prompt };
-        let run = Run {
+        let prefill_left = if is_hit { prompt / 10 } else { prompt };
+        let attempt = Attempt {
             request: id,
-            unread,
-            left: request.answer,
+            prefill_left,
+            tokens_left: request.response_tokens,
         };
-        engine.waiting.push(run);
+        engine.waiting.push(attempt);
     }
 
     /// An attempt failed: another one, if there is a retry for it.
-    fn broke(&mut self, id: usize, key: UpstreamKey) {
+    fn on_attempt_failed(&mut self, id: usize, key: UpstreamKey) {
         let jitter = self.rng.random();
         let entry = &mut self.entries[self.requests[id].entry];
         entry.pool.get_mut(key).record_end(self.now, false, jitter);
-        let late = self.now > self.requests[id].deadline;
+        let is_late = self.now > self.requests[id].deadline;
         let attempts = self.requests[id].attempts;
-        let again = match self.way {
-            Strategy::Random => attempts < UNLIMITED,
+        let may_retry = match self.strategy {
+            Strategy::Random => attempts < MAX_RANDOM_ATTEMPTS,
             Strategy::RoundRobin => false,
-            _ => attempts < ATTEMPTS && entry.retry.try_acquire(),
+            _ => attempts < MAX_ATTEMPTS && entry.retry_budget.try_acquire(),
         };
-        if again && !late {
-            self.requests[id].first = None;
+        if may_retry && !is_late {
+            self.requests[id].first_token_at = None;
             self.send(id);
         }
     }
 
-    fn fail(&mut self, i: usize, down: bool) {
+    fn set_engine_down(&mut self, i: usize, down: bool) {
         if self.engines[i].down == down {
             return;
         }
         self.engines[i].down = down;
         let engine = &mut self.engines[i];
-        engine.cache.clear();
-        let runs: Vec<Run> = engine
+        engine.prefix_cache.clear();
+        let aborted: Vec<Attempt> = engine
             .running
             .drain(..)
             .chain(engine.waiting.drain(..))
             .collect();
-        for run in runs {
-            self.broke(run.request, UpstreamKey(i as u32));
+        for attempt in aborted {
+            self.on_attempt_failed(attempt.request, UpstreamKey(i as u32));
         }
     }
 
-    fn step(&mut self, i: usize) {
+    fn step_engine(&mut self, i: usize) {
         let now = self.now;
         let requests = &mut self.requests;
         let engine = &mut self.engines[i];
         while engine.running.len() < SLOTS && !engine.waiting.is_empty() {
             // Priority is passed on: quick questions first.
-            let quick = engine
+            let first_short = engine
                 .waiting
                 .iter()
-                .position(|r| requests[r.request].quick);
-            let run = engine.waiting.remove(quick.unwrap_or(0));
-            engine.running.push(run);
+                .position(|r| requests[r.request].is_short);
+            let attempt = engine.waiting.remove(first_short.unwrap_or(0));
+            engine.running.push(attempt);
         }
         // One batch reads a bounded number of prompt tokens a step, quick questions first.
-        let mut budget = PREFILL;
-        engine.running.sort_by_key(|r| !requests[r.request].quick);
-        let mut ended = Vec::new();
-        for run in &mut engine.running {
-            if run.unread > 0 {
-                let read = run.unread.min(budget);
-                run.unread -= read;
-                budget -= read;
+        let mut prefill_budget = PREFILL_TOKENS_PER_STEP;
+        engine
+            .running
+            .sort_by_key(|r| !requests[r.request].is_short);
+        let mut finished = Vec::new();
+        for attempt in &mut engine.running {
+            if attempt.prefill_left > 0 {
+                let prefilled = attempt.prefill_left.min(prefill_budget);
+                attempt.prefill_left -= prefilled;
+                prefill_budget -= prefilled;
                 continue;
             }
-            let request = &mut requests[run.request];
-            request.first.get_or_insert(now);
-            run.left -= 1;
-            if run.left == 0 {
-                request.end = Some(now);
-                ended.push(run.request);
+            let request = &mut requests[attempt.request];
+            request.first_token_at.get_or_insert(now);
+            attempt.tokens_left -= 1;
+            if attempt.tokens_left == 0 {
+                request.finished_at = Some(now);
+                finished.push(attempt.request);
             }
         }
-        engine.running.retain(|r| r.left > 0);
-        for id in ended {
+        engine.running.retain(|r| r.tokens_left > 0);
+        for id in finished {
             let entry = &mut self.entries[self.requests[id].entry];
             entry
                 .pool
@@ -423,7 +439,7 @@
         }
     }
 
-    fn report(&mut self) {
+    fn send_load_reports(&mut self) {
         for i in 0..self.engines.len() {
             let engine = &mut self.engines[i];
             let load = Load {
@@ -432,7 +448,7 @@
                 waiting: engine.waiting.len() as u32,
                 draining: false,
             };
-            engine.reports.push_back((self.now + REPORT_LAG, load));
+            engine.reports.push_back((self.now + REPORT_DELAY_MS, load));
             let due = engine
                 .reports
                 .front()
@@ -450,45 +466,56 @@
     }
 
     fn is_good(request: &Request) -> bool {
-        let in_time = request.end.is_some_and(|end| end <= request.deadline);
-        let began = request.first.is_some_and(|f| f <= request.at + QUICK_FIRST);
-        in_time && (!request.quick || began)
+        let in_time = request
+            .finished_at
+            .is_some_and(|end| end <= request.deadline);
+        let started_in_time = request
+            .first_token_at
+            .is_some_and(|f| f <= request.arrived_at + SHORT_FIRST_TOKEN_MS);
+        in_time && (!request.is_short || started_in_time)
     }
 
-    fn seen(&self) -> LoadReport {
+    fn report(&self) -> LoadReport {
         let good = self.requests.iter().filter(|r| Self::is_good(r)).count();
-        let quick = self.requests.iter().filter(|r| r.quick);
-        let mut firsts: Vec<u64> = quick.filter_map(|r| Some(r.first? - r.at)).collect();
-        firsts.sort_unstable();
-        let p95 = firsts.get(firsts.len() * 95 / 100).copied().unwrap_or(0);
+        let short_requests = self.requests.iter().filter(|r| r.is_short);
+        let mut first_token_ms: Vec<u64> = short_requests
+            .filter_map(|r| Some(r.first_token_at? - r.arrived_at))
+            .collect();
+        first_token_ms.sort_unstable();
+        let p95 = first_token_ms
+            .get(first_token_ms.len() * 95 / 100)
+            .copied()
+            .unwrap_or(0);
         let pct = |n: u64, of: u64| n as f64 * 100.0 / of.max(1) as f64;
-        let came = self.requests.len() as u64;
+        let arrived = self.requests.len() as u64;
         LoadReport {
-            requests: came,
-            goodput_per_sec: good as f64 * 1000.0 / self.mix.length_ms as f64,
-            refused_pct: pct(self.refused, came),
+            requests: arrived,
+            goodput_per_sec: good as f64 * 1000.0 / self.profile.length_ms as f64,
+            refused_pct: pct(self.refused, arrived),
             short_first_token_p95_ms: p95,
-            retry_amplification: self.sent_failing as f64 / self.came_failing.max(1) as f64,
-            prefix_hit_pct: pct(self.hits, self.longs),
-            recovery_ms: self.recovery(),
+            retry_amplification: self.sent_during_failure as f64
+                / self.arrived_during_failure.max(1) as f64,
+            prefix_hit_pct: pct(self.prefix_hits, self.long_attempts),
+            recovery_ms: self.recovery_ms(),
         }
     }
 
     /// Returns the time from the engines' return to the first second with 95 % good answers.
-    fn recovery(&self) -> u64 {
-        let back = self.mix.length_ms / 3 * 2;
-        let mut from = back;
-        while from < self.mix.length_ms {
-            let of = self
+    fn recovery_ms(&self) -> u64 {
+        let recovered_at = self.profile.length_ms / 3 * 2;
+        let mut from = recovered_at;
+        while from < self.profile.length_ms {
+            let arrived = self
                 .requests
                 .iter()
-                .filter(|r| (from..from + 1_000).contains(&r.at));
-            let (good, all) = of.fold((0, 0), |(g, a), r| (g + u32::from(Self::is_good(r)), a + 1));
+                .filter(|r| (from..from + 1_000).contains(&r.arrived_at));
+            let (good, all) =
+                arrived.fold((0, 0), |(g, a), r| (g + u32::from(Self::is_good(r)), a + 1));
             if all > 0 && good * 100 >= all * 95 {
-                return from - back;
+                return from - recovered_at;
             }
             from += 1_000;
         }
-        self.mix.length_ms - back
+        self.profile.length_ms - recovered_at
     }
 }
--- a/crates/trial/src/main.rs
+++ b/crates/trial/src/main.rs
@@ -43,14 +43,14 @@
     }
 }
 
-const SEEDS: u64 = 1_000;
+const DEFAULT_SEEDS: u64 = 1_000;
 const THREADS: u64 = 4;
-const HISTORY_SHOWN: usize = 40;
+const MAX_HISTORY_SHOWN: usize = 40;
 
 fn main() -> ExitCode {
     let flags = Trial::from_env_or_exit();
     match flags.subcommand {
-        TrialCmd::Random(cmd) => random(cmd.from.unwrap_or(1), cmd.seeds.unwrap_or(SEEDS)),
+        TrialCmd::Random(cmd) => random(cmd.from.unwrap_or(1), cmd.seeds.unwrap_or(DEFAULT_SEEDS)),
         TrialCmd::Show(cmd) => show(cmd.seed),
         TrialCmd::Load(cmd) => load(cmd.seed.unwrap_or(1)),
         TrialCmd::Policies(cmd) => policies(cmd.seed.unwrap_or(1), &cmd.trace.unwrap_or_default()),
@@ -68,34 +68,34 @@
                 if seed >= from + seeds {
                     return;
                 }
-                let mut world = Simulation::new(seed, Policy::Default, trace::random(seed));
-                let ran = catch_unwind(AssertUnwindSafe(|| world.run()));
-                let end = match ran {
-                    Ok(()) => invariants::check(&world),
+                let mut sim = Simulation::new(seed, Policy::Default, trace::random(seed));
+                let result = catch_unwind(AssertUnwindSafe(|| sim.run()));
+                let outcome = match result {
+                    Ok(()) => invariants::check(&sim),
                     Err(_) => Err("an invariant inside failed".to_string()),
                 };
-                steps.fetch_add(world.steps, Ordering::Relaxed);
-                if let Err(what) = end {
-                    let skip = world.history.len().saturating_sub(HISTORY_SHOWN);
-                    let history: Vec<String> = world.history.into_iter().skip(skip).collect();
+                steps.fetch_add(sim.steps, Ordering::Relaxed);
+                if let Err(violation) = outcome {
+                    let skip = sim.history.len().saturating_sub(MAX_HISTORY_SHOWN);
+                    let history: Vec<String> = sim.history.into_iter().skip(skip).collect();
                     let mut failures = failures.lock().expect("no panic inside");
-                    failures.push((seed, what, history));
+                    failures.push((seed, violation, history));
                 }
             });
         }
     });
     let mut failures = failures.into_inner().expect("no panic inside");
     failures.sort();
-    for (seed, what, history) in failures.iter().take(3) {
-        println!("seed {seed}: {what}\n{}\n", history.join("\n"));
+    for (seed, violation, history) in failures.iter().take(3) {
+        println!("seed {seed}: {violation}\n{}\n", history.join("\n"));
     }
-    let failed: Vec<u64> = failures.iter().map(|f| f.0).collect();
+    let failed_seeds: Vec<u64> = failures.iter().map(|f| f.0).collect();
     let steps = steps.into_inner();
     println!(
-        "{seeds} seeds, {steps} steps, {} failed {failed:?}",
-        failed.len()
+        "{seeds} seeds, {steps} steps, {} failed {failed_seeds:?}",
+        failed_seeds.len()
     );
-    if failed.is_empty() {
+    if failed_seeds.is_empty() {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
@@ -103,23 +103,23 @@
 }
 
 /// Requests a second that 20 engines can just bear with a fifth of long reads.
-const CAPACITY: f64 = 620.0;
+const CAPACITY_PER_SEC: f64 = 620.0;
 const LOAD_MS: u64 = 60_000;
 
 fn load(seed: u64) -> ExitCode {
     let base = LoadProfile {
         engines: 20,
-        requests_per_sec: CAPACITY,
+        requests_per_sec: CAPACITY_PER_SEC,
         long_request_pct: 20,
         with_failures: false,
         length_ms: LOAD_MS,
     };
-    let mixes = [
+    let profiles = [
         ("at capacity", base),
         (
             "at 2 x capacity",
             LoadProfile {
-                requests_per_sec: CAPACITY * 2.0,
+                requests_per_sec: CAPACITY_PER_SEC * 2.0,
                 length_ms: 3 * LOAD_MS,
                 ..base
             },
@@ -127,7 +127,7 @@
         (
             "at 0.6 x, quick questions only",
             LoadProfile {
-                requests_per_sec: CAPACITY * 0.6,
+                requests_per_sec: CAPACITY_PER_SEC * 0.6,
                 long_request_pct: 0,
                 ..base
             },
@@ -135,14 +135,14 @@
         (
             "at 0.6 x, with long reads",
             LoadProfile {
-                requests_per_sec: CAPACITY * 0.6,
+                requests_per_sec: CAPACITY_PER_SEC * 0.6,
                 ..base
             },
         ),
         (
             "at 0.6 x, a third fails for 20 s",
             LoadProfile {
-                requests_per_sec: CAPACITY * 0.6,
+                requests_per_sec: CAPACITY_PER_SEC * 0.6,
                 with_failures: true,
                 ..base
             },
@@ -151,27 +151,27 @@
             "3 engines at 2 x",
             LoadProfile {
                 engines: 3,
-                requests_per_sec: CAPACITY * 0.3,
+                requests_per_sec: CAPACITY_PER_SEC * 0.3,
                 length_ms: 3 * LOAD_MS,
                 ..base
             },
         ),
     ];
-    for (name, mix) in mixes {
+    for (name, profile) in profiles {
         println!("\n### 20 engines, {name}, seed {seed}\n");
         println!("| way | requests | goodput/s | refused, % | quick first token p95, ms | upstream requests per request while failing | prefix hits, % | recovery, ms |");
         println!("|---|---|---|---|---|---|---|---|");
-        for (way, label) in STRATEGIES {
-            let seen = LoadSimulation::new(seed, *way, mix).run();
+        for (strategy, label) in STRATEGIES {
+            let report = LoadSimulation::new(seed, *strategy, profile).run();
             println!(
                 "| {label} | {} | {:.1} | {:.1} | {} | {:.3} | {:.1} | {} |",
-                seen.requests,
-                seen.goodput_per_sec,
-                seen.refused_pct,
-                seen.short_first_token_p95_ms,
-                seen.retry_amplification,
-                seen.prefix_hit_pct,
-                seen.recovery_ms,
+                report.requests,
+                report.goodput_per_sec,
+                report.refused_pct,
+                report.short_first_token_p95_ms,
+                report.retry_amplification,
+                report.prefix_hit_pct,
+                report.recovery_ms,
             );
         }
     }
@@ -179,26 +179,27 @@
 }
 
 fn show(seed: u64) -> ExitCode {
-    let mut world = Simulation::new(seed, Policy::Default, trace::random(seed));
-    world.keep_full_history = true;
-    let ran = catch_unwind(AssertUnwindSafe(|| world.run()));
-    for line in &world.history {
+    let mut sim = Simulation::new(seed, Policy::Default, trace::random(seed));
+    sim.keep_full_history = true;
+    let result = catch_unwind(AssertUnwindSafe(|| sim.run()));
+    for line in &sim.history {
         println!("{line}");
     }
-    println!("{:?} {:?}", ran.is_ok(), invariants::check(&world));
+    println!("{:?} {:?}", result.is_ok(), invariants::check(&sim));
     ExitCode::SUCCESS
 }
 
-fn policies(seed: u64, only: &str) -> ExitCode {
-    for (name, make) in TRACES.iter().filter(|(n, _)| n.contains(only)) {
+fn policies(seed: u64, filter: &str) -> ExitCode {
+    for (name, generate) in TRACES.iter().filter(|(n, _)| n.contains(filter)) {
         println!("\n### {name}, seed {seed}\n\n{}", report::TABLE_HEADER);
         let rows: Vec<String> = thread::scope(|scope| {
-            let run = |(policy, label): &(Policy, &'static str)| {
+            let measure = |(policy, label): &(Policy, &'static str)| {
                 let (policy, label) = (*policy, *label);
-                scope
-                    .spawn(move || report::table_row(label, &report::run(seed, policy, make(seed))))
+                scope.spawn(move || {
+                    report::table_row(label, &report::run(seed, policy, generate(seed)))
+                })
             };
-            let threads: Vec<_> = POLICIES.iter().map(run).collect();
+            let threads: Vec<_> = POLICIES.iter().map(measure).collect();
             let join = |t: thread::ScopedJoinHandle<'_, String>| t.join().expect("a trial's run");
             threads.into_iter().map(join).collect()
         });
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -4,7 +4,7 @@
 
 use budget::ShardManager;
 
-use crate::item::Ask;
+use crate::sim_event::PendingReply;
 
 /// How an instance stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,11 +33,11 @@
     pub state_since: u64,
     /// Until when it is paused, in milliseconds.
     pub paused_until: u64,
-    pub(crate) frozen_since: u64,
+    pub(crate) paused_since: u64,
     /// Its decisions on budgets.
     pub manager: ShardManager,
-    pub(crate) asks: BTreeMap<u64, Ask>,
-    pub(crate) next_ask: u64,
-    pub(crate) silent: BTreeSet<usize>,
-    pub(crate) told_leave: bool,
+    pub(crate) pending_replies: BTreeMap<u64, PendingReply>,
+    pub(crate) next_reply_id: u64,
+    pub(crate) unresponsive: BTreeSet<usize>,
+    pub(crate) leave_started: bool,
 }
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -32,24 +32,24 @@
 /// Runs a trace under a policy.
 pub fn run(seed: u64, policy: Policy, trace: Trace) -> RunReport {
     let secs = (trace.length_ms + SETTLE_PERIOD_MS) as f64 / 1000.0;
-    let mut world = Simulation::new(seed, policy, trace);
-    world.run();
-    let total: u64 = (0..world.trace.budgets.len())
-        .map(|a| world.budget_total(a))
+    let mut sim = Simulation::new(seed, policy, trace);
+    sim.run();
+    let total: u64 = (0..sim.trace.budgets.len())
+        .map(|a| sim.budget_total(a))
         .sum();
-    let tally = &world.stats;
+    let stats = &sim.stats;
     let pct = |n: u64, of: u64| n as f64 * 100.0 / of.max(1) as f64;
     RunReport {
-        overspend: tally.overspend,
-        requests: tally.requests,
-        false_refusal_pct: pct(tally.false_refusals, tally.requests),
-        refused_pct: pct(tally.refused, tally.requests),
-        stranded_pct: pct(world.stranded_tokens(), total),
-        reads_per_sec: world.platform.reads as f64 / secs,
-        writes_per_sec: world.platform.writes as f64 / secs,
-        reserve_ms: percentiles(&tally.reserve_ms),
-        settle_ms: percentiles(&tally.settle_ms),
-        violation: crate::invariants::check(&world).err(),
+        overspend: stats.overspend,
+        requests: stats.requests,
+        false_refusal_pct: pct(stats.false_refusals, stats.requests),
+        refused_pct: pct(stats.refused, stats.requests),
+        stranded_pct: pct(sim.stranded_tokens(), total),
+        reads_per_sec: sim.platform.reads as f64 / secs,
+        writes_per_sec: sim.platform.writes as f64 / secs,
+        reserve_ms: percentiles(&stats.reserve_ms),
+        settle_ms: percentiles(&stats.settle_ms),
+        violation: crate::invariants::check(&sim).err(),
     }
 }
 
@@ -61,20 +61,20 @@
 }
 
 /// Returns a row of a table in Markdown.
-pub fn table_row(name: &str, row: &RunReport) -> String {
+pub fn table_row(name: &str, report: &RunReport) -> String {
     format!(
         "| {name} | {} | {:.3} | {:.2} | {:.3} | {:.1} | {:.1} | {}/{} | {}/{} | {} |",
-        row.overspend,
-        row.false_refusal_pct,
-        row.refused_pct,
-        row.stranded_pct,
-        row.reads_per_sec,
-        row.writes_per_sec,
-        row.reserve_ms.0,
-        row.reserve_ms.1,
-        row.settle_ms.0,
-        row.settle_ms.1,
-        row.violation.as_deref().unwrap_or("holds"),
+        report.overspend,
+        report.false_refusal_pct,
+        report.refused_pct,
+        report.stranded_pct,
+        report.reads_per_sec,
+        report.writes_per_sec,
+        report.reserve_ms.0,
+        report.reserve_ms.1,
+        report.settle_ms.0,
+        report.settle_ms.1,
+        report.violation.as_deref().unwrap_or("holds"),
     )
 }
 
--- a/crates/trial/src/item.rs
+++ b/crates/trial/src/sim_event.rs
@@ -3,34 +3,34 @@
 use budget::{Event, ReserveReply, Settlement, ShardRecord};
 
 #[derive(Clone, Debug)]
-pub(crate) enum Ask {
+pub(crate) enum PendingReply {
     Reserve {
-        job: usize,
-        tries: usize,
+        cx: usize,
+        home_index: usize,
     },
     Settle {
-        job: usize,
+        cx: usize,
     },
     Recall {
         from: usize,
         account: usize,
     },
-    Open {
+    OpenStep {
         from: usize,
         account: usize,
         key: String,
     },
-    Act,
+    Operator,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Call {
-    Read,
-    Write {
-        base: i64,
+pub(crate) enum PlatformCall {
+    ReadRecord,
+    WriteRecord {
+        base_revision: i64,
         record: ShardRecord,
     },
-    Segment {
+    WriteSegment {
         name: String,
         segment: budget::record::BillSegment,
     },
@@ -40,55 +40,55 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) enum Item {
-    Arrive(usize),
+pub(crate) enum SimEvent {
+    Arrival(usize),
     Fault(usize),
     Tick(usize),
-    Members,
-    Bank {
+    UpdateMembers,
+    ShardEvent {
         node: usize,
         shard: u32,
         event: Event,
     },
-    Exec {
+    ExecuteCall {
         node: usize,
         shard: u32,
-        call: Call,
+        call: PlatformCall,
         answered: bool,
     },
     Reserve {
         node: usize,
-        job: usize,
-        tries: usize,
+        cx: usize,
+        home_index: usize,
     },
-    Reply {
-        job: usize,
-        tries: usize,
+    ReserveReply {
+        cx: usize,
+        home_index: usize,
         reply: ReserveReply,
     },
-    ReserveLate {
-        job: usize,
-        tries: usize,
+    ReserveTimeout {
+        cx: usize,
+        home_index: usize,
     },
     Void {
         node: usize,
-        job: usize,
-        left: u32,
+        cx: usize,
+        retries_left: u32,
     },
-    EngineEnd {
-        job: usize,
+    AttemptEnd {
+        cx: usize,
     },
     SettleRound {
-        job: usize,
+        cx: usize,
         round: usize,
     },
     Settle {
         node: usize,
-        job: usize,
-        post: Settlement,
+        cx: usize,
+        settlement: Settlement,
     },
     Settled {
-        job: usize,
+        cx: usize,
     },
     Recall {
         node: usize,
@@ -96,27 +96,27 @@
         account: usize,
         tokens: u64,
     },
-    Recalled {
+    RecallReply {
         node: usize,
         from: usize,
         account: usize,
-        sent: Option<u64>,
-        ask: u64,
+        total_sent: Option<u64>,
+        recall_id: u64,
     },
-    Keep {
+    StoreCopy {
         node: usize,
         from: usize,
         account: usize,
-        post: Settlement,
+        settlement: Settlement,
     },
-    Open {
+    OpenStep {
         node: usize,
         from: usize,
         account: usize,
         key: String,
-        upto: u64,
+        up_to: u64,
     },
-    Comeback {
+    CallerRetry {
         request: usize,
     },
     Restart(usize),
--- a/crates/trial/src/simulation.rs
+++ b/crates/trial/src/simulation.rs
@@ -9,11 +9,11 @@
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use crate::item::{Ask, Item};
 use crate::node::{Node, NodeState};
 use crate::platform::Platform;
 use crate::policy::Policy;
 use crate::request::{Attempt, Phase, Request, RequestContext};
+use crate::sim_event::{PendingReply, SimEvent};
 use crate::trace::Trace;
 
 /// Instances.
@@ -25,23 +25,23 @@
 /// The fleet's share of the platform's writes, a second.
 pub(crate) const WRITES_PER_SEC: u64 = 100;
 /// A client's limits, in milliseconds.
-pub(crate) const CALL_TIMEOUT: u64 = 1_500;
-pub(crate) const RPC_TIMEOUT: u64 = 2_500;
-pub(crate) const HOME_WAIT: u64 = 1_500;
+pub(crate) const PLATFORM_TIMEOUT_MS: u64 = 1_500;
+pub(crate) const PEER_TIMEOUT_MS: u64 = 2_500;
+pub(crate) const TOKEN_WAIT_MS: u64 = 1_500;
 /// Silence after which an instance is suspected, in milliseconds.
-pub(crate) const SUSPECT: u64 = 4_000;
+pub(crate) const UNRESPONSIVE_AFTER_MS: u64 = 4_000;
 /// How long a caller of a dead entry takes to come back, in milliseconds.
-pub(crate) const RETRY: std::ops::Range<u64> = 500..4_000;
+pub(crate) const CALLER_RETRY_MS: std::ops::Range<u64> = 500..4_000;
 /// Callers of dead entries that come back, in percent.
-pub(crate) const RETRY_PCT: u32 = 80;
-pub(crate) const RESTART: u64 = 3_000;
-pub(crate) const TICK: u64 = 20;
-pub(crate) const MEMBERS_EVERY: u64 = 500;
-pub(crate) const HISTORY: usize = 200;
+pub(crate) const CALLER_RETRY_PCT: u32 = 80;
+pub(crate) const RESTART_MS: u64 = 3_000;
+pub(crate) const TICK_MS: u64 = 20;
+pub(crate) const MEMBERSHIP_INTERVAL_MS: u64 = 500;
+pub(crate) const MAX_HISTORY: usize = 200;
 /// Traces above this length, in milliseconds, are looked at for overspend more seldom: each look
 /// costs time by all runs so far, and what is served never becomes less.
-pub(crate) const LONG_TRACE: u64 = 120_000;
-pub(crate) const WATCH_LONG_EVERY: u64 = 10_000;
+pub(crate) const LONG_TRACE_MS: u64 = 120_000;
+pub(crate) const LONG_TRACE_CHECK_MS: u64 = 10_000;
 /// Time after the trace in which everything is healed and settles, in milliseconds.
 pub const SETTLE_PERIOD_MS: u64 = 90_000;
 
@@ -65,10 +65,10 @@
 }
 
 /// Names a run: a home that is given up may probe the one that it was told of.
-pub(crate) fn run_at(request: &str, job: usize, tries: usize) -> AttemptRef {
+pub(crate) fn attempt_ref(request: &str, cx: usize, home_index: usize) -> AttemptRef {
     AttemptRef {
         upstream: "e".to_string(),
-        id: format!("{request}~{job}.{tries}"),
+        id: format!("{request}~{cx}.{home_index}"),
     }
 }
 
@@ -80,26 +80,26 @@
     pub trace: Trace,
     pub(crate) policy: Policy,
     pub(crate) rng: ChaCha8Rng,
-    pub(crate) queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
-    pub(crate) items: BTreeMap<usize, Item>,
-    pub(crate) next: u64,
+    pub(crate) event_queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
+    pub(crate) events: BTreeMap<usize, SimEvent>,
+    pub(crate) next_event_id: u64,
     /// The platform.
     pub platform: Platform,
     /// Every start of every instance.
     pub nodes: Vec<Node>,
-    pub(crate) slots: Vec<usize>,
-    pub(crate) cut: [bool; ZONES],
-    pub(crate) cut_platform: [bool; ZONES],
+    pub(crate) current_nodes: Vec<usize>,
+    pub(crate) partitioned: [bool; ZONES],
+    pub(crate) platform_unreachable: [bool; ZONES],
     /// All requests.
     pub requests: Vec<Request>,
-    pub(crate) jobs: Vec<RequestContext>,
+    pub(crate) contexts: Vec<RequestContext>,
     /// All runs at engines.
     pub attempts: Vec<Attempt>,
-    pub(crate) run_names: BTreeMap<String, usize>,
-    pub(crate) tombstones: BTreeSet<String>,
-    pub(crate) topups: u64,
-    pub(crate) recall_asks: BTreeMap<u64, usize>,
-    pub(crate) next_recall: u64,
+    pub(crate) attempts_by_id: BTreeMap<String, usize>,
+    pub(crate) cancelled_before_start: BTreeSet<String>,
+    pub(crate) top_up_count: u64,
+    pub(crate) open_recalls: BTreeMap<u64, usize>,
+    pub(crate) last_recall_id: u64,
     /// What was measured.
     pub stats: Stats,
     /// Steps of the decisions.
@@ -113,291 +113,308 @@
 impl Simulation {
     /// Opens a world at the start of a trace.
     pub fn new(seed: u64, policy: Policy, trace: Trace) -> Simulation {
-        let mut world = Simulation {
+        let mut sim = Simulation {
             now: 0,
             policy,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            queue: BinaryHeap::new(),
-            items: BTreeMap::new(),
-            next: 0,
+            event_queue: BinaryHeap::new(),
+            events: BTreeMap::new(),
+            next_event_id: 0,
             platform: Platform::default(),
             nodes: Vec::new(),
-            slots: vec![0; INSTANCES],
-            cut: [false; ZONES],
-            cut_platform: [false; ZONES],
+            current_nodes: vec![0; INSTANCES],
+            partitioned: [false; ZONES],
+            platform_unreachable: [false; ZONES],
             requests: Vec::new(),
-            jobs: Vec::new(),
+            contexts: Vec::new(),
             attempts: Vec::new(),
-            run_names: BTreeMap::new(),
-            tombstones: BTreeSet::new(),
-            topups: 0,
-            recall_asks: BTreeMap::new(),
-            next_recall: 0,
+            attempts_by_id: BTreeMap::new(),
+            cancelled_before_start: BTreeSet::new(),
+            top_up_count: 0,
+            open_recalls: BTreeMap::new(),
+            last_recall_id: 0,
             stats: Stats::default(),
             steps: 0,
             keep_full_history: false,
             history: Default::default(),
             trace,
         };
-        for slot in 0..INSTANCES {
-            world.start(slot);
+        for instance in 0..INSTANCES {
+            sim.start_node(instance);
         }
-        world.members();
-        for account in 0..world.trace.budgets.len() {
-            let tokens = world.trace.budgets[account];
-            world.top_up(account, tokens, account % ZONES);
+        sim.update_members();
+        for account in 0..sim.trace.budgets.len() {
+            let tokens = sim.trace.budgets[account];
+            sim.top_up(account, tokens, account % ZONES);
         }
-        for i in 0..world.trace.arrivals.len() {
-            let at = 3_000 + world.trace.arrivals[i].at_ms;
-            world.put(at, Item::Arrive(i));
+        for i in 0..sim.trace.arrivals.len() {
+            let at = 3_000 + sim.trace.arrivals[i].at_ms;
+            sim.schedule(at, SimEvent::Arrival(i));
         }
-        for i in 0..world.trace.faults.len() {
-            let at = 3_000 + world.trace.faults[i].0;
-            world.put(at, Item::Fault(i));
+        for i in 0..sim.trace.faults.len() {
+            let at = 3_000 + sim.trace.faults[i].0;
+            sim.schedule(at, SimEvent::Fault(i));
         }
-        world.put(MEMBERS_EVERY, Item::Members);
-        world
+        sim.schedule(MEMBERSHIP_INTERVAL_MS, SimEvent::UpdateMembers);
+        sim
     }
 
     /// Runs until everything has settled.
     pub fn run(&mut self) {
         let end = 3_000 + self.trace.length_ms;
         self.run_until(end);
-        self.heal();
+        self.clear_faults();
         self.run_until(end + SETTLE_PERIOD_MS);
     }
 
     pub(crate) fn run_until(&mut self, end: u64) {
-        while let Some(Reverse((at, _, id))) = self.queue.peek().copied() {
+        while let Some(Reverse((at, _, id))) = self.event_queue.peek().copied() {
             if at > end {
                 break;
             }
-            self.queue.pop();
+            self.event_queue.pop();
             self.now = at;
-            let item = self.items.remove(&id).expect("queued items are kept");
-            self.take(item);
+            let event = self.events.remove(&id).expect("queued items are kept");
+            self.handle(event);
         }
         self.now = end;
     }
 
-    pub(crate) fn heal(&mut self) {
+    pub(crate) fn clear_faults(&mut self) {
         self.platform.faults = Default::default();
-        self.cut = [false; ZONES];
-        self.cut_platform = [false; ZONES];
+        self.partitioned = [false; ZONES];
+        self.platform_unreachable = [false; ZONES];
     }
 
-    pub(crate) fn put(&mut self, at: u64, item: Item) {
-        let id = self.next as usize;
-        self.queue.push(Reverse((at, self.next, id)));
-        self.items.insert(id, item);
-        self.next += 1;
+    pub(crate) fn schedule(&mut self, at: u64, event: SimEvent) {
+        let id = self.next_event_id as usize;
+        self.event_queue.push(Reverse((at, self.next_event_id, id)));
+        self.events.insert(id, event);
+        self.next_event_id += 1;
     }
 
-    pub(crate) fn note(&mut self, what: impl FnOnce() -> String) {
-        let line = format!("{:>7} {}", self.now, what());
+    pub(crate) fn log(&mut self, message: impl FnOnce() -> String) {
+        let line = format!("{:>7} {}", self.now, message());
         self.history.push_back(line);
-        if self.history.len() > HISTORY && !self.keep_full_history {
+        if self.history.len() > MAX_HISTORY && !self.keep_full_history {
             self.history.pop_front();
         }
     }
 
-    pub(crate) fn start(&mut self, slot: usize) {
+    pub(crate) fn start_node(&mut self, instance: usize) {
         let node = self.nodes.len();
-        let id = format!("n{slot}.{node}");
+        let id = format!("n{instance}.{node}");
         let params = self.policy.params(INSTANCES);
-        let bank = ShardManager::new(self.now, &id, SHARDS, WRITES_PER_SEC, params);
+        let manager = ShardManager::new(self.now, &id, SHARDS, WRITES_PER_SEC, params);
         self.nodes.push(Node {
             id,
-            instance: slot,
-            zone: slot % ZONES,
+            instance,
+            zone: instance % ZONES,
             state: NodeState::Up,
             state_since: self.now,
             paused_until: 0,
-            frozen_since: 0,
-            manager: bank,
-            asks: BTreeMap::new(),
-            next_ask: 1,
-            silent: BTreeSet::new(),
-            told_leave: false,
+            paused_since: 0,
+            manager,
+            pending_replies: BTreeMap::new(),
+            next_reply_id: 1,
+            unresponsive: BTreeSet::new(),
+            leave_started: false,
         });
-        self.slots[slot] = node;
-        self.put(self.now + TICK, Item::Tick(node));
+        self.current_nodes[instance] = node;
+        self.schedule(self.now + TICK_MS, SimEvent::Tick(node));
     }
 
-    pub(crate) fn account(&self, account: usize) -> String {
+    pub(crate) fn account_name(&self, account: usize) -> String {
         format!("c{account}")
     }
 
     /// Returns whether two zones hear each other.
-    pub(crate) fn linked(&self, a: usize, b: usize) -> bool {
-        a == b || !(self.cut[a] || self.cut[b])
+    pub(crate) fn zones_connected(&self, a: usize, b: usize) -> bool {
+        a == b || !(self.partitioned[a] || self.partitioned[b])
     }
 
     /// Returns which instance an item must reach.
-    pub(crate) fn target(&self, item: &Item) -> Option<usize> {
-        match item {
-            Item::Tick(node)
-            | Item::Bank { node, .. }
-            | Item::Reserve { node, .. }
-            | Item::Void { node, .. }
-            | Item::Settle { node, .. }
-            | Item::Recall { node, .. }
-            | Item::Recalled { node, .. }
-            | Item::Open { node, .. }
-            | Item::Keep { node, .. } => Some(*node),
-            Item::Reply { job, .. }
-            | Item::ReserveLate { job, .. }
-            | Item::EngineEnd { job }
-            | Item::SettleRound { job, .. }
-            | Item::Settled { job } => Some(self.jobs[*job].entry),
+    pub(crate) fn target_node(&self, event: &SimEvent) -> Option<usize> {
+        match event {
+            SimEvent::Tick(node)
+            | SimEvent::ShardEvent { node, .. }
+            | SimEvent::Reserve { node, .. }
+            | SimEvent::Void { node, .. }
+            | SimEvent::Settle { node, .. }
+            | SimEvent::Recall { node, .. }
+            | SimEvent::RecallReply { node, .. }
+            | SimEvent::OpenStep { node, .. }
+            | SimEvent::StoreCopy { node, .. } => Some(*node),
+            SimEvent::ReserveReply { cx, .. }
+            | SimEvent::ReserveTimeout { cx, .. }
+            | SimEvent::AttemptEnd { cx }
+            | SimEvent::SettleRound { cx, .. }
+            | SimEvent::Settled { cx } => Some(self.contexts[*cx].entry),
             _ => None,
         }
     }
 
-    pub(crate) fn take(&mut self, item: Item) {
-        if let Some(node) = self.target(&item) {
+    pub(crate) fn handle(&mut self, sim_event: SimEvent) {
+        if let Some(node) = self.target_node(&sim_event) {
             let node = &self.nodes[node];
             if matches!(node.state, NodeState::Killed | NodeState::Left) {
                 return;
             }
             if node.paused_until > self.now {
                 let at = node.paused_until;
-                self.put(at, item);
+                self.schedule(at, sim_event);
                 return;
             }
         }
-        match item {
-            Item::Arrive(i) => self.arrive(i),
-            Item::Fault(i) => self.fault(i),
-            Item::Tick(node) => self.tick(node),
-            Item::Members => {
-                self.members();
-                self.put(self.now + MEMBERS_EVERY, Item::Members);
+        match sim_event {
+            SimEvent::Arrival(i) => self.on_arrival(i),
+            SimEvent::Fault(i) => self.apply_fault(i),
+            SimEvent::Tick(node) => self.tick(node),
+            SimEvent::UpdateMembers => {
+                self.update_members();
+                self.schedule(self.now + MEMBERSHIP_INTERVAL_MS, SimEvent::UpdateMembers);
             }
-            Item::Bank { node, shard, event } => self.step(node, shard, event),
-            Item::Exec {
+            SimEvent::ShardEvent { node, shard, event } => self.step_shard(node, shard, event),
+            SimEvent::ExecuteCall {
                 node,
                 shard,
                 call,
                 answered,
-            } => self.exec(node, shard, call, answered),
-            Item::Reserve { node, job, tries } => self.reserve(node, job, tries),
-            Item::Reply { job, tries, reply } => self.reply(job, tries, reply),
-            Item::ReserveLate { job, tries } => self.reserve_late(job, tries),
-            Item::Void { node, job, left } => self.void(node, job, left),
-            Item::EngineEnd { job } => self.engine_end(job),
-            Item::SettleRound { job, round } => self.settle_round(job, round),
-            Item::Settle { node, job, post } => self.settle(node, job, post),
-            Item::Settled { job } => self.settled(job),
-            Item::Recall {
+            } => self.execute_call(node, shard, call, answered),
+            SimEvent::Reserve {
+                node,
+                cx,
+                home_index,
+            } => self.on_reserve(node, cx, home_index),
+            SimEvent::ReserveReply {
+                cx,
+                home_index,
+                reply,
+            } => self.on_reserve_reply(cx, home_index, reply),
+            SimEvent::ReserveTimeout { cx, home_index } => self.on_reserve_timeout(cx, home_index),
+            SimEvent::Void {
+                node,
+                cx,
+                retries_left,
+            } => self.send_void(node, cx, retries_left),
+            SimEvent::AttemptEnd { cx } => self.on_attempt_end(cx),
+            SimEvent::SettleRound { cx, round } => self.send_settlement(cx, round),
+            SimEvent::Settle {
+                node,
+                cx,
+                settlement,
+            } => self.on_settle(node, cx, settlement),
+            SimEvent::Settled { cx } => self.on_settled(cx),
+            SimEvent::Recall {
                 node,
                 from,
                 account,
                 tokens,
-            } => self.recall(node, from, account, tokens),
-            Item::Recalled {
+            } => self.on_recall(node, from, account, tokens),
+            SimEvent::RecallReply {
                 node,
                 from,
                 account,
-                sent,
-                ask,
-            } => self.recalled(node, from, account, sent, ask),
-            Item::Keep {
+                total_sent,
+                recall_id,
+            } => self.on_recall_reply(node, from, account, total_sent, recall_id),
+            SimEvent::StoreCopy {
                 node,
                 from,
                 account,
-                post,
-            } => self.keep(node, from, account, post),
-            Item::Open {
+                settlement,
+            } => self.on_store_copy(node, from, account, settlement),
+            SimEvent::OpenStep {
                 node,
                 from,
                 account,
                 key,
-                upto,
-            } => self.open_step(node, from, account, key, upto),
-            Item::Comeback { request } => self.begin(request),
-            Item::Restart(slot) => self.start(slot),
+                up_to,
+            } => self.on_open_step(node, from, account, key, up_to),
+            SimEvent::CallerRetry { request } => self.start_request(request),
+            SimEvent::Restart(instance) => self.start_node(instance),
         }
     }
 
-    pub(crate) fn step(&mut self, node: usize, shard: u32, event: Event) {
+    pub(crate) fn step_shard(&mut self, node: usize, shard: u32, event: Event) {
         self.steps += 1;
         if self.keep_full_history {
-            let short: String = format!("{event:?}").chars().take(300).collect();
-            self.note(|| format!("node {node} shard {shard}: {short}"));
+            let text: String = format!("{event:?}").chars().take(300).collect();
+            self.log(|| format!("node {node} shard {shard}: {text}"));
         }
-        let outputs = self.nodes[node].manager.step(self.now, shard, event);
-        for output in outputs {
-            self.act(node, output);
+        let actions = self.nodes[node].manager.step(self.now, shard, event);
+        for action in actions {
+            self.run_action(node, action);
         }
     }
 
     pub(crate) fn tick(&mut self, node: usize) {
         self.steps += 1;
-        let outputs = self.nodes[node].manager.step_all(self.now, &Event::Tick);
-        for output in outputs {
-            self.act(node, output);
+        let actions = self.nodes[node].manager.step_all(self.now, &Event::Tick);
+        for action in actions {
+            self.run_action(node, action);
         }
-        self.leave_if_done(node);
-        self.put(self.now + TICK, Item::Tick(node));
+        self.advance_planned_stop(node);
+        self.schedule(self.now + TICK_MS, SimEvent::Tick(node));
     }
 
-    pub(crate) fn leave_if_done(&mut self, node: usize) {
+    pub(crate) fn advance_planned_stop(&mut self, node: usize) {
         if self.nodes[node].state != NodeState::Leaving {
             return;
         }
-        let open = |j: &RequestContext| j.entry == node && j.phase != Phase::Ended;
-        if self.jobs.iter().any(open) {
+        let is_open = |cx: &RequestContext| cx.entry == node && cx.phase != Phase::Ended;
+        if self.contexts.iter().any(is_open) {
             return;
         }
-        if !self.nodes[node].told_leave {
-            self.nodes[node].told_leave = true;
+        if !self.nodes[node].leave_started {
+            self.nodes[node].leave_started = true;
             self.nodes[node].manager.leave();
         } else if self.nodes[node].manager.is_drained() {
-            self.note(|| format!("node {node} left"));
+            self.log(|| format!("node {node} left"));
             self.nodes[node].state = NodeState::Left;
             self.nodes[node].state_since = self.now;
-            let slot = self.nodes[node].instance;
-            self.put(self.now + RESTART, Item::Restart(slot));
+            let instance = self.nodes[node].instance;
+            self.schedule(self.now + RESTART_MS, SimEvent::Restart(instance));
         }
     }
 
     /// Returns whether an instance seems to live to another one.
-    pub(crate) fn seems_live(&self, from: usize, to: usize) -> bool {
+    pub(crate) fn appears_live(&self, from: usize, to: usize) -> bool {
         let (a, b) = (&self.nodes[from], &self.nodes[to]);
         if from == to {
             return a.state == NodeState::Up;
         }
-        let silent_since = match b.state {
+        let last_seen_at = match b.state {
             NodeState::Left | NodeState::Leaving => return false,
             NodeState::Killed => b.state_since,
-            NodeState::Up if b.paused_until > self.now => b.frozen_since,
+            NodeState::Up if b.paused_until > self.now => b.paused_since,
             NodeState::Up => u64::MAX,
         };
-        self.now < silent_since.saturating_add(SUSPECT) && self.linked(a.zone, b.zone)
+        self.now < last_seen_at.saturating_add(UNRESPONSIVE_AFTER_MS)
+            && self.zones_connected(a.zone, b.zone)
     }
 
-    pub(crate) fn members(&mut self) {
+    pub(crate) fn update_members(&mut self) {
         let ids = |keep: fn(&NodeState) -> bool| -> Vec<String> {
-            let kept = self.nodes.iter().filter(|n| keep(&n.state));
-            kept.map(|n| n.id.clone()).collect()
+            let nodes = self.nodes.iter().filter(|n| keep(&n.state));
+            nodes.map(|n| n.id.clone()).collect()
         };
         let present = ids(|s| matches!(s, NodeState::Up | NodeState::Leaving));
         let left = ids(|s| *s == NodeState::Left);
         for node in 0..self.nodes.len() {
             let me = &self.nodes[node];
-            let works = matches!(me.state, NodeState::Up | NodeState::Leaving);
-            if !works || me.paused_until > self.now {
+            let is_running = matches!(me.state, NodeState::Up | NodeState::Leaving);
+            if !is_running || me.paused_until > self.now {
                 continue;
             }
             let live: Vec<usize> = (0..self.nodes.len())
-                .filter(|n| self.seems_live(node, *n))
+                .filter(|n| self.appears_live(node, *n))
                 .collect();
-            let silent: BTreeSet<usize> = (0..self.nodes.len())
+            let unresponsive: BTreeSet<usize> = (0..self.nodes.len())
                 .filter(|n| !live.contains(n) && self.nodes[*n].state != NodeState::Leaving)
                 .collect();
-            let news: Vec<usize> = silent
-                .difference(&self.nodes[node].silent)
+            let newly_unresponsive: Vec<usize> = unresponsive
+                .difference(&self.nodes[node].unresponsive)
                 .copied()
                 .filter(|n| *n != node)
                 .collect();
@@ -406,37 +423,37 @@
                 zone: self.nodes[*n].zone.to_string(),
             });
             let candidates = candidates.collect();
-            self.nodes[node].silent = silent;
+            self.nodes[node].unresponsive = unresponsive;
             self.nodes[node].manager.set_members(candidates);
             self.nodes[node]
                 .manager
                 .set_presence(self.now, &present, &left);
-            for other in news {
-                let entry = self.nodes[other].id.clone();
-                let event = Event::InstanceUnresponsive { instance: entry };
-                let outputs = self.nodes[node].manager.step_all(self.now, &event);
-                for output in outputs {
-                    self.act(node, output);
+            for other in newly_unresponsive {
+                let instance = self.nodes[other].id.clone();
+                let event = Event::InstanceUnresponsive { instance };
+                let actions = self.nodes[node].manager.step_all(self.now, &event);
+                for action in actions {
+                    self.run_action(node, action);
                 }
             }
         }
-        let is_long = self.trace.length_ms > LONG_TRACE;
-        if !is_long || self.now % WATCH_LONG_EVERY == 0 {
-            self.watch_overspend();
+        let is_long = self.trace.length_ms > LONG_TRACE_MS;
+        if !is_long || self.now % LONG_TRACE_CHECK_MS == 0 {
+            self.record_overspend();
         }
     }
 
-    pub(crate) fn watch_overspend(&mut self) {
+    pub(crate) fn record_overspend(&mut self) {
         for account in 0..self.trace.budgets.len() {
             let (total, served) = (self.budget_total(account), self.tokens_served(account));
-            let over = served.saturating_sub(total);
-            self.stats.overspend = self.stats.overspend.max(over);
+            let excess = served.saturating_sub(total);
+            self.stats.overspend = self.stats.overspend.max(excess);
         }
     }
 
     /// Returns the sum of an account's top-ups that are in force.
     pub fn budget_total(&self, account: usize) -> u64 {
-        let name = self.account(account);
+        let name = self.account_name(account);
         let accounts = self
             .platform
             .records()
@@ -446,39 +463,39 @@
 
     /// Returns the tokens that engines served to an account.
     pub fn tokens_served(&self, account: usize) -> u64 {
-        let own = self.attempts.iter().filter(|r| r.account == account);
-        own.map(|r| r.tokens_served(self.now)).sum()
+        let own = self.attempts.iter().filter(|a| a.account == account);
+        own.map(|a| a.tokens_served(self.now)).sum()
     }
 
     pub(crate) fn top_up(&mut self, account: usize, tokens: u64, zone: usize) {
-        let up =
+        let accepts =
             |n: &Node| n.state == NodeState::Up && n.zone == zone && n.paused_until <= self.now;
-        let Some(node) = self.nodes.iter().position(up) else {
+        let Some(node) = self.nodes.iter().position(accepts) else {
             return;
         };
-        self.topups += 1;
-        let id = format!("t{}", self.topups);
-        let name = self.account(account);
+        self.top_up_count += 1;
+        let id = format!("t{}", self.top_up_count);
+        let name = self.account_name(account);
         let shard = self.nodes[node].manager.shard_of(&name);
-        let ask = self.ask(node, Ask::Act);
-        let act = OperatorCommand::TopUp { id, tokens };
+        let reply_to = self.expect_reply(node, PendingReply::Operator);
+        let command = OperatorCommand::TopUp { id, tokens };
         let account = name;
-        self.step(
+        self.step_shard(
             node,
             shard,
             Event::Operator {
-                reply_to: ask,
+                reply_to,
                 account,
-                command: act,
+                command,
             },
         );
     }
 
-    pub(crate) fn ask(&mut self, node: usize, ask: Ask) -> u64 {
+    pub(crate) fn expect_reply(&mut self, node: usize, reply: PendingReply) -> u64 {
         let node = &mut self.nodes[node];
-        let id = node.next_ask;
-        node.next_ask += 1;
-        node.asks.insert(id, ask);
+        let id = node.next_reply_id;
+        node.next_reply_id += 1;
+        node.pending_replies.insert(id, reply);
         id
     }
 
@@ -490,13 +507,13 @@
         };
         let mut sum = 0;
         for account in self.platform.records().flat_map(|r| r.accounts.values()) {
-            let lines = account.ledger.keys().filter(|h| gone(h));
-            sum += lines.map(|h| account.unspent(h)).sum::<u64>();
-            let joints = account.joint_grants.iter().filter(|(k, _)| {
+            let holders = account.ledger.keys().filter(|h| gone(h));
+            sum += holders.map(|h| account.unspent(h)).sum::<u64>();
+            let joint_grants = account.joint_grants.iter().filter(|(k, _)| {
                 let parts = budget::record::parse_joint_key(k);
                 parts.is_some_and(|(h, w)| gone(h) && gone(w))
             });
-            sum += joints.map(|(_, j)| j.granted - j.opened).sum::<u64>();
+            sum += joint_grants.map(|(_, j)| j.granted - j.opened).sum::<u64>();
         }
         sum
     }
--- a/crates/trial/src/trace.rs
+++ b/crates/trial/src/trace.rs
@@ -78,54 +78,54 @@
 
 /// The traces of the policy trial.
 pub const TRACES: &[(&str, TraceFn)] = &[
-    ("calm, Hrísey", calm_hrisey),
-    ("calm, Southern Plains", calm_plains),
-    ("nearly drained", drained),
-    ("platform out 10 min", outage),
-    ("zone cut 1 h", cut),
-    ("crash each minute", crashes),
-    ("season's opening", season),
+    ("calm, Hrísey", calm_small_budgets),
+    ("calm, Southern Plains", calm_large_budgets),
+    ("nearly drained", nearly_drained),
+    ("platform out 10 min", platform_outage),
+    ("zone cut 1 h", zone_partition),
+    ("crash each minute", crash_each_minute),
+    ("season's opening", demand_shift),
 ];
 
 /// Draws a load over a time.
-pub fn generate(name: &'static str, seed: u64, length: u64, load: Workload) -> Trace {
+pub fn generate(name: &'static str, seed: u64, length_ms: u64, workload: Workload) -> Trace {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     let mut at = 0.0;
-    let mut demand = vec![0u64; load.customers];
+    let mut demand = vec![0u64; workload.customers];
     loop {
         let unit: f64 = rng.random_range(1e-9..1.0);
-        at += -unit.ln() * 1000.0 / load.requests_per_sec;
-        if at >= length as f64 {
+        at += -unit.ln() * 1000.0 / workload.requests_per_sec;
+        if at >= length_ms as f64 {
             break;
         }
-        let arrival = one(&mut rng, at as u64, load);
+        let arrival = random_arrival(&mut rng, at as u64, workload);
         demand[arrival.account] += arrival.prompt_tokens + arrival.response_tokens;
         arrivals.push(arrival);
     }
-    let cover = |d: u64| (d as f64 * load.budget_ratio) as u64 + 20_000;
+    let budget = |d: u64| (d as f64 * workload.budget_ratio) as u64 + 20_000;
     Trace {
         name,
-        length_ms: length,
-        budgets: demand.into_iter().map(cover).collect(),
+        length_ms,
+        budgets: demand.into_iter().map(budget).collect(),
         arrivals,
         faults: Vec::new(),
-        zone_latency_ms: load.zone_latency_ms,
+        zone_latency_ms: workload.zone_latency_ms,
     }
 }
 
-fn one(rng: &mut ChaCha8Rng, at: u64, load: Workload) -> Arrival {
+fn random_arrival(rng: &mut ChaCha8Rng, at_ms: u64, workload: Workload) -> Arrival {
     // A few customers are large: the smaller of two draws prefers the first ones.
-    let a = rng.random_range(0..load.customers);
-    let account = a.min(rng.random_range(0..load.customers));
-    let long = rng.random_range(0..100) < load.long_prompt_pct;
+    let a = rng.random_range(0..workload.customers);
+    let account = a.min(rng.random_range(0..workload.customers));
+    let long = rng.random_range(0..100) < workload.long_prompt_pct;
     let (prompt, max) = if long {
         (rng.random_range(1000..4000), 600)
     } else {
         (rng.random_range(20..200), 200)
     };
     Arrival {
-        at_ms: at,
+        at_ms,
         account,
         prompt_tokens: prompt,
         response_tokens: rng.random_range(20..max),
@@ -133,23 +133,23 @@
     }
 }
 
-fn calm_hrisey(seed: u64) -> Trace {
+fn calm_small_budgets(seed: u64) -> Trace {
     generate("calm, Hrísey", seed, 10 * MINUTE, SMALL_BUDGETS)
 }
 
-fn calm_plains(seed: u64) -> Trace {
+fn calm_large_budgets(seed: u64) -> Trace {
     generate("calm, Southern Plains", seed, 10 * MINUTE, LARGE_BUDGETS)
 }
 
-fn drained(seed: u64) -> Trace {
-    let load = Workload {
+fn nearly_drained(seed: u64) -> Trace {
+    let workload = Workload {
         budget_ratio: 0.7,
         ..SMALL_BUDGETS
     };
-    generate("nearly drained", seed, 10 * MINUTE, load)
+    generate("nearly drained", seed, 10 * MINUTE, workload)
 }
 
-fn outage(seed: u64) -> Trace {
+fn platform_outage(seed: u64) -> Trace {
     let mut trace = generate("platform out 10 min", seed, 20 * MINUTE, SMALL_BUDGETS);
     trace.faults = vec![
         (5 * MINUTE, Fault::PlatformDown(true)),
@@ -158,12 +158,12 @@
     trace
 }
 
-fn cut(seed: u64) -> Trace {
-    let load = Workload {
+fn zone_partition(seed: u64) -> Trace {
+    let workload = Workload {
         requests_per_sec: 5.0,
         ..SMALL_BUDGETS
     };
-    let mut trace = generate("zone cut 1 h", seed, 80 * MINUTE, load);
+    let mut trace = generate("zone cut 1 h", seed, 80 * MINUTE, workload);
     trace.faults = vec![
         (10 * MINUTE, Fault::Partition(2, true)),
         (70 * MINUTE, Fault::Partition(2, false)),
@@ -176,7 +176,7 @@
     trace
 }
 
-fn crashes(seed: u64) -> Trace {
+fn crash_each_minute(seed: u64) -> Trace {
     let mut trace = generate("crash each minute", seed, 10 * MINUTE, SMALL_BUDGETS);
     for i in 1..10u64 {
         let victim = (i as usize * 4) % 9;
@@ -186,9 +186,9 @@
 }
 
 /// Demand moves tenfold to other customers within a minute.
-fn season(seed: u64) -> Trace {
+fn demand_shift(seed: u64) -> Trace {
     let mut trace = generate("season's opening", seed, 10 * MINUTE, SMALL_BUDGETS);
-    let low = Workload {
+    let shifted = Workload {
         requests_per_sec: 5.0,
         customers: 3,
         ..SMALL_BUDGETS
@@ -201,7 +201,7 @@
     let mut at = 2 * MINUTE;
     while at < trace.length_ms {
         at += rng.random_range(0..40);
-        let mut arrival = one(&mut rng, at, low);
+        let mut arrival = random_arrival(&mut rng, at, shifted);
         arrival.account = customers - 1 - arrival.account;
         trace.arrivals.push(arrival);
     }
@@ -217,18 +217,18 @@
 /// A short trace with random faults of every sort, two at once at times.
 pub fn random(seed: u64) -> Trace {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
-    let load = Workload {
+    let workload = Workload {
         requests_per_sec: rng.random_range(3.0..15.0),
         customers: rng.random_range(1..4),
         long_prompt_pct: 20,
         budget_ratio: rng.random_range(0.3..2.0),
         zone_latency_ms: rng.random_range(1..30),
     };
-    let length = 60_000;
-    let mut trace = generate("random", seed, length, load);
+    let length_ms = 60_000;
+    let mut trace = generate("random", seed, length_ms, workload);
     for _ in 0..rng.random_range(2..8) {
-        let at = rng.random_range(0..length - 20_000);
-        push_fault(&mut rng, at, load.customers, &mut trace.faults);
+        let at = rng.random_range(0..length_ms - 20_000);
+        push_fault(&mut rng, at, workload.customers, &mut trace.faults);
     }
     trace.faults.sort_by_key(|f| f.0);
     trace
@@ -236,16 +236,19 @@
 
 fn push_fault(rng: &mut ChaCha8Rng, at: u64, customers: usize, out: &mut Vec<(u64, Fault)>) {
     let end = at + rng.random_range(500..20_000);
-    let node = rng.random_range(0..9);
+    let instance = rng.random_range(0..9);
     let zone = rng.random_range(0..3);
     let (fault, undo) = match rng.random_range(0..9) {
-        0 => (Fault::Kill(node), None),
-        1 => (Fault::Pause(node, end - at), None),
-        2 => (Fault::PlannedStop(node), None),
+        0 => (Fault::Kill(instance), None),
+        1 => (Fault::Pause(instance, end - at), None),
+        2 => (Fault::PlannedStop(instance), None),
         3 => (Fault::PlatformDown(true), Some(Fault::PlatformDown(false))),
         4 => {
-            let slow = rng.random_range(100..4_000);
-            (Fault::PlatformDelay(slow), Some(Fault::PlatformDelay(0)))
+            let delay_ms = rng.random_range(100..4_000);
+            (
+                Fault::PlatformDelay(delay_ms),
+                Some(Fault::PlatformDelay(0)),
+            )
         }
         5 => (
             Fault::PlatformReplyLoss(rng.random_range(5..60)),
--- a/crates/trial/tests/seeds.rs
+++ b/crates/trial/tests/seeds.rs
@@ -3,11 +3,11 @@
 use trial::{invariants, trace, Policy, Simulation};
 
 fn run(seed: u64) {
-    let mut world = Simulation::new(seed, Policy::Default, trace::random(seed));
-    world.run();
-    if let Err(what) = invariants::check(&world) {
-        let history: Vec<String> = world.history.into();
-        panic!("seed {seed}: {what}\n{}", history.join("\n"));
+    let mut sim = Simulation::new(seed, Policy::Default, trace::random(seed));
+    sim.run();
+    if let Err(violation) = invariants::check(&sim) {
+        let history: Vec<String> = sim.history.into();
+        panic!("seed {seed}: {violation}\n{}", history.join("\n"));
     }
 }
 
