--- a/crates/bench/src/stage.rs
+++ b/crates/bench/src/cluster.rs
@@ -1,4 +1,4 @@
-//! Processes under measurement: the program's own, started beside this one.
+//! The processes under measurement: a stub platform, stub engines and instances.
 
 use std::process::Stdio;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use tokio::io::{AsyncBufReadExt, BufReader};
 use tokio::process::{Child, Command};
 
-/// Ticks of processor time a second, as Linux counts them.
-const TICKS: f64 = 100.0;
-const READY_TRIES: u32 = 600;
-const READY_LOOK: Duration = Duration::from_millis(100);
+/// Clock ticks per second in `/proc` on Linux.
+const TICKS_PER_SEC: f64 = 100.0;
+const READY_ATTEMPTS: u32 = 600;
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A process under measurement; it ends with this value.
+/// A process of the program `oriolehitch`; it is killed when this value is dropped.
 pub(crate) struct Process {
     child: Child,
     pub(crate) url: String,
@@ -31,19 +31,23 @@
             .kill_on_drop(true)
             .spawn()
             .with_context(|| format!("{}: build it with --release first", program.display()))?;
-        let out = child.stdout.take().context("no standard output")?;
-        let line = BufReader::new(out).lines().next_line().await?;
-        let line = line.context("the process ended at once")?;
+        let stdout = child
+            .stdout
+            .take()
+            .context("standard output is not piped")?;
+        let line = BufReader::new(stdout).lines().next_line().await?;
+        let line = line.context("process exited before it was ready")?;
         let words: Vec<&str> = line.split_whitespace().collect();
-        let after = |key: &str| {
-            let at = words.iter().position(|w| *w == key);
-            at.and_then(|at| words.get(at + 1))
+        let word_after = |key: &str| {
+            let index = words.iter().position(|w| *w == key);
+            index
+                .and_then(|i| words.get(i + 1))
                 .map(|w| (*w).to_string())
         };
         Ok(Process {
             child,
-            url: after("ready").context("not ready")?,
-            admin: after("admin").unwrap_or_default(),
+            url: word_after("ready").context("process did not print its address")?,
+            admin: word_after("admin").unwrap_or_default(),
         })
     }
 
@@ -51,18 +55,20 @@
         self.child.id().unwrap_or(0)
     }
 
-    /// Returns the processor time used so far, in seconds.
+    /// Returns the CPU time used so far, in seconds.
     pub(crate) fn cpu_secs(&self) -> f64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.pid()));
         let stat = stat.unwrap_or_default();
+        // The process name, in parentheses, may contain spaces. `utime` and `stime` are the 12th
+        // and 13th fields after it.
         let rest = stat.rsplit_once(')').map_or("", |r| r.1);
         let fields: Vec<&str> = rest.split_whitespace().collect();
         let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok());
-        (ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / TICKS
+        (ticks(11).unwrap_or(0.0) + ticks(12).unwrap_or(0.0)) / TICKS_PER_SEC
     }
 
     /// Returns the resident memory, in bytes.
-    pub(crate) fn memory(&self) -> u64 {
+    pub(crate) fn resident_bytes(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.pid()));
         let status = status.unwrap_or_default();
         let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
@@ -71,16 +77,16 @@
     }
 }
 
-/// A platform, engines and instances with a configuration in force.
-pub(crate) struct Stage {
+/// A stub platform, stub engines and instances that have a configuration in force.
+pub(crate) struct Cluster {
     pub(crate) http: reqwest::Client,
     pub(crate) platform: Process,
     pub(crate) engines: Vec<Process>,
     pub(crate) instances: Vec<Process>,
 }
 
-/// How many of what a stage has.
-pub(crate) struct Size {
+/// Size of a cluster, and the speed of its engines.
+pub(crate) struct ClusterSize {
     pub(crate) engines: usize,
     pub(crate) instances: usize,
     pub(crate) step_ms: u64,
@@ -89,8 +95,8 @@
 
 const ZONES: [&str; 3] = ["zone-1", "zone-2", "zone-3"];
 
-impl Stage {
-    pub(crate) async fn open(size: Size) -> Result<Stage> {
+impl Cluster {
+    pub(crate) async fn start(size: ClusterSize) -> Result<Cluster> {
         let http = reqwest::Client::builder().no_proxy().build()?;
         let platform = Process::start(&["stub", "platform"]).await?;
         let mut engines = Vec::new();
@@ -115,27 +121,27 @@
             ];
             engines.push(Process::start(&args).await?);
         }
-        let mut stage = Stage {
+        let mut cluster = Cluster {
             http,
             platform,
             engines,
             instances: Vec::new(),
         };
         for i in 0..size.instances {
-            let instance = stage.instance(i).await?;
-            stage.instances.push(instance);
+            let instance = cluster.start_instance(i).await?;
+            cluster.instances.push(instance);
         }
-        stage.prepare().await?;
-        Ok(stage)
+        cluster.configure().await?;
+        Ok(cluster)
     }
 
-    async fn instance(&self, i: usize) -> Result<Process> {
+    async fn start_instance(&self, i: usize) -> Result<Process> {
         let settings = json!({
             "name": format!("i{i}"), "region": "r", "zone": ZONES[i % 3],
             "platform": self.platform.url,
         });
-        let unique = format!("oriolehitch-bench-{}-{i}.json", std::process::id());
-        let file = std::env::temp_dir().join(unique);
+        let file_name = format!("oriolehitch-bench-{}-{i}.json", std::process::id());
+        let file = std::env::temp_dir().join(file_name);
         std::fs::write(&file, settings.to_string())?;
         let path = file.display().to_string();
         let started = Process::start(&["serve", "--settings", &path, "--log", "json"]).await;
@@ -143,8 +149,8 @@
         started
     }
 
-    /// Puts a configuration in force, fills a budget, and waits until all are ready.
-    async fn prepare(&self) -> Result<()> {
+    /// Puts a configuration in force, tops up a budget, and waits until all instances are ready.
+    async fn configure(&self) -> Result<()> {
         let Some(first) = self.instances.first() else {
             return Ok(());
         };
@@ -174,22 +180,22 @@
     }
 
     async fn wait_ready(&self, instance: &Process) -> Result<()> {
-        for _ in 0..READY_TRIES {
-            let dump = self.get(&format!("{}/dump", instance.admin)).await?;
-            let ups = dump["upstreams"].as_array().map_or(0, Vec::len);
-            if dump["ready"] == true && ups == self.engines.len() {
+        for _ in 0..READY_ATTEMPTS {
+            let dump = self.get_json(&format!("{}/dump", instance.admin)).await?;
+            let upstream_count = dump["upstreams"].as_array().map_or(0, Vec::len);
+            if dump["ready"] == true && upstream_count == self.engines.len() {
                 return Ok(());
             }
-            tokio::time::sleep(READY_LOOK).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
-        bail!("an instance did not get ready");
+        bail!("an instance was not ready after {READY_ATTEMPTS} attempts");
     }
 
-    pub(crate) async fn get(&self, url: &str) -> Result<Value> {
+    pub(crate) async fn get_json(&self, url: &str) -> Result<Value> {
         Ok(self.http.get(url).send().await?.json().await?)
     }
 
-    /// Returns one number of an instance's metrics.
+    /// Returns the value of a metric of an instance, which must not have labels.
     pub(crate) async fn metric(&self, instance: &Process, name: &str) -> Result<f64> {
         let text = self
             .http
@@ -198,7 +204,7 @@
             .await?;
         let text = text.text().await?;
         let line = text.lines().find_map(|l| l.strip_prefix(name));
-        let number = line.and_then(|l| l.trim().parse().ok());
-        Ok(number.unwrap_or(0.0))
+        let value = line.and_then(|l| l.trim().parse().ok());
+        Ok(value.unwrap_or(0.0))
     }
 }
--- a/crates/bench/src/micro.rs
+++ b/crates/bench/src/micro.rs
@@ -1,4 +1,4 @@
-//! Slopes of the decisions: bytes and time by number of budgets, customers, peers and upstreams.
+//! Size and time of single operations, by number of budgets, customers, instances or upstreams.
 
 use std::hint::black_box;
 use std::time::Instant;
@@ -16,8 +16,9 @@
 use route::{Pool, Spec, UpstreamKind};
 
 const ROUNDS: u32 = 50;
-/// A time at which members heard of at the start are no news, in milliseconds.
-const NOW: u64 = 20_000;
+/// Time of the gossip rounds, in milliseconds: long enough after 0 that members that became known
+/// at 0 are no longer sent as recent changes.
+const NOW_MS: u64 = 20_000;
 
 pub(crate) fn run() {
     budgets();
@@ -26,16 +27,16 @@
     upstreams();
 }
 
-/// Returns the mean time of a call, in microseconds.
-fn time<T>(mut call: impl FnMut() -> T) -> f64 {
-    let began = Instant::now();
+/// Returns the mean duration of a call, in microseconds.
+fn mean_us<T>(mut call: impl FnMut() -> T) -> f64 {
+    let start = Instant::now();
     for _ in 0..ROUNDS {
         black_box(call());
     }
-    began.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
+    start.elapsed().as_secs_f64() * 1e6 / f64::from(ROUNDS)
 }
 
-fn record(accounts: usize) -> ShardRecord {
+fn shard_record(accounts: usize) -> ShardRecord {
     let mut record = ShardRecord::default();
     for i in 0..accounts {
         let account = record
@@ -46,24 +47,25 @@
             .top_up("invoice-2026-12", 1 << 40)
             .expect("a new id");
         for holder in ["instance-1.0123456789abcdef", "instance-2.0123456789abcdef"] {
-            let line = account.ledger.entry(holder.to_string()).or_default();
-            line.granted = 1 << 30;
-            line.settled = 1 << 20;
-            line.settled_holds.insert(1);
+            let entry = account.ledger.entry(holder.to_string()).or_default();
+            entry.granted = 1 << 30;
+            entry.settled = 1 << 20;
+            entry.settled_holds.insert(1);
         }
     }
     record
 }
 
 fn budgets() {
-    println!("\n### One shard, by budgets in it (two holders each)\n");
-    println!("| budgets | record, bytes | a budget, bytes | read and parse, µs | a reservation's decision, µs | a commit's decision and text, µs |");
+    println!("\n### One shard, by number of budgets (two holders each)\n");
+    println!("| budgets | record, bytes | bytes per budget | parsing the record, µs | reservation, µs | commit with serialization, µs |");
     println!("|---|---|---|---|---|---|");
     for count in [10, 100, 1_000] {
-        let record = record(count);
-        let text = serde_json::to_vec(&record).expect("a record is JSON");
-        let parse = time(|| serde_json::from_slice::<ShardRecord>(&text).expect("own text"));
-        let (reserve, commit) = decide(&record);
+        let record = shard_record(count);
+        let text = serde_json::to_vec(&record).expect("a record serializes");
+        let parse =
+            mean_us(|| serde_json::from_slice::<ShardRecord>(&text).expect("a serialized record"));
+        let (reserve, commit) = reserve_and_commit(&record);
         println!(
             "| {count} | {} | {} | {parse:.0} | {reserve:.0} | {commit:.0} |",
             text.len(),
@@ -72,18 +74,18 @@
     }
 }
 
-/// Returns the times of a reservation and of a commit.
-fn decide(record: &ShardRecord) -> (f64, f64) {
-    let mut home = Shard::new("instance-1.0123456789abcdef", Params::default());
-    home.set_role(Role::Home, Vec::new(), None);
-    let mut pacer = WriteLimiter::new(0, 1 << 30, 1.0);
+/// Returns the mean durations of a reservation and of a commit, in microseconds.
+fn reserve_and_commit(record: &ShardRecord) -> (f64, f64) {
+    let mut shard = Shard::new("instance-1.0123456789abcdef", Params::default());
+    shard.set_role(Role::Home, Vec::new(), None);
+    let mut limiter = WriteLimiter::new(0, 1 << 30, 1.0);
     let mut out = Vec::new();
-    let mut ask = 0;
-    let mut reserve = |home: &mut Shard, pacer: &mut WriteLimiter| {
-        ask += 1;
-        let req = ReserveRequest {
+    let mut count = 0;
+    let mut reserve = |shard: &mut Shard, limiter: &mut WriteLimiter| {
+        count += 1;
+        let request = ReserveRequest {
             account: "customer-00001".to_string(),
-            request_id: format!("request-{ask}"),
+            request_id: format!("request-{count}"),
             body_hash: 1,
             entry: "instance-3.0123456789abcdef".to_string(),
             attempt: AttemptRef::default(),
@@ -92,29 +94,29 @@
         };
         let mut out = Vec::new();
         let deadline = 1_000_000;
-        home.step(
+        shard.step(
             1,
             Event::Reserve {
-                reply_to: ask,
-                request: req,
+                reply_to: count,
+                request,
                 deadline,
             },
-            pacer,
+            limiter,
             &mut out,
         );
         out
     };
-    reserve(&mut home, &mut pacer);
-    let stored = RecordSnapshot {
+    reserve(&mut shard, &mut limiter);
+    let snapshot = RecordSnapshot {
         revision: 1,
         record: record.clone(),
     };
-    home.step(1, Event::RecordRead(Some(stored)), &mut pacer, &mut out);
-    let reserved = time(|| reserve(&mut home, &mut pacer));
+    shard.step(1, Event::RecordRead(Some(snapshot)), &mut limiter, &mut out);
+    let reserve_us = mean_us(|| reserve(&mut shard, &mut limiter));
     let mut hold = 0;
-    let commit = time(|| {
+    let commit_us = mean_us(|| {
         hold += 1;
-        let post = budget::Settlement {
+        let settlement = budget::Settlement {
             holder: "instance-1.0123456789abcdef".to_string(),
             hold,
             request_id: format!("request-{hold}"),
@@ -127,25 +129,30 @@
         let event = Event::Settle {
             reply_to: None,
             account: "customer-00001".to_string(),
-            settlement: post,
+            settlement,
             unconfirmed: Vec::new(),
         };
         let mut out = Vec::new();
-        home.step(2, event, &mut pacer, &mut out);
+        shard.step(2, event, &mut limiter, &mut out);
         for action in &out {
             if let budget::Action::WriteRecord { record, .. } = action {
-                black_box(serde_json::to_vec(record).expect("a record is JSON"));
+                black_box(serde_json::to_vec(record).expect("a record serializes"));
             }
         }
         let revision = i64::from(hold as u32) + 10;
-        home.step(2, Event::WriteCommitted { revision }, &mut pacer, &mut out);
+        shard.step(
+            2,
+            Event::WriteCommitted { revision },
+            &mut limiter,
+            &mut out,
+        );
     });
-    (reserved, commit)
+    (reserve_us, commit_us)
 }
 
 fn customers() {
-    println!("\n### Configuration, by customers\n");
-    println!("| customers | all chunks, bytes | bytes that a change of one moves | make a change, µs | put in force, µs |");
+    println!("\n### Configuration, by number of customers\n");
+    println!("| customers | all chunks, bytes | rewritten for a change of one at most, bytes | splitting into chunks, µs | joining the chunks, µs |");
     println!("|---|---|---|---|---|");
     for count in [120, 1_200, 12_000] {
         let mut config = Config::default();
@@ -169,18 +176,21 @@
             at_ms: 1,
             what: "x".to_string(),
         };
-        let make = || Bundle::next(&Head::default(), &config, change());
-        let bundle = make();
-        let all: usize = bundle.chunks.values().map(String::len).sum();
-        let most = bundle.chunks.values().map(String::len).max().unwrap_or(0);
-        let (next, join) = (time(make), time(|| bundle.config()));
-        println!("| {count} | {all} | {most} | {next:.0} | {join:.0} |");
+        let split = || Bundle::next(&Head::default(), &config, change());
+        let bundle = split();
+        let total: usize = bundle.chunks.values().map(String::len).sum();
+        // A change of one customer rewrites the chunk that contains it.
+        let largest = bundle.chunks.values().map(String::len).max().unwrap_or(0);
+        let (split_us, join_us) = (mean_us(split), mean_us(|| bundle.config()));
+        println!("| {count} | {total} | {largest} | {split_us:.0} | {join_us:.0} |");
     }
 }
 
 fn peers() {
-    println!("\n### Membership, by instances\n");
-    println!("| instances | a message, bytes | a round (tell, hear, who lives), µs |");
+    println!("\n### Membership, by number of instances\n");
+    println!(
+        "| instances | message, bytes | gossip round (send, receive, list live and silent), µs |"
+    );
     println!("|---|---|---|");
     for count in [9, 100, 970] {
         let member = |i: usize| Member {
@@ -198,25 +208,26 @@
             beats: Vec::new(),
         };
         members.hear(0, told.clone());
-        // Heartbeats later, the members are no news any more.
+        // Renews the heartbeats shortly before the measurement: the members are live then, but have
+        // not changed recently.
         let mut later = told;
         later.members.iter_mut().for_each(|m| m.beat += 1);
-        members.hear(NOW - 1_000, later);
+        members.hear(NOW_MS - 1_000, later);
         let mut rng = StdRng::seed_from_u64(1);
-        let told = members.tell(NOW, &mut rng);
-        let bytes = serde_json::to_vec(&told).expect("members are JSON").len();
-        let round = time(|| {
-            let told = members.tell(NOW, &mut rng);
-            members.hear(NOW, told);
-            (members.live(NOW).len(), members.silent(NOW).len())
+        let told = members.tell(NOW_MS, &mut rng);
+        let bytes = serde_json::to_vec(&told).expect("members serialize").len();
+        let round = mean_us(|| {
+            let told = members.tell(NOW_MS, &mut rng);
+            members.hear(NOW_MS, told);
+            (members.live(NOW_MS).len(), members.silent(NOW_MS).len())
         });
         println!("| {count} | {bytes} | {round:.0} |");
     }
 }
 
 fn upstreams() {
-    println!("\n### Choice of an upstream, by upstreams of one model\n");
-    println!("| upstreams | a choice, µs | room of the pool, µs |");
+    println!("\n### Choice of an upstream, by number of upstreams of a model\n");
+    println!("| upstreams | choice, µs | capacity of the pool, µs |");
     println!("|---|---|---|");
     for count in [23, 290, 2_900] {
         let mut pool = Pool::default();
@@ -228,7 +239,7 @@
             )
         };
         pool.apply_list((0..count).map(spec).collect());
-        let ask = Criteria {
+        let criteria = Criteria {
             kind: UpstreamKind::Engine,
             target: "m",
             version: None,
@@ -237,8 +248,8 @@
             tried: &[],
             random: 12_345,
         };
-        let choice = time(|| pool.choose(1, &ask));
-        let room = time(|| pool.capacity(1, UpstreamKind::Engine, "m"));
-        println!("| {count} | {choice:.0} | {room:.0} |");
+        let choice_us = mean_us(|| pool.choose(1, &criteria));
+        let capacity_us = mean_us(|| pool.capacity(1, UpstreamKind::Engine, "m"));
+        println!("| {count} | {choice_us:.0} | {capacity_us:.0} |");
     }
 }
--- a/crates/bench/src/path.rs
+++ b/crates/bench/src/path.rs
@@ -1,4 +1,5 @@
-//! Latency, throughput and memory of one instance against the stand-in engine alone.
+//! Latency of requests through instances and directly to a stub engine, and throughput and memory
+//! of one instance.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -7,20 +8,24 @@
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
 
+use crate::cluster::{Cluster, ClusterSize};
 use crate::fleet;
-use crate::stage::{Size, Stage};
 
-/// Rounds that only open connections and fetch the first grant.
-const WARM: usize = 3;
+/// Rounds that are not measured: they open connections and fetch the first grant.
+const WARMUP_ROUNDS: usize = 3;
 const ROUNDS: usize = 40;
-const ABREAST: usize = 16;
-const THROUGHPUT: Duration = Duration::from_secs(6);
-const STREAMS: [usize; 2] = [1_000, 5_000];
-const SETTLE: Duration = Duration::from_secs(4);
+/// Number of requests in flight at the same time.
+const CONCURRENCY: usize = 16;
+/// Duration of the throughput measurement.
+const THROUGHPUT_DURATION: Duration = Duration::from_secs(6);
+/// Numbers of open streams whose memory is measured.
+const STREAM_COUNTS: [usize; 2] = [1_000, 5_000];
+/// Time for which the streams stay open before the memory is read.
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
-/// One answer's times, in microseconds.
-struct Times {
-    first: u64,
+/// Times of a response since the request was sent, in microseconds.
+struct ResponseTimes {
+    first_chunk: u64,
     last_token: u64,
     end: u64,
 }
@@ -39,59 +44,62 @@
 }
 
 async fn latency() -> Result<()> {
-    let stage = Stage::open(Size {
+    let cluster = Cluster::start(ClusterSize {
         engines: 1,
         instances: 3,
         step_ms: 1,
         slots: 64,
     })
     .await?;
-    let stage = Arc::new(stage);
-    println!("\n### Latency, {ABREAST} requests abreast on 64 slots, 40 tokens, step 1 ms\n");
-    println!("| path | first token p50/p99, ms | last token p50/p99, ms | wait for the end marker p50/p99, ms |");
+    let cluster = Arc::new(cluster);
+    println!(
+        "\n### Latency, {CONCURRENCY} concurrent requests on 64 slots, 40 tokens, step 1 ms\n"
+    );
+    println!("| path | first token p50/p99, ms | last token p50/p99, ms | end of response after last token p50/p99, ms |");
     println!("|---|---|---|---|");
-    let direct = stage.engines[0].url.clone();
-    // The home of the budget is one of the three; an instance that is not the home asks it.
-    let mut paths = vec![("engine alone".to_string(), direct)];
-    for (i, instance) in stage.instances.iter().enumerate() {
+    let direct = cluster.engines[0].url.clone();
+    // One of the three instances is the home of the budget; the others send it their reservations.
+    let mut paths = vec![("directly to the engine".to_string(), direct)];
+    for (i, instance) in cluster.instances.iter().enumerate() {
         paths.push((format!("through instance {i}"), instance.url.clone()));
     }
-    let before = fleet::totals(&stage).await?;
-    let began = Instant::now();
+    let before = fleet::totals(&cluster).await?;
+    let start = Instant::now();
     for stream in [true, false] {
-        // Interleaved, so that both see the same machine.
-        let mut seen: Vec<[Histogram<u64>; 3]> = paths.iter().map(|_| histograms()).collect();
-        for round in 0..WARM + ROUNDS {
+        // The paths take turns, so that the load of the machine affects all of them alike.
+        let mut results: Vec<[Histogram<u64>; 3]> = paths.iter().map(|_| histograms()).collect();
+        for round in 0..WARMUP_ROUNDS + ROUNDS {
             for (i, (_, url)) in paths.iter().enumerate() {
-                for times in abreast(&stage, url, stream, i == 0).await {
-                    if round < WARM {
+                for times in send_concurrently(&cluster, url, stream, i == 0).await {
+                    if round < WARMUP_ROUNDS {
                         continue;
                     }
-                    seen[i][0].record(times.first)?;
-                    seen[i][1].record(times.last_token)?;
-                    seen[i][2].record(times.end - times.last_token)?;
+                    results[i][0].record(times.first_chunk)?;
+                    results[i][1].record(times.last_token)?;
+                    results[i][2].record(times.end - times.last_token)?;
                 }
             }
         }
-        for ((name, _), h) in paths.iter().zip(&seen) {
-            let kind = if stream { "streamed" } else { "whole" };
+        for ((name, _), h) in paths.iter().zip(&results) {
+            let kind = if stream { "streamed" } else { "buffered" };
             let cells: Vec<String> = h.iter().map(percentiles).collect();
             println!("| {name}, {kind} | {} |", cells.join(" | "));
         }
     }
-    let secs = began.elapsed().as_secs_f64();
-    let after = fleet::totals(&stage).await?;
-    let count = (2 * (WARM + ROUNDS) * ABREAST * stage.instances.len()) as f64;
-    let each = |a: f64, b: f64| (b - a) / secs / stage.instances.len() as f64;
-    println!("\n### Control under that load, each figure per instance\n");
+    let secs = start.elapsed().as_secs_f64();
+    let after = fleet::totals(&cluster).await?;
+    let count = (2 * (WARMUP_ROUNDS + ROUNDS) * CONCURRENCY * cluster.instances.len()) as f64;
+    let per_instance =
+        |before: f64, after: f64| (after - before) / secs / cluster.instances.len() as f64;
+    println!("\n### Control traffic under that load, figures per instance\n");
     println!("| requests/s | peer bytes/s | platform reads/s | platform writes/s |");
     println!("|---|---|---|---|");
     println!(
         "| {:.0} | {:.0} | {:.2} | {:.2} |",
-        count / secs / stage.instances.len() as f64,
-        each(before.0, after.0),
-        each(before.1, after.1),
-        each(before.2, after.2),
+        count / secs / cluster.instances.len() as f64,
+        per_instance(before.0, after.0),
+        per_instance(before.1, after.1),
+        per_instance(before.2, after.2),
     );
     Ok(())
 }
@@ -105,12 +113,18 @@
     format!("{:.2}/{:.2}", ms(0.5), ms(0.99))
 }
 
-async fn abreast(stage: &Arc<Stage>, url: &str, stream: bool, direct: bool) -> Vec<Times> {
+/// Sends requests concurrently; returns the times of those that got a response.
+async fn send_concurrently(
+    cluster: &Arc<Cluster>,
+    url: &str,
+    stream: bool,
+    direct: bool,
+) -> Vec<ResponseTimes> {
     let mut tasks = Vec::new();
-    for _ in 0..ABREAST {
-        let (stage, url) = (Arc::clone(stage), url.to_string());
+    for _ in 0..CONCURRENCY {
+        let (cluster, url) = (Arc::clone(cluster), url.to_string());
         tasks.push(tokio::spawn(async move {
-            one(&stage, &url, stream, direct).await
+            send_request(&cluster, &url, stream, direct).await
         }));
     }
     let mut all = Vec::new();
@@ -122,69 +136,74 @@
     all
 }
 
-async fn one(stage: &Stage, url: &str, stream: bool, direct: bool) -> Result<Times> {
-    let began = Instant::now();
-    let mut req = stage
+async fn send_request(
+    cluster: &Cluster,
+    url: &str,
+    stream: bool,
+    direct: bool,
+) -> Result<ResponseTimes> {
+    let start = Instant::now();
+    let mut req = cluster
         .http
         .post(format!("{url}/v1/chat/completions"))
         .bearer_auth("k")
-        // The engine alone always streams.
+        // The engine itself streams in any case.
         .json(&body(40, stream || direct));
     if direct {
         req = req.header("x-request-id", format!("{:x}", rand::random::<u64>()));
     }
     let mut res = req.send().await?;
-    let mut times = Times {
-        first: 0,
+    let mut times = ResponseTimes {
+        first_chunk: 0,
         last_token: 0,
         end: 0,
     };
     while let Some(bytes) = res.chunk().await? {
-        let now = began.elapsed().as_micros() as u64;
-        if times.first == 0 {
-            times.first = now;
+        let now = start.elapsed().as_micros() as u64;
+        if times.first_chunk == 0 {
+            times.first_chunk = now;
         }
         if bytes.windows(9).any(|w| w == b"\"content\"") {
             times.last_token = now;
         }
     }
-    times.end = began.elapsed().as_micros() as u64;
+    times.end = start.elapsed().as_micros() as u64;
     Ok(times)
 }
 
 async fn throughput() -> Result<()> {
-    let stage = Stage::open(Size {
+    let cluster = Cluster::start(ClusterSize {
         engines: 4,
         instances: 1,
         step_ms: 1,
         slots: 256,
     })
     .await?;
-    let stage = Arc::new(stage);
-    let url = stage.instances[0].url.clone();
-    let writes = calls(&stage).await?;
-    let cpu = stage.instances[0].cpu_secs();
-    let began = Instant::now();
-    let until = began + THROUGHPUT;
+    let cluster = Arc::new(cluster);
+    let url = cluster.instances[0].url.clone();
+    let writes = platform_writes(&cluster).await?;
+    let cpu = cluster.instances[0].cpu_secs();
+    let start = Instant::now();
+    let until = start + THROUGHPUT_DURATION;
     let mut tasks = Vec::new();
     for _ in 0..256 {
-        let (stage, url) = (Arc::clone(&stage), url.clone());
+        let (cluster, url) = (Arc::clone(&cluster), url.clone());
         tasks.push(tokio::spawn(async move {
-            let mut done = 0u64;
+            let mut count = 0u64;
             while Instant::now() < until {
-                done += u64::from(one(&stage, &url, true, false).await.is_ok());
+                count += u64::from(send_request(&cluster, &url, true, false).await.is_ok());
             }
-            done
+            count
         }));
     }
     let mut done = 0;
     for task in tasks {
         done += task.await?;
     }
-    let secs = began.elapsed().as_secs_f64();
-    let cpu = stage.instances[0].cpu_secs() - cpu;
-    let writes = calls(&stage).await? - writes;
-    println!("\n### Throughput of one instance, 256 abreast, 40 tokens streamed\n");
+    let secs = start.elapsed().as_secs_f64();
+    let cpu = cluster.instances[0].cpu_secs() - cpu;
+    let writes = platform_writes(&cluster).await? - writes;
+    println!("\n### Throughput of one instance, 256 concurrent requests, 40 tokens streamed\n");
     println!(
         "| requests/s | cores used | requests/s per core | tokens/s per core | platform writes/s |"
     );
@@ -199,48 +218,50 @@
     Ok(())
 }
 
-/// Returns the platform's count of writes.
-async fn calls(stage: &Stage) -> Result<f64> {
-    let ledger = stage.get(&format!("{}/ledger", stage.platform.url)).await?;
+/// Returns the number of writes that the platform has executed.
+async fn platform_writes(cluster: &Cluster) -> Result<f64> {
+    let ledger = cluster
+        .get_json(&format!("{}/ledger", cluster.platform.url))
+        .await?;
     Ok(ledger["writes"].as_f64().unwrap_or(0.0))
 }
 
-/// Opens many streams that last, and looks at the instance's memory.
+/// Measures the memory of an instance with many open streams.
 async fn memory() -> Result<()> {
     println!("\n### Memory of open streams, one instance\n");
-    println!("| streams | bytes a stream, the two sockets' buffers in the kernel not counted |");
+    println!("| streams | bytes per stream, without the kernel buffers of its two sockets |");
     println!("|---|---|");
-    for count in STREAMS {
-        let stage = Stage::open(Size {
+    for count in STREAM_COUNTS {
+        let cluster = Cluster::start(ClusterSize {
             engines: 2,
             instances: 1,
             step_ms: 500,
             slots: 8_192,
         })
         .await?;
-        let stage = Arc::new(stage);
-        let url = stage.instances[0].url.clone();
-        let before = stage.instances[0].memory();
+        let cluster = Arc::new(cluster);
+        let url = cluster.instances[0].url.clone();
+        let before = cluster.instances[0].resident_bytes();
         let mut tasks = Vec::new();
         for _ in 0..count {
-            let (stage, url) = (Arc::clone(&stage), url.clone());
-            let req = stage
+            let (cluster, url) = (Arc::clone(&cluster), url.clone());
+            let req = cluster
                 .http
                 .post(format!("{url}/v1/chat/completions"))
                 .bearer_auth("k")
                 .json(&body(100_000, true));
             tasks.push(tokio::spawn(async move { req.send().await }));
-            // All at once would measure the listener's backlog.
+            // Opening all streams at once would measure the listener's backlog.
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let mut open = Vec::new();
         for task in tasks {
             open.extend(task.await?.ok().filter(|r| r.status().is_success()));
         }
-        tokio::time::sleep(SETTLE).await;
-        let after = stage.instances[0].memory();
-        let each = after.saturating_sub(before) / open.len().max(1) as u64;
-        println!("| {} | {each} |", open.len());
+        tokio::time::sleep(SETTLE_TIME).await;
+        let after = cluster.instances[0].resident_bytes();
+        let per_stream = after.saturating_sub(before) / open.len().max(1) as u64;
+        println!("| {} | {per_stream} |", open.len());
     }
     Ok(())
 }
--- a/crates/stub/src/platform.rs
+++ b/crates/stub/src/platform.rs
@@ -135,8 +135,8 @@
         json!({"result": {"ID": body["ID"], "TTL": ttl.to_string()}})
     }
 
-    /// Streams a line for each change in a range. It does not say what changed, so the client has to
-    /// read the range again.
+    /// Streams a line for each change in a range. It does not say what changed, so the client has
+    /// to read the range again.
     fn watch(self: &Arc<Self>, body: &Value) -> Res {
         let create = &body["create_request"];
         let from = decode_base64(create["key"].as_str().unwrap_or_default());
--- a/crates/stub/src/registration.rs
+++ b/crates/stub/src/registration.rs
@@ -10,8 +10,8 @@
 const LEASE_TTL_SECS: u64 = 5;
 const RENEW_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Spawns a task that writes an upstream's entry to the instance list, renews its lease, and updates
-/// the entry when `value` changes.
+/// Spawns a task that writes an upstream's entry to the instance list, renews its lease, and
+/// updates the entry when `value` changes.
 pub fn spawn(platform: &str, key: String, value: watch::Receiver<Value>) {
     let client = Client::open(platform);
     tokio::spawn(async move {
@@ -39,8 +39,8 @@
 
 /// Returns an id that is different for each start of an upstream.
 ///
-/// An upstream that restarts has lost its requests. Under its previous id, its report that a request
-/// is unknown would be taken as proof that the request did not run.
+/// An upstream that restarts has lost its requests. Under its previous id, its report that a
+/// request is unknown would be taken as proof that the request did not run.
 pub fn unique_id(name: &str) -> String {
     format!("{name}.{:08x}", rand::random::<u32>())
 }
