--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -143,9 +143,9 @@
             is_key_hash(text),
             "sha256: followed by 64 hexadecimal digits".to_string(),
         ),
-        Schema::Enum(words) => (
-            words.contains(&text),
-            format!("one of {}", words.join(", ")),
+        Schema::Enum(values) => (
+            values.contains(&text),
+            format!("one of {}", values.join(", ")),
         ),
         Schema::Array(_) | Schema::Map(_) | Schema::Object(_) => (true, String::new()),
     };
--- a/crates/conf/src/customer.rs
+++ b/crates/conf/src/customer.rs
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// Returns all errors found, including unknown templates and keys of several customers.
+    /// Returns all errors found, including unknown templates and API keys that customers share.
     pub fn parse(text: &str) -> Result<Config, Vec<ValidationError>> {
         let error = |message: String| {
             vec![ValidationError {
--- a/crates/conf/src/schema.rs
+++ b/crates/conf/src/schema.rs
@@ -5,7 +5,7 @@
 pub enum Schema {
     /// A non-empty string.
     NonEmptyString,
-    /// A name of ASCII letters, digits, `-` and `_`, which can be part of a key in the store.
+    /// A name of ASCII letters, digits, `-` and `_` only, because it becomes part of keys in the store.
     Name,
     /// An integer between two bounds, both inclusive.
     Integer(u64, u64),
--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -1,10 +1,10 @@
-//! Checks the files under tests/check: each states the faults that it must show.
+//! Validates the documents under tests/check, each of which lists the errors that are expected for it.
 
 use std::path::Path;
 
 use conf::{Config, Settings};
 
-/// The first lines of a file are comments with the expected faults, then comes the document.
+/// Validates one file: comments with the expected errors, followed by the document.
 fn run(path: &Path) -> datatest_stable::Result<()> {
     let text = std::fs::read_to_string(path)?;
     let expected: Vec<&str> = text.lines().filter_map(|l| l.strip_prefix("// ")).collect();
@@ -13,23 +13,23 @@
     let is_config = path
         .file_name()
         .is_some_and(|n| n.to_string_lossy().starts_with("config"));
-    let faults = if is_config {
+    let errors = if is_config {
         Config::parse(&document).err()
     } else {
         Settings::parse(&document).err()
     };
-    let mut seen: Vec<String> = faults
+    let mut actual: Vec<String> = errors
         .unwrap_or_default()
         .iter()
         .map(ToString::to_string)
         .collect();
-    seen.sort();
-    let mut wanted: Vec<String> = expected.iter().map(ToString::to_string).collect();
-    wanted.sort();
-    if seen == wanted {
+    actual.sort();
+    let mut expected: Vec<String> = expected.iter().map(ToString::to_string).collect();
+    expected.sort();
+    if actual == expected {
         Ok(())
     } else {
-        Err(format!("expected {wanted:#?}\ngot {seen:#?}").into())
+        Err(format!("expected {expected:#?}\ngot {actual:#?}").into())
     }
 }
 
