--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -176,7 +176,7 @@
     }
 
     /// Returns whether the last platform call failed.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn last_call_failed(&self) -> bool {
         self.consecutive_failures > 0
     }
 
--- a/crates/entry/src/budget_handle.rs
+++ b/crates/entry/src/budget_handle.rs
@@ -25,7 +25,7 @@
     SetMembers(Vec<Candidate>),
     ReportUnresponsive(Vec<String>),
     SetPresence(Vec<String>, Vec<String>),
-    ReleaseAll,
+    ReturnAll,
     IsDrained(oneshot::Sender<bool>),
     Dump(oneshot::Sender<Value>),
 }
@@ -129,8 +129,8 @@
     }
 
     /// Returns all unspent tokens to the stored records, for a planned stop.
-    pub fn release_all(&self) {
-        self.send(Command::ReleaseAll);
+    pub fn return_all(&self) {
+        self.send(Command::ReturnAll);
     }
 
     /// Returns whether nothing is left to be settled or returned.
--- a/crates/entry/src/budget_task.rs
+++ b/crates/entry/src/budget_task.rs
@@ -240,7 +240,7 @@
                 self.shards.set_presence(now, &present, &left);
                 Vec::new()
             }
-            Command::ReleaseAll => {
+            Command::ReturnAll => {
                 self.shards.leave();
                 self.shards.step_all(now, &Event::Tick)
             }
@@ -429,7 +429,7 @@
                 .collect();
             let row = json!({
                 "role": format!("{:?}", shard.role()),
-                "cut_off": shard.is_cut_off(),
+                "cut_off": shard.last_call_failed(),
                 "accounts": accounts,
             });
             rows.insert(number.to_string(), row);
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -149,7 +149,7 @@
         let mut in_flight = self.shared.in_flight.subscribe();
         // Can't fail, since `shared` owns the sender.
         let _ = in_flight.wait_for(|n| *n == 0).await;
-        self.shared.budgets.release_all();
+        self.shared.budgets.return_all();
         while !self.shared.budgets.is_drained().await {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
--- a/crates/entry/src/shared_state.rs
+++ b/crates/entry/src/shared_state.rs
@@ -119,8 +119,8 @@
         self.active_config().map_or(0, |a| a.bundle.head.revision)
     }
 
-    /// Returns the standing that this instance announces.
-    pub fn standing(&self) -> Status {
+    /// Returns the status that this instance announces.
+    pub fn status(&self) -> Status {
         self.members
             .lock()
             .expect("lock not poisoned")
@@ -130,7 +130,7 @@
 
     /// Returns whether new requests are accepted.
     pub fn is_ready(&self) -> bool {
-        self.standing() == Status::Live && self.active_config().is_some()
+        self.status() == Status::Live && self.active_config().is_some()
     }
 
     /// Returns the live instances of all regions.
