--- a/crates/budget/src/shard_manager.rs
+++ b/crates/budget/src/shard_manager.rs
@@ -73,11 +73,11 @@
         }
         // Homes make most of the writes, so the fleet's rate is split by the number of shards that
         // each instance is home to.
-        let part = match self.params.sizing {
+        let share = match self.params.sizing {
             GrantSizing::Split { parts } => 1.0 / parts as f64,
             _ => f64::from(homes) / f64::from(self.shard_count),
         };
-        self.write_limiter.set_share(self.writes_per_sec, part);
+        self.write_limiter.set_share(self.writes_per_sec, share);
     }
 
     /// Starts a planned stop: gives up all roles, so that unspent tokens go back to the records.
--- a/crates/budget/src/write_limiter.rs
+++ b/crates/budget/src/write_limiter.rs
@@ -1,6 +1,6 @@
-//! Limits the record writes of one instance to its part of the fleet's write rate.
+//! Limits the record writes of one instance to its share of the fleet's write rate.
 
-/// Smallest part of the fleet's rate that an instance gets. Instances that are home to no shard
+/// Smallest share of the fleet's rate that an instance gets. Instances that are home to no shard
 /// write, too: settlements of shards that they were home to, operator commands, and copies of other
 /// holders' settlements.
 const MIN_SHARE: f64 = 0.02;
@@ -19,21 +19,21 @@
 }
 
 impl WriteLimiter {
-    /// Creates a limiter for a part of the fleet's rate, with a full bucket.
-    pub fn new(now: u64, fleet_per_sec: u64, part: f64) -> WriteLimiter {
+    /// Creates a limiter for a share of the fleet's rate, with a full bucket.
+    pub fn new(now: u64, fleet_per_sec: u64, share: f64) -> WriteLimiter {
         let mut limiter = WriteLimiter {
             per_sec: 1.0,
             burst: 1.0,
             tokens: f64::MAX,
             refilled_at: now,
         };
-        limiter.set_share(fleet_per_sec, part);
+        limiter.set_share(fleet_per_sec, share);
         limiter
     }
 
-    /// Sets the part of the fleet's rate, at least `MIN_SHARE`.
-    pub fn set_share(&mut self, fleet_per_sec: u64, part: f64) {
-        self.per_sec = fleet_per_sec as f64 * part.clamp(MIN_SHARE, 1.0);
+    /// Sets the share of the fleet's rate, at least `MIN_SHARE`.
+    pub fn set_share(&mut self, fleet_per_sec: u64, share: f64) {
+        self.per_sec = fleet_per_sec as f64 * share.clamp(MIN_SHARE, 1.0);
         self.burst = (self.per_sec * 2.0).max(2.0);
         self.tokens = self.tokens.min(self.burst);
     }
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -26,7 +26,7 @@
     let queue_key = (kind, serves.to_string());
     let now = shared.clock.now();
     let capacity = free_capacity(shared, &queue_key);
-    let (ticket, rx) = {
+    let (waiter, rx) = {
         let mut queues = shared.wait_queues.lock().expect("lock not poisoned");
         let wait_queue = queues.0.entry(queue_key.clone()).or_default();
         match wait_queue.queue.admit(now, &capacity, priority, deadline) {
@@ -37,17 +37,17 @@
                 let secs = retry_ms.div_ceil(1000) as u32;
                 return Err(Error::new(Kind::Overloaded, message).retry_after(secs));
             }
-            AdmissionDecision::Wait(ticket) => {
+            AdmissionDecision::Wait(waiter) => {
                 let (tx, rx) = oneshot::channel();
-                wait_queue.waiters.insert(ticket, tx);
-                (ticket, rx)
+                wait_queue.waiters.insert(waiter, tx);
+                (waiter, rx)
             }
         }
     };
     let guard = QueueGuard {
         shared: Arc::clone(shared),
         queue_key,
-        ticket,
+        waiter,
     };
     let admitted = rx.await;
     drop(guard);
@@ -65,15 +65,15 @@
 struct QueueGuard {
     shared: Arc<SharedState>,
     queue_key: QueueKey,
-    ticket: WaiterId,
+    waiter: WaiterId,
 }
 
 impl Drop for QueueGuard {
     fn drop(&mut self) {
         let mut queues = self.shared.wait_queues.lock().expect("lock not poisoned");
         if let Some(wait_queue) = queues.0.get_mut(&self.queue_key) {
-            wait_queue.queue.remove(self.ticket);
-            wait_queue.waiters.remove(&self.ticket);
+            wait_queue.queue.remove(self.waiter);
+            wait_queue.waiters.remove(&self.waiter);
         }
     }
 }
@@ -105,12 +105,12 @@
         if wait_queue.queue.is_empty() {
             continue;
         }
-        for ticket in wait_queue.queue.expire(now) {
-            wait_queue.notify(ticket, false);
+        for waiter in wait_queue.queue.expire(now) {
+            wait_queue.notify(waiter, false);
         }
         let capacity = free_capacity(shared, queue_key);
-        for ticket in wait_queue.queue.release(&capacity) {
-            wait_queue.notify(ticket, true);
+        for waiter in wait_queue.queue.release(&capacity) {
+            wait_queue.notify(waiter, true);
         }
     }
 }
--- a/crates/entry/src/event.rs
+++ b/crates/entry/src/event.rs
@@ -28,7 +28,7 @@
     PlatformUnavailable,
     /// The platform responds again.
     PlatformRecovered,
-    /// An instance is new, or its standing changed.
+    /// An instance is new, or its status changed.
     MembershipChanged,
     /// An instance became unresponsive, or has left.
     InstanceUnresponsive,
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -131,13 +131,13 @@
     }
 }
 
-/// Sends this instance's state, with a new standing if one is given, to up to 16 live instances at
+/// Sends this instance's state, with a new status if one is given, to up to 16 live instances at
 /// once; others learn of it by gossip.
-pub async fn broadcast(shared: &Arc<SharedState>, standing: Option<Status>) {
+pub async fn broadcast(shared: &Arc<SharedState>, status: Option<Status>) {
     let (me, live) = {
         let mut members = shared.members.lock().expect("lock not poisoned");
-        if let Some(standing) = standing {
-            members.set_status(standing);
+        if let Some(status) = status {
+            members.set_status(status);
         }
         (members.local().clone(), members.live(shared.clock.now()))
     };
--- a/crates/entry/src/pipeline/claims.rs
+++ b/crates/entry/src/pipeline/claims.rs
@@ -124,7 +124,7 @@
         };
         match resolve_existing(cx, own, &found).await? {
             Resolution::Run => return Ok(owned_claim(&key, own, found.revision)),
-            Resolution::Replay(answer) => return Ok(ClaimOutcome::Replay(answer)),
+            Resolution::Replay(response) => return Ok(ClaimOutcome::Replay(response)),
             Resolution::Replace => base_revision = found.revision,
             resolution => return Err(refusal_error(&resolution)),
         }
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -35,7 +35,7 @@
     format!("{KEY_PREFIX}router/{id}")
 }
 
-/// Writes this instance's entry, renews its lease, and updates it when the standing changes.
+/// Writes this instance's entry, renews its lease, and updates it when the status changes.
 async fn maintain_entry(shared: Arc<SharedState>) {
     let mut lease = None;
     let mut written = None;
--- a/crates/entry/src/wait_queues.rs
+++ b/crates/entry/src/wait_queues.rs
@@ -18,8 +18,8 @@
 
 impl WaitQueue {
     /// Wakes a waiting request and tells it whether it is admitted.
-    pub(crate) fn notify(&mut self, ticket: WaiterId, admitted: bool) {
-        if let Some(tx) = self.waiters.remove(&ticket) {
+    pub(crate) fn notify(&mut self, waiter: WaiterId, admitted: bool) {
+        if let Some(tx) = self.waiters.remove(&waiter) {
             // The request may have stopped waiting.
             let _ = tx.send(admitted);
         }
@@ -33,7 +33,7 @@
 impl WaitQueues {
     /// Returns the number of waiting requests by model or service.
     pub fn lengths(&self) -> BTreeMap<String, usize> {
-        let count = |(k, l): (&QueueKey, &WaitQueue)| (k.1.clone(), l.queue.len());
+        let count = |(k, q): (&QueueKey, &WaitQueue)| (k.1.clone(), q.queue.len());
         self.0.iter().map(count).collect()
     }
 }
