--- a/crates/budget/src/grant.rs
+++ b/crates/budget/src/grant.rs
@@ -43,7 +43,7 @@
 }
 
 impl GrantSizing {
-    /// Returns the number of tokens to grant; 0 if it cannot cover the need.
+    /// Returns the number of tokens to grant; 0 if the policy allows no grant that covers the need.
     pub fn size(self, input: SizingInput) -> u64 {
         if input.need > input.free {
             return 0;
--- a/crates/budget/src/joint_grant.rs
+++ b/crates/budget/src/joint_grant.rs
@@ -17,10 +17,11 @@
 
 /// Time for which a step covers the demand, in milliseconds.
 const STEP_DEMAND_MS: f64 = 1_500.0;
-/// Time after which the holder does without a witness that has not answered, in milliseconds.
+/// Time after which the holder takes grants without a witness that has not replied to a step, in
+/// milliseconds.
 const WITNESS_TIMEOUT_MS: u64 = 200;
 /// Number of steps' worth of tokens that a holder with a witness keeps in its own grant: room for
-/// steps that are opened ahead and for what requests give back of their holds.
+/// steps that are opened ahead and for tokens that holds reserved and requests did not spend.
 const MAX_UNWITNESSED_STEPS: f64 = 4.0;
 /// The holder keeps at least the whole budget divided by this: returning less is not worth a write.
 const UNWITNESSED_DIVISOR: u64 = 100;
@@ -45,7 +46,7 @@
     pub closing: bool,
 }
 
-/// Another holder's recall whose answer waits for a step to be opened.
+/// Another holder's recall whose reply waits for a step to be opened.
 #[derive(Clone, Debug)]
 pub struct DeferredRecall {
     /// Id of the reply.
@@ -163,7 +164,7 @@
         });
     }
 
-    /// Handles the witness's answer to a step; `total_opened` is `None` if it did not answer.
+    /// Handles the witness's reply to a step; `total_opened` is `None` if it did not reply.
     pub(crate) fn on_step_reply(&mut self, name: &str, key: &str, total_opened: Option<u64>) {
         let local = self.local_accounts.get_mut(name);
         let joint = local.and_then(|l| l.joint.as_mut());
@@ -179,7 +180,7 @@
                 joint.opened = joint.opened.max(opened);
                 joint.is_watched = true;
             }
-            // The witness closed the grant or did not answer: a grant with another witness is
+            // The witness closed the grant or did not reply: a grant with another witness is
             // needed.
             Some(_) | None => joint.closing = true,
         }
@@ -217,8 +218,7 @@
         })
     }
 
-    /// Once this holder has a witness, gives tokens that were granted to it alone back to the
-    /// records.
+    /// Once this holder has a witness, returns tokens that were granted to it alone to the record.
     ///
     /// A witness that is late on a busy machine counts as unresponsive for a while, and grants are
     /// taken without it in the meantime: up to a quarter of a budget. Without this, a crash much
--- a/crates/budget/src/local_account.rs
+++ b/crates/budget/src/local_account.rs
@@ -64,7 +64,7 @@
 }
 
 impl FinishedRequest {
-    /// Returns the answer to a retry with the given hash of its body.
+    /// Returns the reply to a retry with the given hash of its body.
     pub fn reply(&self, me: &str, body_hash: u64) -> ReserveReply {
         if self.body_hash != body_hash {
             return ReserveReply::IdReused;
@@ -112,7 +112,7 @@
     pub weight: u8,
     /// When it arrived, in milliseconds.
     pub requested_at: u64,
-    /// When it is refused if it still waits, in milliseconds.
+    /// Time at which it is refused if it is still waiting, in milliseconds.
     pub deadline: u64,
     /// Whether the other holders were asked for tokens on its behalf.
     pub recall_sent: bool,
--- a/crates/budget/src/msg.rs
+++ b/crates/budget/src/msg.rs
@@ -36,7 +36,7 @@
     pub weight: u8,
 }
 
-/// Answer to a reservation or to the extension of a hold.
+/// Reply to a reservation or to the extension of a hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ReserveReply {
     /// The tokens are reserved in a hold.
@@ -147,7 +147,7 @@
     },
 }
 
-/// Answer to an operator's command.
+/// Reply to an operator's command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperatorReply {
     /// The record shows it, with this number of tokens.
@@ -165,9 +165,9 @@
     Reserve {
         /// Id of the reply.
         reply_to: u64,
-        /// Tokens asked for, and for which request.
+        /// The request, and the tokens to reserve for it.
         request: ReserveRequest,
-        /// When the reservation is refused if it still waits, in milliseconds.
+        /// Time at which the reservation is refused if it is still waiting, in milliseconds.
         deadline: u64,
     },
     /// An entry that retries a request at another upstream asks for more tokens.
@@ -182,7 +182,7 @@
         attempt: AttemptRef,
         /// Tokens to add to the hold.
         tokens: u64,
-        /// When the reservation is refused if it still waits, in milliseconds.
+        /// Time at which the reservation is refused if it is still waiting, in milliseconds.
         deadline: u64,
     },
     /// An entry has stopped waiting for a reservation and will not use it.
@@ -235,13 +235,13 @@
         /// Tokens that it is short of.
         tokens: u64,
     },
-    /// Another holder has answered a recall, or did not answer in time.
+    /// Another holder has replied to a recall, or did not reply in time.
     RecallReply {
         /// Name of the customer's account.
         account: String,
         /// Holder that was asked.
         from: String,
-        /// Tokens that it has transferred to this holder, cumulative; `None` if it did not answer.
+        /// Tokens that it has transferred to this holder, cumulative; `None` if it did not reply.
         total_sent: Option<u64>,
     },
     /// A holder asks this instance, its witness, to approve a step of a joint grant.
@@ -253,13 +253,13 @@
         /// Tokens opened after the step, cumulative.
         up_to: u64,
     },
-    /// The witness has answered a step, or did not answer in time.
+    /// The witness has replied to a step, or did not reply in time.
     StepReply {
         /// Name of the customer's account.
         account: String,
         /// Key of the joint grant.
         key: String,
-        /// Tokens opened, cumulative; `None` if it did not answer.
+        /// Tokens opened, cumulative; `None` if it did not reply.
         total_opened: Option<u64>,
     },
     /// An operator changes a budget.
@@ -376,7 +376,7 @@
     ReserveReply {
         /// Id of the reply.
         reply_to: u64,
-        /// Answer to send.
+        /// Reply to send.
         reply: ReserveReply,
     },
     /// Answer a settlement.
@@ -390,7 +390,7 @@
     OperatorReply {
         /// Id of the reply.
         reply_to: u64,
-        /// Answer to send.
+        /// Reply to send.
         reply: OperatorReply,
     },
     /// Answer another holder's recall.
--- a/crates/budget/src/settle.rs
+++ b/crates/budget/src/settle.rs
@@ -5,7 +5,7 @@
 use crate::shard::{close_hold, push_settle_reply, Shard, CANCEL_RETRY_MS, COPY_RETRY_MS};
 
 impl Shard {
-    /// Frees a reservation whose answer reached its entry too late or not at all.
+    /// Frees a reservation whose reply reached its entry too late or not at all.
     ///
     /// Without this the tokens would stay reserved, because nobody would settle the hold.
     pub(crate) fn void(&mut self, now: u64, account: &str, request_id: &str, entry: &str) {
--- a/crates/budget/src/shard.rs
+++ b/crates/budget/src/shard.rs
@@ -62,7 +62,7 @@
     pub(crate) number: u64,
     /// Revision that it replaces.
     pub(crate) base_revision: i64,
-    /// Tokens that it gives back to the record, by account.
+    /// Tokens that it returns to the record, by account.
     pub(crate) returning: BTreeMap<String, u64>,
     /// Record that it writes.
     pub(crate) record: ShardRecord,
@@ -501,7 +501,7 @@
         }
     }
 
-    /// Returns the answer to a request that has a bill, in the record or in a segment.
+    /// Returns the reply to a request that has a bill, in the record or in a segment.
     pub(crate) fn billed_reply(
         &self,
         account: &str,
@@ -536,7 +536,7 @@
     }
 }
 
-/// Returns the answer to a request that is voided, running or finished here, and adds the entry to
+/// Returns the reply to a request that is voided, running or finished here, and adds the entry to
 /// its hold if it is running.
 fn reply_if_known(
     me: &str,
@@ -623,7 +623,7 @@
     }));
 }
 
-/// Returns the answer to an operator's command, once the record shows its id.
+/// Returns the reply to an operator's command, once the record shows its id.
 pub(crate) fn stored_operator_reply(
     account: &Account,
     command: &OperatorCommand,
--- a/crates/budget/src/transfer.rs
+++ b/crates/budget/src/transfer.rs
@@ -53,7 +53,7 @@
 
     /// Transfers unspent tokens to a holder that is short of them.
     ///
-    /// The tokens are debited here before the answer is sent.
+    /// The tokens are debited here before the reply is sent.
     pub(crate) fn answer_recall(
         &mut self,
         reply_to: u64,
@@ -81,7 +81,7 @@
         });
     }
 
-    /// Handles the answer to a recall; `total_sent` is `None` if the holder did not answer.
+    /// Handles the reply to a recall; `total_sent` is `None` if the holder did not reply.
     pub(crate) fn on_recall_reply(&mut self, account: &str, from: String, total_sent: Option<u64>) {
         let is_retired = self.record().is_some_and(|r| r.tombstones.contains(&from));
         let local = self.local_accounts.entry(account.to_string()).or_default();
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Gives all unspent tokens back to the record if this instance has no role in the shard.
+    /// Returns all unspent tokens to the record if this instance has no role in the shard.
     pub(crate) fn return_unspent(&mut self) {
         if self.role != Role::None || self.consecutive_failures > 0 {
             return;
--- a/crates/entry/src/config_sync.rs
+++ b/crates/entry/src/config_sync.rs
@@ -19,7 +19,7 @@
 pub(crate) const HEAD_KEY: &str = "/oriolehitch/config/head";
 /// Prefix of the store keys of the chunks, before their hash.
 pub(crate) const CHUNK_KEY_PREFIX: &str = "/oriolehitch/config/chunk/";
-/// Interval in which the head is read in any case, since a watch can stall without an error.
+/// Interval at which the head is read in any case, since a watch can stall without an error.
 const POLL_INTERVAL: Duration = Duration::from_secs(10);
 /// Delay before a failed watch is started again.
 const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -26,7 +26,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum size of an operator's request body, in bytes.
 const ADMIN_BODY_LIMIT: usize = 64 << 20;
-/// Interval in which a planned stop checks whether the budgets are drained.
+/// Interval at which a planned stop checks whether the budgets are drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// New requests are refused at least this long before the listeners close, so that load balancers
 /// notice.
--- a/crates/entry/src/pipeline/chat.rs
+++ b/crates/entry/src/pipeline/chat.rs
@@ -68,8 +68,8 @@
         ..Usage::default()
     };
     loop {
-        // Boxed, like everything except relaying: otherwise this future would hold memory for their
-        // large state while a stream lasts.
+        // Boxed, like every stage except relaying: otherwise this future would hold memory for the
+        // large state of these stages while a stream lasts.
         if let Err(error) = Box::pin(prepare(cx, chat, &usage)).await {
             choose::finish_attempt(cx, ENGINE, &chat.model, true);
             Box::pin(settle(cx, usage.clone())).await;
--- a/crates/entry/src/pipeline/reservation.rs
+++ b/crates/entry/src/pipeline/reservation.rs
@@ -42,7 +42,7 @@
     };
     if is_refused(&reply) {
         // The upper bound from the number of bytes is several times the actual number of tokens, so
-        // the engine is asked for it.
+        // the engine is asked to count them.
         if let Some(exact) = count_prompt_tokens(cx, chat).await {
             cx.record_step(format!(
                 "reservation of {bound} tokens refused; the prompt has {exact} tokens"
--- a/crates/entry/src/registry.rs
+++ b/crates/entry/src/registry.rs
@@ -17,7 +17,7 @@
 /// Lifetime of this instance's entry without a renewal, in seconds.
 const LEASE_TTL_SECS: u64 = 12;
 const RENEW_INTERVAL: Duration = Duration::from_secs(4);
-/// Interval in which the list is read in any case, since a watch can stall without an error.
+/// Interval at which the list is read in any case, since a watch can stall without an error.
 const POLL_INTERVAL: Duration = Duration::from_secs(5);
 /// Delay before a failed watch is started again.
 const WATCH_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/crates/entry/tests/dump.rs
+++ b/crates/entry/tests/dump.rs
@@ -12,7 +12,7 @@
 
 /// Time limit of the test; long, since the machine may be busy.
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Interval in which the dump is read.
+/// Interval at which the dump is read.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Collects the paths of all field names in a value; `*` stands for any index of an array.
