--- a/crates/entry/src/instance.rs
+++ b/crates/entry/src/instance.rs
@@ -26,7 +26,7 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Maximum size of an operator's request body, in bytes.
 const ADMIN_BODY_LIMIT: usize = 64 << 20;
-/// Interval in which a planned stop checks whether the budgets are drained.
+/// Interval at which a planned stop checks whether the budgets are drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// New requests are refused at least this long before the listeners close, so that load balancers
 /// notice.
@@ -149,7 +149,7 @@
         let mut in_flight = self.shared.in_flight.subscribe();
         // Can't fail, since `shared` owns the sender.
         let _ = in_flight.wait_for(|n| *n == 0).await;
-        self.shared.budgets.release_all();
+        self.shared.budgets.return_all();
         while !self.shared.budgets.is_drained().await {
             tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
