--- a/crates/budget/tests/encoding.rs
+++ b/crates/budget/tests/encoding.rs
@@ -1,5 +1,5 @@
-//! Tests that the encoding of messages, stored records and the dump stays the same: instances of
-//! other versions and later incarnations read it.
+//! The encoding of messages, stored records and the dump. It must not change: instances of other
+//! versions and later incarnations read it.
 
 use budget::grant::GrantSizing;
 use budget::joint_grant::LocalJointGrant;
@@ -17,29 +17,29 @@
 
 #[test]
 fn stored_records_keep_their_encoding() {
-    assert_kept::<ShardRecord>(include_str!("data/outer/records.json"));
-    assert_kept::<Account>(include_str!("data/outer/accounts.json"));
-    assert_kept::<BillSegment>(include_str!("data/outer/segments.json"));
-    assert_kept::<JointGrant>(include_str!("data/outer/joints.json"));
-    assert_kept::<LedgerEntry>(include_str!("data/outer/lines.json"));
-    assert_kept::<RangeSet>(include_str!("data/outer/ranges.json"));
-    assert_kept::<Bill>(include_str!("data/outer/bills.json"));
-    assert_kept::<Release>(include_str!("data/outer/releases.json"));
-    assert_kept::<AttemptRef>(include_str!("data/outer/run_at.json"));
+    assert_round_trip::<ShardRecord>(include_str!("data/outer/records.json"));
+    assert_round_trip::<Account>(include_str!("data/outer/accounts.json"));
+    assert_round_trip::<BillSegment>(include_str!("data/outer/segments.json"));
+    assert_round_trip::<JointGrant>(include_str!("data/outer/joints.json"));
+    assert_round_trip::<LedgerEntry>(include_str!("data/outer/lines.json"));
+    assert_round_trip::<RangeSet>(include_str!("data/outer/ranges.json"));
+    assert_round_trip::<Bill>(include_str!("data/outer/bills.json"));
+    assert_round_trip::<Release>(include_str!("data/outer/releases.json"));
+    assert_round_trip::<AttemptRef>(include_str!("data/outer/run_at.json"));
 }
 
-/// Guards the reading of records of an earlier version, which had fewer fields.
+/// Guards that records of an earlier version, which had fewer fields, can still be read.
 #[test]
 fn stored_records_without_newer_fields_are_read() {
-    assert_filled::<ShardRecord>(
+    assert_defaults_added::<ShardRecord>(
         r#"{"accounts":{}}"#,
         r#"{"accounts":{},"writers":{},"tombstones":[]}"#,
     );
-    assert_filled::<Account>(
+    assert_defaults_added::<Account>(
         r#"{"topups":{},"lines":{}}"#,
         r#"{"topups":{},"lines":{},"folded":0,"bills":[]}"#,
     );
-    assert_filled::<LedgerEntry>(
+    assert_defaults_added::<LedgerEntry>(
         r#"{"granted":1,"settled":2}"#,
         r#"{"granted":1,"settled":2,"written_off":0,"posted":[],"released":0}"#,
     );
@@ -47,17 +47,17 @@
 
 #[test]
 fn messages_keep_their_encoding() {
-    assert_kept::<ReserveRequest>(include_str!("data/outer/reserves.json"));
-    assert_kept::<ReserveReply>(include_str!("data/outer/reserve_replies.json"));
-    assert_kept::<Durability>(include_str!("data/outer/settled.json"));
-    assert_kept::<Settlement>(include_str!("data/outer/posts.json"));
-    assert_kept::<UnconfirmedUsage>(include_str!("data/outer/doubts.json"));
-    assert_kept::<OperatorCommand>(include_str!("data/outer/acts.json"));
-    assert_kept::<OperatorReply>(include_str!("data/outer/act_replies.json"));
-    assert_kept::<GrantSizing>(include_str!("data/outer/sizings.json"));
+    assert_round_trip::<ReserveRequest>(include_str!("data/outer/reserves.json"));
+    assert_round_trip::<ReserveReply>(include_str!("data/outer/reserve_replies.json"));
+    assert_round_trip::<Durability>(include_str!("data/outer/settled.json"));
+    assert_round_trip::<Settlement>(include_str!("data/outer/posts.json"));
+    assert_round_trip::<UnconfirmedUsage>(include_str!("data/outer/doubts.json"));
+    assert_round_trip::<OperatorCommand>(include_str!("data/outer/acts.json"));
+    assert_round_trip::<OperatorReply>(include_str!("data/outer/act_replies.json"));
+    assert_round_trip::<GrantSizing>(include_str!("data/outer/sizings.json"));
 }
 
-/// Holds and joint grants are only written, to the dump.
+/// Holds and joint grants are only serialized, for the dump.
 #[test]
 fn dumped_holds_keep_their_encoding() {
     let attempt =
@@ -85,9 +85,9 @@
     assert_eq!(serde_json::to_string(&joint).expect("JSON"), sample);
 }
 
-/// Roles are printed in the dump, and the durability of settlements in the request journal.
+/// The dump contains the Debug output of roles, and the request journal that of durabilities.
 #[test]
-fn roles_and_durabilities_keep_their_texts() {
+fn roles_and_durabilities_keep_their_debug_output() {
     let roles = [Role::Home, Role::Standby, Role::None];
     assert_eq!(format!("{roles:?}"), "[Home, Standby, None]");
     let durabilities: [Result<Durability, ()>; 2] =
@@ -95,21 +95,22 @@
     assert_eq!(format!("{durabilities:?}"), "[Ok(Recorded), Ok(Copied)]");
 }
 
-/// Checks that each sample can be read and is written in the same way.
-fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+/// Deserializes each sample, serializes it again and compares the texts.
+fn assert_round_trip<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
     for sample in samples {
         let value: serde_json::Result<T> = serde_json::from_str(sample.get());
         let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
-        let written = serde_json::to_string(&value).expect("a value that JSON can represent");
+        let written = serde_json::to_string(&value).expect("the value serializes");
         assert_eq!(written, sample.get());
     }
 }
 
-/// Checks that a sample without optional fields can be read and is written with their defaults.
-fn assert_filled<T: Serialize + DeserializeOwned>(short: &str, full: &str) {
+/// Deserializes a sample without its optional fields; checks that it is serialized with their
+/// defaults.
+fn assert_defaults_added<T: Serialize + DeserializeOwned>(short: &str, full: &str) {
     let value: T = serde_json::from_str(short).expect("a sample");
-    let written = serde_json::to_string(&value).expect("a value that JSON can represent");
+    let written = serde_json::to_string(&value).expect("the value serializes");
     assert_eq!(written, full);
 }
--- a/crates/conf/tests/encoding.rs
+++ b/crates/conf/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! Operators, stores and instances of other versions hold these: their encoding stays.
+//! The encoding of settings and configurations, which operators, the store and instances of other
+//! versions hold: it must not change.
 
 use conf::bundle::Change;
 use conf::{Bundle, Chunk, Config, Customer, Fault, Fleet, Head, Settings, Template};
@@ -23,9 +24,10 @@
     assert_kept::<Fleet>(include_str!("data/outer/fleets.json"));
 }
 
-/// Guards the table of allowed fields, which is beside the types.
+/// Guards against a field that is missing in the table of allowed fields, which is kept apart from
+/// the types.
 #[test]
-fn whole_documents_are_accepted() {
+fn complete_documents_are_accepted() {
     let text = include_str!("data/outer/whole_settings.json");
     let settings = Settings::parse(text).expect("settings without a fault");
     let written = serde_json::to_string(&settings).expect("JSON");
@@ -35,7 +37,7 @@
     assert_eq!(serde_json::to_string(&config).expect("JSON"), text);
 }
 
-/// This one is written only.
+/// Policies are only serialized.
 #[test]
 fn policies_keep_their_encoding() {
     let config: Config = serde_json::from_str(
@@ -47,7 +49,7 @@
     assert_eq!(serde_json::to_string(&policy).expect("JSON"), sample);
 }
 
-/// Operators get these.
+/// Operators see the Display output.
 #[test]
 fn faults_keep_their_text() {
     let fault = Fault {
@@ -57,7 +59,7 @@
     assert_eq!(fault.to_string(), "at /zone: is missing");
 }
 
-/// Reads each sample and writes it again.
+/// Deserializes each sample, serializes it again and compares the texts.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
--- a/crates/entry/tests/encoding.rs
+++ b/crates/entry/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! Encodings that instances of other versions or operators read, compared with recorded samples.
+//! The encoding of messages, journal steps and metrics, which instances of other versions and
+//! operators read: it must not change.
 
 use entry::journal::RequestJournal;
 use entry::messages::{
@@ -13,17 +14,17 @@
 
 #[test]
 fn messages_keep_their_encoding() {
-    assert_unchanged::<ReserveMsg>(include_str!("data/outer/reserve_msgs.json"));
-    assert_unchanged::<ExtendMsg>(include_str!("data/outer/extend_msgs.json"));
-    assert_unchanged::<VoidMsg>(include_str!("data/outer/void_msgs.json"));
-    assert_unchanged::<DetachMsg>(include_str!("data/outer/drop_out_msgs.json"));
-    assert_unchanged::<SettleMsg>(include_str!("data/outer/settle_msgs.json"));
-    assert_unchanged::<StoreCopyMsg>(include_str!("data/outer/keep_msgs.json"));
-    assert_unchanged::<RecallMsg>(include_str!("data/outer/recall_msgs.json"));
-    assert_unchanged::<OpenStepMsg>(include_str!("data/outer/open_msgs.json"));
-    assert_unchanged::<GossipMsg>(include_str!("data/outer/gossip_msgs.json"));
-    assert_unchanged::<PullConfigMsg>(include_str!("data/outer/pull_msgs.json"));
-    assert_unchanged::<PullConfigReply>(include_str!("data/outer/pull_replies.json"));
+    assert_round_trip::<ReserveMsg>(include_str!("data/outer/reserve_msgs.json"));
+    assert_round_trip::<ExtendMsg>(include_str!("data/outer/extend_msgs.json"));
+    assert_round_trip::<VoidMsg>(include_str!("data/outer/void_msgs.json"));
+    assert_round_trip::<DetachMsg>(include_str!("data/outer/drop_out_msgs.json"));
+    assert_round_trip::<SettleMsg>(include_str!("data/outer/settle_msgs.json"));
+    assert_round_trip::<StoreCopyMsg>(include_str!("data/outer/keep_msgs.json"));
+    assert_round_trip::<RecallMsg>(include_str!("data/outer/recall_msgs.json"));
+    assert_round_trip::<OpenStepMsg>(include_str!("data/outer/open_msgs.json"));
+    assert_round_trip::<GossipMsg>(include_str!("data/outer/gossip_msgs.json"));
+    assert_round_trip::<PullConfigMsg>(include_str!("data/outer/pull_msgs.json"));
+    assert_round_trip::<PullConfigReply>(include_str!("data/outer/pull_replies.json"));
 }
 
 /// Steps are only serialized, for operators.
@@ -70,7 +71,7 @@
 }
 
 /// Deserializes each sample, serializes it again and compares the texts.
-fn assert_unchanged<T: Serialize + DeserializeOwned>(samples: &str) {
+fn assert_round_trip<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
     for sample in samples {
--- a/crates/err/tests/encoding.rs
+++ b/crates/err/tests/encoding.rs
@@ -1,4 +1,4 @@
-//! Callers and instances of other versions read these: their encoding stays.
+//! The encoding of errors, which callers and instances of other versions read: it must not change.
 
 use err::{Error, Kind, Ran};
 use serde::de::DeserializeOwned;
@@ -12,16 +12,16 @@
     assert_kept::<Error>(include_str!("data/outer/errors.json"));
 }
 
-/// The log of refusals names these.
+/// Log lines of refused requests contain the Debug output.
 #[test]
-fn words_on_a_run_keep_their_texts() {
+fn ran_values_keep_their_debug_output() {
     assert_eq!(format!("{:?}", Ran::No), "No");
     assert_eq!(format!("{:?}", Ran::Unknown), "Unknown");
     assert_eq!(format!("{:?}", Ran::Yes), "Yes");
 }
 
 #[test]
-fn answers_keep_their_encoding() {
+fn error_responses_keep_their_encoding() {
     let error: Error = serde_json::from_str(
         r#"{"kind":"overloaded","message":"busy","ran":"no","retry_after_secs":1}"#,
     )
@@ -32,7 +32,7 @@
     assert_eq!(error.body(), body);
 }
 
-/// Reads each sample and writes it again.
+/// Deserializes each sample, serializes it again and compares the texts.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
--- a/crates/kv/tests/encoding.rs
+++ b/crates/kv/tests/encoding.rs
@@ -1,10 +1,10 @@
-//! What the service reads and answers: its encoding stays.
+//! The encoding of requests to the key-value store and of its responses, which must not change.
 
 use kv::wire::{self, EncodedKeyValue};
 use kv::{Precondition, Put, Txn};
 
 #[test]
-fn keys_with_values_keep_their_encoding() {
+fn key_values_keep_their_encoding() {
     let sample = r#"{"key":"YQ==","value":"b25l","mod_revision":"7"}"#;
     let value: EncodedKeyValue = serde_json::from_str(sample).expect("a sample");
     assert_eq!(serde_json::to_string(&value).expect("JSON"), sample);
--- a/crates/peer/tests/encoding.rs
+++ b/crates/peer/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! Instances of other versions read the gossip, and the entries in the store: their encoding stays.
+//! The encoding of gossip and of entries in the store, which instances of other versions read: it
+//! must not change.
 
 use peer::{Beat, Member, Standing, Told};
 use serde::de::DeserializeOwned;
@@ -13,14 +14,14 @@
     assert_kept::<Standing>(include_str!("data/outer/standings.json"));
 }
 
-/// The log names these.
+/// Log lines contain the Debug output.
 #[test]
-fn standings_keep_their_texts() {
+fn standings_keep_their_debug_output() {
     let standings = [Standing::Live, Standing::Leaving, Standing::Left];
     assert_eq!(format!("{standings:?}"), "[Live, Leaving, Left]");
 }
 
-/// Reads each sample and writes it again.
+/// Deserializes each sample, serializes it again and compares the texts.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -493,5 +493,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/encoding/news.rs"]
+#[path = "../tests/encoding/sync.rs"]
 mod encoding;
--- a/crates/proxy/tests/encoding/calls.rs
+++ b/crates/proxy/tests/encoding/calls.rs
@@ -1,4 +1,5 @@
-//! How calls of the store are named in the log, and all metrics: monitoring reads both, and they stay.
+//! The names of store calls in the log, and the names and labels of all metrics. They must not
+//! change: monitoring reads both.
 
 use std::sync::Arc;
 
@@ -11,7 +12,7 @@
 use crate::store_health::StoreHealth;
 use crate::suspects::Suspects;
 
-fn call() -> CallLabels {
+fn labels() -> CallLabels {
     CallLabels {
         task: "budgets",
         call: "write",
@@ -21,23 +22,23 @@
 }
 
 #[test]
-fn calls_of_the_store_keep_their_text() {
-    assert_eq!(call().to_string(), "budgets.write.done.in_reach");
+fn store_call_labels_keep_their_text() {
+    assert_eq!(labels().to_string(), "budgets.write.done.in_reach");
 }
 
 #[test]
 fn metrics_keep_their_names_and_labels() {
     let clock = Clock::start();
     let log = Arc::new(Log::new(clock));
-    let reach = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
-    let calls = StoreCalls::new(clock, reach);
+    let store_health = Arc::new(StoreHealth::open(clock, Arc::clone(&log)));
+    let calls = StoreCalls::new(clock, store_health);
     let suspects = Suspects::open("r1", clock, log, Dialer::default());
     let metrics = Metrics::new(&calls, &suspects);
-    calls.count(call());
+    calls.count(labels());
     metrics.count_request("chat", "ok");
     metrics.observe_first_output("chat", 5);
     let text = metrics.encode();
-    // Without their values, which follow the last space.
+    // Lines without the values, which follow the last space.
     let line = |l: &str| match l.rsplit_once(' ') {
         Some((name, _)) if !l.starts_with('#') => name.to_string(),
         _ => l.to_string(),
--- a/crates/proxy/tests/encoding/mod.rs
+++ b/crates/proxy/tests/encoding/mod.rs
@@ -1,4 +1,5 @@
-//! What instances of other versions read and send, and what stands in the store: its encoding stays.
+//! The encoding of messages between instances and of entries in the store. It must not change:
+//! instances of other versions read and write it.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -15,62 +16,63 @@
 
 #[test]
 fn instance_datagrams_keep_their_encoding() {
-    assert_kept::<Datagram>(include_str!("../data/outer/datagrams.json"));
+    assert_round_trip::<Datagram>(include_str!("../data/outer/datagrams.json"));
 }
 
 #[test]
 fn instance_messages_keep_their_encoding() {
-    assert_kept::<TokenRequest>(include_str!("../data/outer/wants.json"));
-    assert_kept::<TokenHandover>(include_str!("../data/outer/gifts.json"));
-    assert_kept::<DrawRequest>(include_str!("../data/outer/draws.json"));
-    assert_kept::<DrawResponse>(include_str!("../data/outer/drawn.json"));
-    assert_kept::<DeltaRequest>(include_str!("../data/outer/asks.json"));
-    assert_kept::<DeltaResponse>(include_str!("../data/outer/passed.json"));
-    assert_kept::<TrialRequest>(include_str!("../data/outer/ask_trials.json"));
-    assert_kept::<TrialResponse>(include_str!("../data/outer/trials.json"));
+    assert_round_trip::<TokenRequest>(include_str!("../data/outer/wants.json"));
+    assert_round_trip::<TokenHandover>(include_str!("../data/outer/gifts.json"));
+    assert_round_trip::<DrawRequest>(include_str!("../data/outer/draws.json"));
+    assert_round_trip::<DrawResponse>(include_str!("../data/outer/drawn.json"));
+    assert_round_trip::<DeltaRequest>(include_str!("../data/outer/asks.json"));
+    assert_round_trip::<DeltaResponse>(include_str!("../data/outer/passed.json"));
+    assert_round_trip::<TrialRequest>(include_str!("../data/outer/ask_trials.json"));
+    assert_round_trip::<TrialResponse>(include_str!("../data/outer/trials.json"));
 }
 
-/// Guards what an instance of an earlier version sends, which lacks these fields.
+/// Guards that messages of an earlier version, which lacks these fields, can still be read.
 #[test]
-fn short_instance_messages_are_read() {
-    assert_filled::<DrawRequest>(
+fn instance_messages_without_newer_fields_are_read() {
+    assert_defaults_added::<DrawRequest>(
         r#"{"customer":"alpha","tokens":1,"size":2,"spent":{"from":"r1.6a","to":"r2.6b","total":4},"prepaid":3}"#,
         r#"{"customer":"alpha","tokens":1,"size":2,"spent":{"from":"r1.6a","to":"r2.6b","total":4},"prepaid":3,"zone":false}"#,
     );
-    assert_filled::<DeltaRequest>(
+    assert_defaults_added::<DeltaRequest>(
         r#"{"topic":"Config","revision":3}"#,
         r#"{"topic":"Config","revision":3,"after":null,"fetch":0}"#,
     );
-    assert_filled::<DeltaResponse>(
+    assert_defaults_added::<DeltaResponse>(
         r#"{"since":{"All":[]},"revision":3}"#,
         r#"{"since":{"All":[]},"revision":3,"next":null}"#,
     );
 }
 
 #[test]
-fn entries_of_instances_keep_their_encoding() {
-    assert_kept::<Member>(include_str!("../data/outer/members.json"));
-    assert_filled::<Member>(
+fn instance_entries_keep_their_encoding() {
+    assert_round_trip::<Member>(include_str!("../data/outer/members.json"));
+    assert_defaults_added::<Member>(
         r#"{"id":"r1.6a","addr":"10.0.0.1:7000","zone":"zone-1"}"#,
         r#"{"id":"r1.6a","addr":"10.0.0.1:7000","zone":"zone-1","link_mbps":null}"#,
     );
 }
 
-/// Reads each sample and writes it again.
-pub(crate) fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
+/// Deserializes each sample, serializes it again and compares the texts.
+pub(crate) fn assert_round_trip<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
     for sample in samples {
         let value: serde_json::Result<T> = serde_json::from_str(sample.get());
         let value = value.unwrap_or_else(|e| panic!("{e}: {sample}"));
-        let written = serde_json::to_string(&value).expect("a value that JSON can hold");
+        let written = serde_json::to_string(&value).expect("the value serializes");
         assert_eq!(written, sample.get());
     }
 }
 
-/// Reads a sample without the fields that may be left out, and writes it with them.
-fn assert_filled<T: Serialize + DeserializeOwned>(short: &str, whole: &str) {
+/// Deserializes a sample without its optional fields; checks that it is serialized with their
+/// defaults.
+fn assert_defaults_added<T: Serialize + DeserializeOwned>(short: &str, full: &str) {
     let value: T = serde_json::from_str(short).expect("a sample");
-    let written = serde_json::to_string(&value).expect("a value that JSON can hold");
-    assert_eq!(written, whole);
+    let written = serde_json::to_string(&value).expect("the value serializes");
+    assert_eq!(written, full);
 }
--- a/crates/proxy/tests/encoding/texts.rs
+++ b/crates/proxy/tests/encoding/texts.rs
@@ -1,4 +1,5 @@
-//! Texts in details of log lines that types print by themselves: operators and reports read them, and they stay.
+//! Debug output of types that is part of the details of log lines. It must not change: operators
+//! and the programs that evaluate logs read it.
 
 use dial::ConnectError;
 use err::Ran;
@@ -8,14 +9,14 @@
 use crate::attempt::AttemptError;
 use crate::peers::TokenHandover;
 
-/// A text in a variant.
+/// Returns the text that a variant contains.
 fn why() -> String {
     "reset".to_string()
 }
 
 #[test]
-fn failed_attempts_keep_their_texts() {
-    let text = |failed: AttemptError| format!("{failed:?}");
+fn attempt_errors_keep_their_debug_output() {
+    let text = |error: AttemptError| format!("{error:?}");
     assert_eq!(text(AttemptError::NotRun(why())), r#"NotRun("reset")"#);
     assert_eq!(
         text(AttemptError::Unanswered(why())),
@@ -23,7 +24,7 @@
     );
     assert_eq!(text(AttemptError::Unknown(why())), r#"Unknown("reset")"#);
     assert_eq!(text(AttemptError::Late), "Late");
-    let text = |denied: ChooseError| format!("{:?}", AttemptError::Denied(denied));
+    let text = |error: ChooseError| format!("{:?}", AttemptError::Denied(error));
     let retry_ms = 40;
     assert_eq!(text(ChooseError::Unknown), "Denied(Unknown)");
     assert_eq!(text(ChooseError::NoneLeft), "Denied(NoneLeft)");
@@ -40,8 +41,8 @@
 }
 
 #[test]
-fn failed_connections_keep_their_texts() {
-    let text = |e: ConnectError| format!("{e:?}");
+fn connect_errors_keep_their_debug_output() {
+    let text = |error: ConnectError| format!("{error:?}");
     assert_eq!(text(ConnectError::Full), "Full");
     assert_eq!(text(ConnectError::Refused(why())), r#"Refused("reset")"#);
     let unreachable = text(ConnectError::Unreachable(why()));
@@ -50,31 +51,31 @@
 }
 
 #[test]
-fn failed_calls_of_the_store_keep_their_texts() {
-    let text = |e: StoreError| format!("{e:?}");
+fn store_errors_keep_their_debug_output() {
+    let text = |error: StoreError| format!("{error:?}");
     assert_eq!(text(StoreError::Refused(why())), r#"Refused("reset")"#);
     assert_eq!(text(StoreError::Unknown(why())), r#"Unknown("reset")"#);
 }
 
 #[test]
-fn gifts_keep_their_text() {
+fn token_handovers_keep_their_debug_output() {
     let sample = r#"{"customer":"alpha","given":{"from":"r1.6a","to":"r2.6b","total":90},"spent":{"from":"r1.6a","to":"r2.6b","total":30}}"#;
-    let gift: TokenHandover = serde_json::from_str(sample).expect("a sample");
+    let handover: TokenHandover = serde_json::from_str(sample).expect("a sample");
     let text = r#"Gift { customer: "alpha", given: Told { from: "r1.6a", to: "r2.6b", total: 90 }, spent: Told { from: "r1.6a", to: "r2.6b", total: 30 } }"#;
-    assert_eq!(format!("{gift:?}"), text);
-    let given: [Result<bool, String>; 2] = [Ok(true), Err(why())];
-    assert_eq!(format!("{given:?}"), r#"[Ok(true), Err("reset")]"#);
+    assert_eq!(format!("{handover:?}"), text);
+    let results: [Result<bool, String>; 2] = [Ok(true), Err(why())];
+    assert_eq!(format!("{results:?}"), r#"[Ok(true), Err("reset")]"#);
 }
 
 #[test]
-fn refusals_keep_their_texts() {
+fn refusal_details_keep_their_debug_output() {
     let ran = [Ran::No, Ran::Unknown, Ran::Yes];
     assert_eq!(format!("{ran:?}"), "[No, Unknown, Yes]");
     assert_eq!(format!("{:?}", Some(40_u64)), "Some(40)");
 }
 
 #[test]
-fn rate_limits_keep_their_text() {
+fn rate_limits_keep_their_debug_output() {
     let limit = RateLimit::from_per_sec(2.5).map(RateLimit::as_per_sec);
     assert_eq!(format!("{limit:?}"), "Some(2.5)");
 }
--- a/crates/route/tests/encoding.rs
+++ b/crates/route/tests/encoding.rs
@@ -1,4 +1,5 @@
-//! The store, upstreams and the dump hold these: their encoding stays.
+//! The encoding of entries in the store, of load reports of upstreams and of the dump, which must
+//! not change.
 
 use route::{Choice, ChoiceReason, Load, Spec, Upstream, UpstreamKey, UpstreamKind};
 use serde::de::DeserializeOwned;
@@ -6,7 +7,7 @@
 use serde_json::value::RawValue;
 
 #[test]
-fn upstreams_in_the_store_keep_their_encoding() {
+fn entries_and_load_reports_keep_their_encoding() {
     assert_kept::<Spec>(include_str!("data/outer/specs.json"));
     assert_kept::<UpstreamKind>(include_str!("data/outer/kinds.json"));
     assert_kept::<Load>(include_str!("data/outer/loads.json"));
@@ -20,7 +21,7 @@
     );
 }
 
-/// These are written only, in the dump.
+/// Upstreams are only serialized, for the dump.
 #[test]
 fn dumped_upstreams_keep_their_encoding() {
     let spec: Spec = serde_json::from_str(r#"{"id":"engine-1","kind":"engine","url":"http://10.0.0.2:80","zone":"zone-1","serves":["m1","m2"],"leaving":true}"#).expect("a sample");
@@ -61,16 +62,16 @@
     assert_eq!(serde_json::to_string(&choice).expect("JSON"), sample);
 }
 
-/// The steps of a request name these.
+/// The request journal contains the Debug output.
 #[test]
-fn reasons_of_choices_keep_their_texts() {
+fn choice_reasons_keep_their_debug_output() {
     assert_eq!(format!("{:?}", ChoiceReason::Prefix), "Prefix");
     assert_eq!(format!("{:?}", ChoiceReason::OwnZone), "OwnZone");
     assert_eq!(format!("{:?}", ChoiceReason::LeastOfTwo), "LeastOfTwo");
     assert_eq!(format!("{:?}", ChoiceReason::Joined), "Joined");
 }
 
-/// Reads each sample and writes it again.
+/// Deserializes each sample, serializes it again and compares the texts.
 fn assert_kept<T: Serialize + DeserializeOwned>(samples: &str) {
     let samples: Vec<Box<RawValue>> = serde_json::from_str(samples).expect("a list of samples");
     assert!(!samples.is_empty());
@@ -82,7 +83,8 @@
     }
 }
 
-/// Reads a sample without the fields that may be left out, and writes it with them.
+/// Deserializes a sample without its optional fields; checks that it is serialized with their
+/// defaults.
 fn assert_filled<T: Serialize + DeserializeOwned>(short: &str, whole: &str) {
     let value: T = serde_json::from_str(short).expect("a sample");
     let written = serde_json::to_string(&value).expect("a value that JSON can hold");
