--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/peers.rs
@@ -496,5 +496,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/encoding/news.rs"]
+#[path = "../tests/encoding/sync.rs"]
 mod encoding;
