--- a/crates/claim/tests/resolve.rs
+++ b/crates/claim/tests/resolve.rs
@@ -54,8 +54,8 @@
     assert_eq!(resolve(&done, &own, None), Resolution::Replay(response));
     let other = claim("theirs", "y", State::Claimed);
     assert_eq!(resolve(&other, &own, None), Resolution::IdReused);
-    let lost = claim("theirs", "x", State::Unknown);
-    assert_eq!(resolve(&lost, &own, None), Resolution::OutcomeUnknown);
+    let unknown = claim("theirs", "x", State::Unknown);
+    assert_eq!(resolve(&unknown, &own, None), Resolution::OutcomeUnknown);
 }
 
 /// Guards against running a request again days later: its claim had expired in the store, and the
--- a/crates/escrow/src/local_budget.rs
+++ b/crates/escrow/src/local_budget.rs
@@ -424,10 +424,11 @@
             self.returned += excess;
             entry.returned = self.returned;
         }
-        let moved = entry.granted != self.entry.granted || entry.returned != self.entry.returned;
+        let tokens_changed =
+            entry.granted != self.entry.granted || entry.returned != self.entry.returned;
         let interval = REPORT_INTERVAL_MS * instances.max(SMALL_FLEET) / SMALL_FLEET;
-        let report = entry.spent != self.entry.spent && now >= self.reported_at + interval;
-        if !moved && !report {
+        let report_due = entry.spent != self.entry.spent && now >= self.reported_at + interval;
+        if !tokens_changed && !report_due {
             return None;
         }
         self.reported_at = now;
--- a/crates/escrow/tests/fleet/random.rs
+++ b/crates/escrow/tests/fleet/random.rs
@@ -133,15 +133,15 @@
             return;
         }
         let wanted = self.rng.random_range(0..60_000);
-        let taker = &self.instances[to].budget;
-        let (balance, rate) = (taker.balance(), taker.rate(self.now));
-        let (giver_id, taker_id) = (
+        let receiver = &self.instances[to].budget;
+        let (balance, rate) = (receiver.balance(), receiver.rate(self.now));
+        let (sender_id, receiver_id) = (
             self.instances[from].id.clone(),
             self.instances[to].id.clone(),
         );
-        let giver = &mut self.instances[from].budget;
-        let sent = giver.transfer_share(self.now, &taker_id, wanted, balance, rate);
-        self.deliver(to, cumulative_total(&giver_id, &taker_id, sent), None);
+        let sender = &mut self.instances[from].budget;
+        let sent = sender.transfer_share(self.now, &receiver_id, wanted, balance, rate);
+        self.deliver(to, cumulative_total(&sender_id, &receiver_id, sent), None);
     }
 
     /// Draws the tokens of a request from another instance. The call or its answer may be lost.
@@ -188,28 +188,32 @@
             self.instances[home].id.clone(),
         );
         let budget = &mut self.instances[index].budget;
-        let given = budget.transfer_idle(self.now, &home_id);
+        let transferred = budget.transfer_idle(self.now, &home_id);
         let spent = budget.forward_spending(&home_id);
         let spent = cumulative_total(&id, &home_id, spent);
-        self.deliver(home, cumulative_total(&id, &home_id, given), Some(spent));
+        self.deliver(
+            home,
+            cumulative_total(&id, &home_id, transferred),
+            Some(spent),
+        );
     }
 
     /// Delivers a message, which may be lost, duplicated, or followed by an older one, also by one to the previous
     /// incarnation.
-    fn deliver(&mut self, to: usize, given: CumulativeTotal, spent: Option<CumulativeTotal>) {
+    fn deliver(&mut self, to: usize, transferred: CumulativeTotal, spent: Option<CumulativeTotal>) {
         let copies = self.rng.random_range(0..3);
         let name = self.instances[to].name.clone();
         let last = self.messages.get(&name).cloned();
-        let mut messages = vec![(given.clone(), spent.clone()); copies];
+        let mut messages = vec![(transferred.clone(), spent.clone()); copies];
         messages.extend(last);
-        for (given, spent) in messages {
+        for (transferred, spent) in messages {
             let Instance { id, budget, .. } = &mut self.instances[to];
-            budget.receive_tokens(id, &given);
+            budget.receive_tokens(id, &transferred);
             if let Some(spent) = spent {
                 budget.receive_spending(id, &spent);
             }
         }
-        self.messages.insert(name, (given, spent));
+        self.messages.insert(name, (transferred, spent));
     }
 
     /// Crashes an instance, whose running requests count as spent in full. It starts again under its name, or one with
--- a/crates/escrow/tests/fleet/regressions.rs
+++ b/crates/escrow/tests/fleet/regressions.rs
@@ -405,37 +405,37 @@
 /// had its own tokens, so that those debited for the lost one reached nobody.
 #[test]
 fn the_next_answer_brings_tokens_of_a_lost_one() {
-    let (mut store, mut giver) = single_instance(1_000_000);
-    giver.read(&store, 0);
-    giver.budget.begin_wait(90_000);
-    let entry = giver
+    let (mut store, mut sender) = single_instance(1_000_000);
+    sender.read(&store, 0);
+    sender.budget.begin_wait(90_000);
+    let entry = sender
         .budget
         .plan_update(0, ONE_INSTANCE, true)
         .expect("a grant");
-    giver.commit(&mut store, entry, 1);
-    giver.budget.end_wait(90_000);
-    let mut taker = Instance::new("t", "t.1", 1_000_000);
-    let before = giver.budget.balance();
-    giver.budget.transfer_share(2, "t.1", 30_000, 0, 0);
-    let total = giver.budget.transfer_share(3, "t.1", 10_000, 0, 0);
+    sender.commit(&mut store, entry, 1);
+    sender.budget.end_wait(90_000);
+    let mut receiver = Instance::new("t", "t.1", 1_000_000);
+    let before = sender.budget.balance();
+    sender.budget.transfer_share(2, "t.1", 30_000, 0, 0);
+    let total = sender.budget.transfer_share(3, "t.1", 10_000, 0, 0);
     let update = cumulative_total("n0.1", "t.1", total);
-    assert_eq!(taker.budget.receive_tokens("t.1", &update), 40_000);
+    assert_eq!(receiver.budget.receive_tokens("t.1", &update), 40_000);
     assert_eq!(
-        taker.budget.receive_tokens("t.1", &update),
+        receiver.budget.receive_tokens("t.1", &update),
         0,
         "a duplicate"
     );
-    assert_eq!(giver.budget.balance(), before - 40_000);
+    assert_eq!(sender.budget.balance(), before - 40_000);
     // The same holds for totals of spent tokens.
-    assert!(taker.budget.reserve(25_000));
-    taker.budget.settle(25_000, 20_000);
-    taker.budget.forward_spending("n0.1");
-    assert!(taker.budget.reserve(5_000));
-    taker.budget.settle(5_000, 5_000);
-    let update = cumulative_total("t.1", "n0.1", taker.budget.forward_spending("n0.1"));
-    giver.budget.receive_spending("n0.1", &update);
-    giver.budget.receive_spending("n0.1", &update);
-    let entry = giver.budget.plan_shutdown().expect("a last entry");
+    assert!(receiver.budget.reserve(25_000));
+    receiver.budget.settle(25_000, 20_000);
+    receiver.budget.forward_spending("n0.1");
+    assert!(receiver.budget.reserve(5_000));
+    receiver.budget.settle(5_000, 5_000);
+    let update = cumulative_total("t.1", "n0.1", receiver.budget.forward_spending("n0.1"));
+    sender.budget.receive_spending("n0.1", &update);
+    sender.budget.receive_spending("n0.1", &update);
+    let entry = sender.budget.plan_shutdown().expect("a last entry");
     assert_eq!(entry.spent, 25_000);
 }
 
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -55,7 +55,7 @@
     /// The upstreams at which each other instance had requests, by its last report.
     peer_upstreams: HashMap<u64, SmallVec<[UpstreamKey; 4]>>,
     /// Hash of this instance's name.
-    own_name: u64,
+    own_name_hash: u64,
     /// Latency estimates by service.
     latencies: HashMap<String, LatencyEstimate>,
     /// Number of attempts so far.
@@ -80,12 +80,12 @@
         self.cold_starts = cold_starts;
     }
 
-    /// Sets the listed instances by the hashes of their names; `own_name` is that of this instance.
-    pub fn set_instances(&mut self, now: u64, own_name: u64, names: &[u64]) {
-        self.own_name = own_name;
+    /// Sets the listed instances by the hashes of their names; `own_name_hash` is that of this instance.
+    pub fn set_instances(&mut self, now: u64, own_name_hash: u64, name_hashes: &[u64]) {
+        self.own_name_hash = own_name_hash;
         // Instances that are gone report nothing more, and their last reports expire soon.
         self.peer_upstreams.clear();
-        self.senders.set_instances(now, own_name, names);
+        self.senders.set_instances(now, own_name_hash, name_hashes);
         self.update_throttles(now);
     }
 
@@ -288,7 +288,7 @@
         let candidates = self.candidates(now, criteria)?;
         // Breaks ties: instances that know nothing about the upstreams yet would otherwise all choose the
         // first one of the list.
-        let tie_breaker = |c: &Candidate| self.get(c.key).rank(self.own_name);
+        let tie_breaker = |c: &Candidate| self.get(c.key).rank(self.own_name_hash);
         let by_cost = |a: &&Candidate, b: &&Candidate| {
             let order = a.cost_ms.partial_cmp(&b.cost_ms);
             let order = order.unwrap_or(Ordering::Equal);
--- a/crates/place/src/senders.rs
+++ b/crates/place/src/senders.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Senders {
     /// Hash of this instance's name.
-    own_name: u64,
+    own_name_hash: u64,
     instances: Vec<Instance>,
     /// When the first delisted instance expires, in milliseconds.
     expires_at: Option<u64>,
@@ -26,28 +26,28 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Instance {
-    name: u64,
+    name_hash: u64,
     listed_at: u64,
     /// When it was delisted; none while it is listed.
     delisted_at: Option<u64>,
 }
 
 impl Senders {
-    /// Replaces the listed instances with those of the given hashed names.
-    pub fn set_instances(&mut self, now: u64, own_name: u64, names: &[u64]) {
-        self.own_name = own_name;
-        let names: BTreeSet<u64> = names.iter().copied().collect();
+    /// Replaces the listed instances with those whose names have the given hashes.
+    pub fn set_instances(&mut self, now: u64, own_name_hash: u64, name_hashes: &[u64]) {
+        self.own_name_hash = own_name_hash;
+        let name_hashes: BTreeSet<u64> = name_hashes.iter().copied().collect();
         self.expire(now);
         for instance in &mut self.instances {
-            if !names.contains(&instance.name) {
+            if !name_hashes.contains(&instance.name_hash) {
                 instance.delisted_at.get_or_insert(now);
             }
         }
         let listed = self.instances.iter().filter(|i| i.delisted_at.is_none());
-        let listed: BTreeSet<u64> = listed.map(|i| i.name).collect();
+        let listed: BTreeSet<u64> = listed.map(|i| i.name_hash).collect();
         self.instances
-            .extend(names.difference(&listed).map(|name| Instance {
-                name: *name,
+            .extend(name_hashes.difference(&listed).map(|name_hash| Instance {
+                name_hash: *name_hash,
                 listed_at: now,
                 delisted_at: None,
             }));
@@ -80,11 +80,16 @@
     /// Returns when this instance may start sending to an upstream, in milliseconds: after it has been
     /// among the `max_senders` highest-ranked for long enough; none if it is not among them.
     pub(crate) fn sends_from(&self, upstream: u64, max_senders: usize) -> Option<u64> {
-        let rank = |i: &Instance| (xxh3_64_with_seed(&i.name.to_le_bytes(), upstream), i.name);
+        let rank = |i: &Instance| {
+            (
+                xxh3_64_with_seed(&i.name_hash.to_le_bytes(), upstream),
+                i.name_hash,
+            )
+        };
         let own = self.instances.iter();
         let own = own
             .clone()
-            .find(|i| i.name == self.own_name && i.delisted_at.is_none())?;
+            .find(|i| i.name_hash == self.own_name_hash && i.delisted_at.is_none())?;
         let ahead = self.instances.iter().filter(|i| rank(i) > rank(own));
         let listed = ahead.clone().filter(|i| i.delisted_at.is_none()).count();
         let free = max_senders.checked_sub(listed + 1)?;
--- a/crates/place/tests/announcements.rs
+++ b/crates/place/tests/announcements.rs
@@ -96,7 +96,7 @@
     let mut chosen = Vec::new();
     for _ in 0..3 {
         let choice = choose(&mut pool, 0).expect("one that accepts requests");
-        let (_, ms) = pauses[pauses.iter().position(|r| r.0 == choice.spec.id).unwrap()];
+        let (_, ms) = pauses[pauses.iter().position(|p| p.0 == choice.spec.id).unwrap()];
         assert!(pool.pause(0, choice.key, ms), "new");
         end(&mut pool, 0, &choice);
         chosen.push(choice);
--- a/crates/suspect/src/table.rs
+++ b/crates/suspect/src/table.rs
@@ -127,11 +127,11 @@
     /// Records that an upstream has crashed, that is, ended without having announced it. Returns
     /// the requests for which the crash is newly counted.
     pub fn upstream_crashed(&mut self, now: u64, incarnation: &str) -> Vec<Digest> {
-        let mut present = self.broken_connections.take(incarnation);
-        present.retain(|digest| {
+        let mut digests = self.broken_connections.take(incarnation);
+        digests.retain(|digest| {
             !self.recent_answers.contains(now, *digest) && self.add_crash(now, incarnation, *digest)
         });
-        present
+        digests
     }
 
     /// Adds a crash to a request; returns whether it is new.
--- a/crates/suspect/tests/spread.rs
+++ b/crates/suspect/tests/spread.rs
@@ -40,7 +40,7 @@
 }
 
 impl Fleet {
-    fn open(size: usize, seed: u64) -> Fleet {
+    fn new(size: usize, seed: u64) -> Fleet {
         Fleet {
             tables: (0..size)
                 .map(|i| SuspectTable::new(&format!("n{i}")))
@@ -167,7 +167,7 @@
 #[test]
 fn crashes_seen_by_different_instances_reach_all() {
     for size in [3, 9, 195, 970] {
-        let mut fleet = Fleet::open(size, size as u64);
+        let mut fleet = Fleet::new(size, size as u64);
         for (i, incarnation) in ["u1", "u2", "u3"].iter().enumerate() {
             fleet.crash(i * (size / 3), incarnation, fatal());
         }
@@ -193,7 +193,7 @@
 #[test]
 fn record_sent_by_a_lost_instance_reaches_all() {
     for seed in 0..20 {
-        let mut fleet = Fleet::open(9, seed);
+        let mut fleet = Fleet::new(9, seed);
         for incarnation in ["u1", "u2", "u3"] {
             fleet.crash(4, incarnation, fatal());
         }
@@ -208,7 +208,7 @@
 #[test]
 fn instance_that_was_cut_off_learns_later() {
     for seed in 0..20 {
-        let mut fleet = Fleet::open(9, seed);
+        let mut fleet = Fleet::new(9, seed);
         fleet.cut_off[7] = true;
         for (i, incarnation) in ["u1", "u2", "u3"].iter().enumerate() {
             fleet.crash(i, incarnation, fatal());
@@ -226,7 +226,7 @@
 #[test]
 fn complete_response_reaches_all() {
     for seed in 0..20 {
-        let mut fleet = Fleet::open(9, seed);
+        let mut fleet = Fleet::new(9, seed);
         for (i, incarnation) in ["u1", "u2", "u3"].iter().enumerate() {
             fleet.crash(i, incarnation, fatal());
         }
@@ -247,7 +247,7 @@
 fn loss_of_a_failure_domain_sends_few_datagrams() {
     const SIZE: usize = 195;
     const UPSTREAMS: usize = 20;
-    let mut fleet = Fleet::open(SIZE, 1);
+    let mut fleet = Fleet::new(SIZE, 1);
     for i in 0..SIZE {
         for j in 0..UPSTREAMS {
             let (incarnation, digest) = (format!("u{j}"), format!("{i}-{j}"));
@@ -311,15 +311,15 @@
     const SIZE: usize = 9;
     const CALL_INTERVAL_MS: u64 = 250;
     for seed in 0..20 {
-        let mut fleet = Fleet::open(SIZE, seed);
-        let (mut crashes, mut known_at, mut late) = (0, u64::MAX, 0);
+        let mut fleet = Fleet::new(SIZE, seed);
+        let (mut crashes, mut known_at, mut late_forwards) = (0, u64::MAX, 0);
         let mut reachable_at = [0; SIZE];
         while fleet.now < 900_000 {
             let at = fleet.rng.random_range(0..SIZE);
             if !fleet.cut_off[at] && is_forwarded(&mut fleet, at) {
                 crashes += 1;
-                let in_touch = fleet.now > reachable_at[at] + PROPAGATION_LIMIT_MS;
-                late += usize::from(fleet.now > known_at && in_touch);
+                let was_reachable = fleet.now > reachable_at[at] + PROPAGATION_LIMIT_MS;
+                late_forwards += usize::from(fleet.now > known_at && was_reachable);
                 fleet.crash(at, &format!("u{crashes:04}"), fatal());
                 if crashes == 3 {
                     known_at = fleet.now + PROPAGATION_LIMIT_MS;
@@ -344,9 +344,9 @@
             fleet.cut_off = cut_off.collect();
         }
         assert!(
-            late <= 3,
-            "seed {seed}: forwarded {late} times more, {crashes} crashes"
+            late_forwards <= 3,
+            "seed {seed}: forwarded {late_forwards} times more, {crashes} crashes"
         );
-        assert!(late >= 1, "seed {seed}: no trial");
+        assert!(late_forwards >= 1, "seed {seed}: no trial");
     }
 }
