--- a/crates/escrow/src/holdback.rs
+++ b/crates/escrow/src/holdback.rs
@@ -10,8 +10,9 @@
 /// its requests and for the smaller half of them. More than 100, so that it is served for a while after recovery.
 const ALL_REQUESTS_PCT: u64 = 125;
 const SMALLER_HALF_PCT: u64 = 200;
-/// Fleets of up to this many instances hold back all of it, because at least one customer in nine loses its home there
-/// when an instance fails. In larger fleets, the failed instance is seldom a given customer's home.
+/// Fleets of up to this many instances hold back what all requests need, because at least one customer in nine loses
+/// its home there when an instance fails. In larger fleets, the failed instance is seldom a given customer's home, so
+/// less is held back for the larger half of the requests.
 const SMALL_FLEET: u64 = 9;
 
 /// What a customer's requests need after a failure of all instances.
--- a/crates/escrow/src/local_budget.rs
+++ b/crates/escrow/src/local_budget.rs
@@ -6,13 +6,14 @@
 use crate::request_sizes::{RequestSizes, SmallerHalf};
 use crate::totals::{CumulativeTotal, PeerTotals};
 
-/// Demand that a grant covers, in milliseconds: the store may be out of reach for nine seconds and more, and no
+/// Demand that a grant covers, in milliseconds: the store may be unreachable for nine seconds and more, and no
 /// tokens can be taken from a budget meanwhile. The tokens that a crash strands grow with it.
 const GRANT_HORIZON_MS: u64 = 10_000;
 /// Time until service is back after a failure of all instances, in milliseconds, unless set.
 const DEFAULT_RECOVERY_MS: u64 = 12_000;
-/// Minimum demand that a grant covers, in milliseconds, however little of the budget remains. Without it, each request
-/// would then need a write of its own, which would conflict with those of the others. A crash strands these tokens.
+/// Minimum demand that a grant covers, in milliseconds, however little of the budget remains. With smaller grants, each
+/// request near the end of a budget would need a write of its own, which would conflict with those of the others. A
+/// crash strands these tokens.
 const MIN_GRANT_MS: u64 = 300;
 /// A balance below this percentage of its target is refilled to the target.
 const REFILL_BELOW_PCT: u64 = 75;
@@ -154,7 +155,7 @@
         self.request_sizes.add(now, tokens);
     }
 
-    /// Returns whether a request of the given size may reserve tokens after a restart of all instances. If part of the
+    /// Returns whether a request of the given size may reserve tokens after a failure of all instances. If part of the
     /// budget is out of reach for good, requests of the larger half may not take the tokens that the smaller half
     /// needs.
     pub fn admits(&self, now: u64, size: u64) -> bool {
@@ -181,7 +182,7 @@
         record.rate.saturating_sub(self.entry.rate) + self.demand.per_second(now)
     }
 
-    /// Returns what the requests need after a restart of all instances. If nothing is known of their sizes, all of them
+    /// Returns what the requests need after a failure of all instances. If nothing is known of their sizes, all of them
     /// count as the smaller half.
     fn holdback(&self, total_rate: u64, half: Option<SmallerHalf>) -> Holdback {
         Holdback {
@@ -294,8 +295,8 @@
 
     /// Applies the own entry from the ledger in the store, which has the given revision.
     ///
-    /// A write whose answer was lost shows here: its tokens are charged, so they count as granted. An older snapshot of
-    /// the record does not include them, so it is dropped and the record has to be read again.
+    /// A write whose response was lost shows here: its tokens are charged, so they count as granted. An older snapshot
+    /// of the record does not include them, so it is dropped and the record has to be read again.
     ///
     /// # Panics
     ///
@@ -343,7 +344,7 @@
     }
 
     /// Returns whether the snapshot of the record includes the confirmed entry. It does not if the record is newer and
-    /// includes a write that returned tokens and whose answer was lost.
+    /// includes a write that returned tokens and whose response was lost.
     pub fn snapshot_includes_entry(&self) -> bool {
         let includes = |s: &RecordSnapshot| s.record.charged >= self.entry.charged();
         self.snapshot.as_ref().is_none_or(includes)
@@ -392,7 +393,7 @@
     ///
     /// `instances` is the size of the fleet; `is_home` says whether this instance is the customer's home.
     ///
-    /// Tokens to return are debited immediately: if the write gets no answer, it may still take effect later.
+    /// Tokens to return are debited immediately: if the write gets no response, it may still take effect later.
     pub fn plan_update(&mut self, now: u64, instances: u64, is_home: bool) -> Option<LedgerEntry> {
         let holds = is_home || !self.is_idle(now);
         let target = if holds {
@@ -481,8 +482,8 @@
         self.tokens_sent.add(peer, transferred)
     }
 
-    /// Transfers all tokens that are not reserved to another instance: an instance that stops while the store is out of
-    /// reach would strand them. Returns the total transferred to it.
+    /// Transfers all tokens that are not reserved to another instance: an instance that stops while the store is
+    /// unreachable would strand them. Returns the total transferred to it.
     pub fn transfer_all(&mut self, peer: &str) -> u64 {
         self.tokens_sent.add(peer, self.balance())
     }
--- a/crates/escrow/tests/fleet/fleet_failure.rs
+++ b/crates/escrow/tests/fleet/fleet_failure.rs
@@ -7,10 +7,11 @@
 /// Demand of all requests.
 const TOKENS_PER_SEC: u64 = TOKENS * 1_000 / REQUEST_INTERVAL_MS;
 
-/// Guards against requests that are refused with advice to retry, although their customers' budgets are not spent: three
-/// quarters of them twelve seconds after all processes were killed, and until the end.
+/// Guards against requests that are refused with advice to retry although their customers' budgets are not spent.
+/// Twelve seconds after all processes were killed, three quarters of the requests were refused, and this lasted until
+/// the end.
 ///
-/// The store is out of reach twice. A moment after it is back, homes hold up to ten seconds of demand again, and all are
+/// The store is unreachable twice. A moment after it is back, homes hold up to ten seconds of demand again, and all are
 /// killed. What they held stays charged, as it may have been spent. The rest is soon spent, and no request fits any
 /// more, although a tenth of the budget or more was never used. The cause was that homes could hold a share of the
 /// remaining tokens, even if the customer had none left for the time after the failure.
--- a/crates/escrow/tests/fleet/random.rs
+++ b/crates/escrow/tests/fleet/random.rs
@@ -1,4 +1,4 @@
-//! Random faults in a fleet whose store loses answers and delays writes: no more is spent than prepaid.
+//! Random faults in a fleet whose store loses responses and delays writes: no more is spent than prepaid.
 
 use std::collections::HashMap;
 
@@ -17,7 +17,7 @@
     spent: u64,
     prepaid: u64,
     started: u64,
-    /// The last messages to each instance, by name.
+    /// The last message to each instance, by name: the totals of transferred tokens and of forwarded spent tokens.
     messages: HashMap<String, (CumulativeTotal, Option<CumulativeTotal>)>,
 }
 
@@ -72,7 +72,7 @@
         let now = self.now;
         self.instances[index].budget.add_demand(now, tokens);
         if !self.instances[index].budget.reserve(tokens) {
-            // The request waits for the store.
+            // The request waits while tokens are taken from the store.
             self.instances[index].budget.begin_wait(tokens);
             self.sync(index);
             self.instances[index].budget.end_wait(tokens);
@@ -144,7 +144,7 @@
         self.deliver(to, cumulative_total(&sender_id, &receiver_id, sent), None);
     }
 
-    /// Draws the tokens of a request from another instance. The call or its answer may be lost.
+    /// Draws the tokens of a request from another instance. The call or its response may be lost.
     fn draw(&mut self, index: usize) {
         let home = self.rng.random_range(0..self.instances.len());
         if home == index {
--- a/crates/escrow/tests/fleet/regressions.rs
+++ b/crates/escrow/tests/fleet/regressions.rs
@@ -26,7 +26,7 @@
     (Store::default(), Instance::new("one", "one.1", prepaid))
 }
 
-/// Guards against tokens granted twice: the answer to a write that takes tokens is lost, the record is read without
+/// Guards against tokens granted twice: the response to a write that takes tokens is lost, the record is read without
 /// it, and then the write takes effect. The cause was that the read counted as proof that it never would.
 #[test]
 fn a_delayed_grant_counts_once() {
@@ -50,8 +50,8 @@
     assert_eq!(store.record.1.charged, entry.granted);
 }
 
-/// Guards against an instance that ends itself by a failed invariant: it returned tokens in a write whose answer was
-/// lost, so that they are missing from a record that is newer than its ledger.
+/// Guards against an instance that exits because of a failed invariant: it returned tokens in a write whose response
+/// was lost, so that they are missing from a record that is newer than its ledger.
 #[test]
 fn a_record_newer_than_its_ledger_waits_for_the_ledger() {
     let (mut store, mut instance) = single_instance(1_000_000);
@@ -68,7 +68,7 @@
     assert!(entry.returned > 0);
     assert!(
         store.commit(&instance.transaction(entry)),
-        "the answer is lost"
+        "the response is lost"
     );
     let (revision, record) = store.record;
     instance.budget.update_snapshot(RecordSnapshot {
@@ -93,9 +93,9 @@
     assert_eq!(store.record.1.charged, instance.budget.entry().charged());
 }
 
-/// Guards against an instance that ends itself by the failed invariant "a ledger entry exceeds its record's sum". A
-/// write that takes tokens for one customer gets no answer. A write for another customer then conflicts and brings the
-/// ledger, but not the first customer's record. The cause was that the new entry was used with the old record.
+/// Guards against an instance that exits because of the failed invariant "a ledger entry exceeds its record's sum". A
+/// write that takes tokens for one customer gets no response. A write for another customer then conflicts and brings
+/// the ledger, but not the first customer's record. The cause was that the new entry was used with the old record.
 #[test]
 fn an_entry_newer_than_its_record_waits_for_the_record() {
     let (mut store, mut instance) = single_instance(1_000_000);
@@ -107,7 +107,7 @@
         .expect("a grant");
     assert!(
         store.commit(&instance.transaction(entry)),
-        "the answer is lost"
+        "the response is lost"
     );
     let (revision, ledger) = store.ledger("one");
     instance.ledger_revision = Some(revision);
@@ -138,9 +138,9 @@
     instance.commit(&mut store, entry, 5_010);
 }
 
-/// Guards against tokens that are both returned and spent: the answer to the write that returns them is lost, they are
-/// spent here, the write takes effect, and another instance takes them. The cause was that they were debited only when
-/// the answer came.
+/// Guards against tokens that are both returned and spent: the response to the write that returns them is lost, they
+/// are spent here, the write takes effect, and another instance takes them. The cause was that they were debited only
+/// when the response came.
 #[test]
 fn tokens_being_returned_cannot_be_reserved() {
     let (mut store, mut instance) = single_instance(1_000_000);
@@ -334,8 +334,9 @@
     assert_eq!(store.record.1.charged, 0);
 }
 
-/// Guards against instances that ask different ones for the same tokens, or all ask the same one for all customers. The
-/// cause was that a customer's home depended on what an instance sees, or did not depend on the customer.
+/// Guards against instances that ask different instances for the same customer's tokens, or all ask the same one for
+/// the tokens of all customers. The cause was that a customer's home depended on what an instance sees, or did not
+/// depend on the customer.
 #[test]
 fn customers_have_one_home_in_a_zone_and_are_spread() {
     let names = |n: usize| (0..n).map(|i| format!("n{i}")).collect::<Vec<_>>();
@@ -401,10 +402,10 @@
 }
 
 /// Guards against charged tokens that nobody can spend although all instances are alive: an instance asks another one
-/// for tokens, the answer is lost in a network partition, and the next one arrives. The cause was that an answer only
-/// had its own tokens, so that those debited for the lost one reached nobody.
+/// for tokens, the response is lost in a network partition, and the next one arrives. The cause was that a response
+/// only had its own tokens, so that those debited for the lost one reached nobody.
 #[test]
-fn the_next_answer_brings_tokens_of_a_lost_one() {
+fn the_next_response_brings_tokens_of_a_lost_one() {
     let (mut store, mut sender) = single_instance(1_000_000);
     sender.read(&store, 0);
     sender.budget.begin_wait(90_000);
@@ -458,7 +459,7 @@
     assert!(escrow::exceeds_home_capacity(300));
 }
 
-/// Guards against tokens that stay charged at an instance that nobody asks any more: a customer's home is out of reach
+/// Guards against tokens that stay charged at an instance that nobody asks any more: a customer's home is unreachable
 /// for a while, another instance replaces it, and the home comes back. The cause was that only its own demand decided
 /// what an instance returns, and that the tokens left by requests there came from other instances.
 #[test]
@@ -495,7 +496,7 @@
 }
 
 /// Guards against spending more tokens than prepaid: instances transfer the tokens that requests left to a home. It
-/// starts again at its address, and an instance that does not know this sends the new process the total that it gave to
+/// starts again at its address, and an instance that does not know this sends the new process the total sent to
 /// the previous one. The cause was that a process that had not received the earlier part of a total counted all of it.
 #[test]
 fn a_total_for_an_earlier_incarnation_is_ignored() {
--- a/crates/escrow/tests/fleet/store.rs
+++ b/crates/escrow/tests/fleet/store.rs
@@ -36,8 +36,8 @@
         }
         self.revision += 1;
         // Through JSON, as in the real store.
-        let record = BudgetRecord::parse(&txn.record.1.to_bytes()).expect("sound");
-        let ledger = Ledger::parse(&txn.ledger.1.to_bytes()).expect("sound");
+        let record = BudgetRecord::parse(&txn.record.1.to_bytes()).expect("a valid record");
+        let ledger = Ledger::parse(&txn.ledger.1.to_bytes()).expect("a valid ledger");
         self.record = (self.revision, record);
         self.ledgers
             .insert(txn.name.clone(), (self.revision, ledger));
--- a/crates/place/src/choice.rs
+++ b/crates/place/src/choice.rs
@@ -49,24 +49,26 @@
     Unknown,
     /// All listed upstreams were tried, are leaving or are ejected.
     NoneLeft,
-    /// All remaining upstreams have announced a time until which they accept no requests.
+    /// No remaining upstream accepts a request now, and at least one of them is paused: it has
+    /// announced until when it accepts none.
     Resting {
-        /// Milliseconds until the first of them accepts requests again.
+        /// Milliseconds until the first pause ends.
         retry_ms: u64,
     },
     /// The zones of all remaining upstreams are evacuated.
     Evacuated,
     /// No remaining upstream is in a region that the request may reach.
     Outside,
-    /// All remaining upstreams are cold, and this instance may send them no more requests for now.
+    /// No remaining upstream accepts a request now, and at least one of them is cold: this instance
+    /// may send it no more for now.
     Cold {
-        /// Milliseconds until the first of them is warm.
+        /// Milliseconds until the first cold one is warm.
         retry_ms: u64,
     },
-    /// All remaining upstreams advertise a request rate limit, and this instance may send no more for
-    /// now.
+    /// No remaining upstream accepts a request now, and at least one of them advertises a request rate
+    /// limit: this instance may send it no more for now.
     Limited {
-        /// Milliseconds until one of them accepts the next request.
+        /// Milliseconds after which a retry makes sense: a limited one should accept a request by then.
         retry_ms: u64,
     },
     /// The upstreams are full, or so busy that the response would come after the deadline.
--- a/crates/place/src/cost.rs
+++ b/crates/place/src/cost.rs
@@ -16,7 +16,7 @@
 /// Fraction of that cost at the secondary engine of a prefix: when the primary one is busy, all
 /// instances repeat the prefill there, rather than each of them at a different engine.
 const SECONDARY_FACTOR: f64 = 0.5;
-/// Cost of an upstream at which all requests fail, in milliseconds.
+/// Additional cost of an upstream at which all requests fail, in milliseconds.
 const FAILURE_MS: f64 = 2_000.0;
 /// Occupancy at which an engine counts as full, as a percentage of its slots: reports are late, and
 /// other instances fill the rest in the meantime.
--- a/crates/place/src/missing.rs
+++ b/crates/place/src/missing.rs
@@ -1,8 +1,8 @@
 //! Decides whether list entries that are missing were removed, or expired in an outage of the store.
 //!
-//! Entries may expire while the store is out, even all of them at once; a live upstream writes its
-//! entry again within two seconds after the store has recovered. But upstreams also leave during
-//! those seconds, one or two at a time, and must then get no new requests.
+//! Entries may expire while the store is unreachable, even all of them at once; a live upstream
+//! writes its entry again within two seconds after the store has recovered. But upstreams also leave
+//! during those seconds, one or two at a time, and must then get no new requests.
 
 use std::collections::BTreeMap;
 
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -387,7 +387,7 @@
         criteria.regions.is_empty() || region.is_some_and(|r| criteria.regions.contains(r))
     }
 
-    /// Returns why no upstream of a service accepts a request, unless it is only that all of them are
+    /// Returns as an error why no upstream of a service accepts a request; none if all of them are
     /// leaving.
     fn check_accepting(&self, now: u64, criteria: &Criteria<'_>) -> Result<(), ChooseError> {
         let of_service = self.listed().filter(|u| u.spec.service == criteria.service);
--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -426,8 +426,8 @@
         });
     }
 
-    /// Records the first token, or the response, of an attempt; `unloaded_ms` is the time that it would
-    /// have taken without other load at the usual speed of the service.
+    /// Records the first token, or the response, of an attempt; `unloaded_ms` is its expected
+    /// duration without other load, by the latency estimate of its service.
     pub fn record_latency(&mut self, now: u64, attempt: AttemptId, unloaded_ms: f64) {
         self.throttled.end(now, attempt, true);
         let Some(i) = self.prefills.iter().position(|p| p.attempt == attempt) else {
@@ -445,7 +445,8 @@
         self.slowness_updated_at = now;
     }
 
-    /// Returns its recent latency as a multiple of the usual one of its service.
+    /// Returns its recent latency as a multiple of the one that its service's latency estimate predicts
+    /// without other load.
     pub fn slowness(&self, now: u64) -> f64 {
         let elapsed_ms = now.saturating_sub(self.slowness_updated_at) as f64;
         1.0 + (self.slowness - 1.0) * (0.5f64).powf(elapsed_ms / SLOWNESS_HALF_LIFE_MS)
--- a/crates/place/tests/link.rs
+++ b/crates/place/tests/link.rs
@@ -2,7 +2,8 @@
 
 use place::Link;
 
-/// Sends requests of `bytes` at a rate for some time; returns how many were refused, and the max_delay_ms delay.
+/// Sends requests of `bytes` at a rate for some time; returns how many were refused, and the maximum
+/// queueing delay of outbound data in milliseconds.
 fn load(link: &mut Link, from: u64, per_sec: u64, bytes: usize, ms: u64) -> (u64, f64) {
     let (mut refused, mut max_delay_ms) = (0, 0.0_f64);
     for i in 0..per_sec * ms / 1000 {
--- a/crates/place/tests/missing.rs
+++ b/crates/place/tests/missing.rs
@@ -19,7 +19,7 @@
 }
 
 /// Guards against status 503 for all requests during two seconds after an outage. It happens if all entries expire
-/// while the store is out, and all of them count as removed.
+/// while the store is unreachable, and all of them count as removed.
 #[test]
 fn entries_that_expire_together_are_kept_until_they_may_be_written_again() {
     let mut missing = MissingEntries::default();
--- a/crates/suspect/src/broken_connections.rs
+++ b/crates/suspect/src/broken_connections.rs
@@ -8,8 +8,8 @@
 
 use crate::digest::Digest;
 
-/// Time by which it is known whether an upstream has crashed, in milliseconds: the upstream list
-/// shows a crash after some seconds.
+/// Time after a connection broke within which it becomes known whether the upstream has crashed, in
+/// milliseconds: the upstream list shows a crash after some seconds.
 const RESOLVED_WITHIN_MS: u64 = 10_000;
 /// Maximum number of incarnations with broken connections, to bound memory.
 const MAX_INCARNATIONS: usize = 256;
--- a/crates/suspect/src/entry.rs
+++ b/crates/suspect/src/entry.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// What came of merging a record into an entry.
+/// Result of merging a record into an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct MergeOutcome {
     /// The record contained something that was not known here.
--- a/crates/suspect/src/table.rs
+++ b/crates/suspect/src/table.rs
@@ -22,7 +22,7 @@
 /// trial is worth making because upstreams get fixed, and because the request may have been present
 /// by coincidence. If each trial crashes one more upstream, all of them together cost no more
 /// upstreams than the request did before it was refused. After the last trial it stays refused for
-/// as long as it keeps coming.
+/// as long as callers send it.
 const TRIAL_DELAYS_MS: [u64; 3] = [5_000, 60_000, 600_000];
 /// While upstreams are being checked for a crash, a caller is told to retry after this time, in
 /// milliseconds. The check takes a few milliseconds if their ports answer.
@@ -30,8 +30,8 @@
 /// A request is forgotten if no caller has sent it and nothing new was learned of it for this time,
 /// in milliseconds.
 const RETENTION_MS: u64 = 3_600_000;
-/// That a request was answered is remembered for this time, in milliseconds, for instances that
-/// learn of it late.
+/// How long it is remembered that a request was answered after crashes, in milliseconds: instances
+/// that learn of the response late still count those crashes.
 const ANSWERED_RETENTION_MS: u64 = 60_000;
 /// Maximum number of requests in the table, to bound memory. Those with the fewest crashes are
 /// evicted first, so that a flood of broken responses evicts no refused request.
