--- a/crates/trial/src/actions.rs
+++ b/crates/trial/src/actions.rs
@@ -1,4 +1,4 @@
-//! What the decisions ask for: calls of the platform and messages between instances.
+//! Actions that the state machines ask for: platform calls and messages between instances.
 
 use budget::{Action, Event, Settlement, ShardAction};
 use rand::Rng;
@@ -8,6 +8,8 @@
 use crate::simulation::{Simulation, PEER_TIMEOUT_MS, PLATFORM_TIMEOUT_MS};
 
 impl Simulation {
+    /// Returns the time that a message takes between two nodes, in milliseconds; `None` if they
+    /// cannot reach each other.
     pub(crate) fn latency(&self, from: usize, to: usize) -> Option<u64> {
         let (a, b) = (self.nodes[from].zone, self.nodes[to].zone);
         let ms = if a == b {
@@ -40,7 +42,7 @@
         total_sent: Option<u64>,
         recall_id: u64,
     ) {
-        // The first of answer and time-out counts.
+        // Only the first of the reply and the timeout counts.
         if self.open_recalls.remove(&recall_id).is_none() {
             return;
         }
@@ -87,7 +89,9 @@
     }
 
     pub(crate) fn account_index(name: &str) -> usize {
-        name[1..].parse().expect("accounts are numbered")
+        name[1..]
+            .parse()
+            .expect("account names are a letter and a number")
     }
 
     pub(crate) fn run_action(&mut self, node: usize, action: ShardAction) {
@@ -230,7 +234,10 @@
         attempt.tokens_served(self.now)
     }
 
-    /// Answers go by the recall's cumulative counter, so a lost one harms nothing.
+    /// Sends the reply to a recall.
+    ///
+    /// The reply is matched with the oldest open recall between the two nodes. Its number of tokens
+    /// is cumulative, so a lost reply does no harm.
     pub(crate) fn send_recall_reply(
         &mut self,
         node: usize,
@@ -267,7 +274,7 @@
         up_to: u64,
     ) {
         let to = self.nodes.iter().position(|n| n.id == witness);
-        let to = to.expect("witnesses are instances");
+        let to = to.expect("witness is a known node");
         if let Some(latency_ms) = self.latency(node, to) {
             let event = SimEvent::OpenStep {
                 node: to,
@@ -278,8 +285,8 @@
             };
             self.schedule(self.now + latency_ms, event);
         }
-        // After the answer this finds nothing to end: the grant is asked for its next step by then,
-        // or the answer to this one has not come.
+        // No answer is expected, so the request times out. Should a leaving witness answer
+        // nevertheless, the timeout has no effect unless the next step is pending by then.
         if self.nodes[to].state != NodeState::Up || self.latency(node, to).is_none() {
             let event = Event::StepReply {
                 account,
@@ -323,7 +330,7 @@
     pub(crate) fn send_recall(&mut self, node: usize, account: &str, from: &str, tokens: u64) {
         let account = Self::account_index(account);
         let donor = self.nodes.iter().position(|n| n.id == from);
-        let donor = donor.expect("donors are instances");
+        let donor = donor.expect("donor is a known node");
         self.last_recall_id += 1;
         let recall_id = self.last_recall_id;
         self.open_recalls.insert(recall_id, donor * 1_000 + node);
@@ -346,7 +353,7 @@
         self.schedule(self.now + PEER_TIMEOUT_MS, timeout);
     }
 
-    /// Sends a platform call: it may be refused, land late, or lose its answer.
+    /// Sends a platform call, which may be refused, take effect late, or lose its reply.
     pub(crate) fn call_platform(&mut self, node: usize, shard: u32, call: PlatformCall) {
         let faults = self.platform.faults;
         if faults.down || self.platform_unreachable[self.nodes[node].zone] {
--- a/crates/trial/src/entry.rs
+++ b/crates/trial/src/entry.rs
@@ -1,4 +1,4 @@
-//! Callers and entries: requests, reservations, runs at engines and settlements.
+//! Requests at their entries: reservations, attempts at engines and settlements.
 
 use budget::msg::{AttemptRef, ReserveRequest};
 use budget::placement::{self, Candidate};
@@ -27,7 +27,7 @@
         self.start_request(request);
     }
 
-    /// Starts an entry's work on a request, at an instance that the balancer picks.
+    /// Starts a request at a random instance, as a load balancer in front of the fleet would.
     pub(crate) fn start_request(&mut self, request: usize) {
         let accepts = |n: &Node| n.state == NodeState::Up && n.paused_until <= self.now;
         let accepting: Vec<usize> = (0..self.nodes.len())
@@ -84,7 +84,7 @@
     pub(crate) fn request_reservation(&mut self, cx: usize) {
         let home_index = self.contexts[cx].home_index;
         let entry = self.contexts[cx].entry;
-        // A home that is given up may still probe the run that it was told of.
+        // A home that was given up may still cancel the attempt that it was told of.
         let id = &self.requests[self.contexts[cx].request].id;
         self.contexts[cx].attempt_ref = attempt_ref(id, cx, home_index);
         let Some(home) = self.contexts[cx].homes.get(home_index).copied() else {
@@ -190,7 +190,7 @@
         let elapsed = self.now - self.contexts[cx].phase_started_at;
         self.stats.reserve_ms.push(elapsed);
         let (request, entry) = (self.contexts[cx].request, self.contexts[cx].entry);
-        self.log(|| format!("r{request} job {cx} at node {entry}: {reply:?}"));
+        self.log(|| format!("r{request}, context {cx} at node {entry}: {reply:?}"));
         match reply {
             ReserveReply::Held { holder, hold } => {
                 self.contexts[cx].hold = Some((holder, hold));
@@ -206,7 +206,8 @@
                 self.contexts[cx].attempt = self.attempts_by_id.get(&attempt_ref.id).copied();
                 self.contexts[cx].attempt_ref = attempt_ref;
                 if self.contexts[cx].attempt.is_none() {
-                    // Reserved, and never sent as far as known: in progress elsewhere.
+                    // The request is reserved but was not sent to an engine: another entry is
+                    // working on it.
                     self.contexts[cx].phase = Phase::Ended;
                     let request = self.contexts[cx].request;
                     self.schedule(self.now + 3_000, SimEvent::CallerRetry { request });
@@ -257,11 +258,16 @@
         self.stats.refused += 1;
         let is_false = self.remaining_budget(account) >= max_cost;
         self.stats.false_refusals += u64::from(is_false);
-        self.log(|| format!("request {request} of c{account}: {reply:?}, false {is_false}"));
+        self.log(|| {
+            format!("r{request} of c{account} refused: {reply:?}, false refusal: {is_false}")
+        });
         self.finish_request(cx, RequestState::Refused);
     }
 
-    /// Returns what remains of a budget to one who knows everything.
+    /// Returns the tokens of a budget that are not spent, wherever they are.
+    ///
+    /// Running attempts count with the most that they can cost. No instance can compute this, since
+    /// none knows of all attempts.
     pub(crate) fn remaining_budget(&self, account: usize) -> u64 {
         let now = self.now;
         let own = self.attempts.iter().filter(|a| a.account == account);
@@ -294,7 +300,8 @@
         self.send_settlement(cx, 0);
     }
 
-    /// Sends a bill to its home, and from the second round on to others besides.
+    /// Sends a settlement to the holder of the hold and, from the second round on, also to the home
+    /// and the standbys of the account.
     pub(crate) fn send_settlement(&mut self, cx: usize, round: usize) {
         if self.contexts[cx].phase != Phase::Settling {
             return;
@@ -361,7 +368,7 @@
 
     pub(crate) fn on_settled(&mut self, cx: usize) {
         let request = self.contexts[cx].request;
-        self.log(|| format!("r{request} job {cx} settled"));
+        self.log(|| format!("r{request}, context {cx} settled"));
         if self.contexts[cx].phase == Phase::Settling {
             self.stats
                 .settle_ms
--- a/crates/trial/src/fault.rs
+++ b/crates/trial/src/fault.rs
@@ -1,4 +1,4 @@
-//! Faults that happen at a time, and what they do to the fake world.
+//! Faults and their effects on the simulation.
 
 use rand::Rng;
 
@@ -7,26 +7,26 @@
 use crate::sim_event::SimEvent;
 use crate::simulation::{Simulation, CALLER_RETRY_MS, CALLER_RETRY_PCT, RESTART_MS};
 
-/// One fault, or its end.
+/// A fault, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An instance is killed; another with its name starts some seconds later.
+    /// Kills an instance, which restarts some seconds later.
     Kill(usize),
-    /// An instance is paused for a time, in milliseconds.
+    /// Pauses an instance for a time, in milliseconds.
     Pause(usize, u64),
-    /// An instance stops as planned; another with its name starts then.
+    /// Starts a planned stop of an instance, which restarts some seconds after it has left.
     PlannedStop(usize),
-    /// The platform is reached by nobody.
+    /// Makes the platform unreachable for all instances (`true`) or reachable again.
     PlatformDown(bool),
-    /// The platform takes this long, in milliseconds.
+    /// Delays every platform call by this time, in milliseconds.
     PlatformDelay(u64),
-    /// This percentage of the platform's answers is lost.
+    /// Loses this percentage of the platform's replies.
     PlatformReplyLoss(u32),
-    /// A zone is cut from the others, and from the platform.
+    /// Cuts a zone off from the other zones and from the platform (`true`), or reconnects it.
     Partition(usize, bool),
-    /// A zone is cut from the others, but not from the platform.
+    /// Cuts a zone off from the other zones but not from the platform (`true`), or reconnects it.
     PeerPartition(usize, bool),
-    /// A budget is topped up by some tokens, at an instance of a zone.
+    /// Tops up the budget of an account by a number of tokens, at an instance of a zone.
     TopUp(usize, u64, usize),
 }
 
--- a/crates/trial/src/lib.rs
+++ b/crates/trial/src/lib.rs
@@ -1,7 +1,9 @@
-//! Randomised runs and policy trials: the real budget decisions in a step loop with small fakes.
+//! Simulations of the real budget and routing decisions: randomised runs with faults, and
+//! comparisons of policies.
 //!
-//! The fakes stand at the interfaces of the decisions: a platform, a network between instances,
-//! engines that count what they serve, and callers. Time is a number; nothing waits.
+//! The crates `budget` and `route` make the decisions. Everything around them is a small fake: the
+//! platform, the network between instances, engines that count the tokens they serve, and callers.
+//! Time is a number of milliseconds that the simulation advances, so a run never sleeps.
 
 mod actions;
 mod entry;
--- a/crates/trial/src/load.rs
+++ b/crates/trial/src/load.rs
@@ -1,4 +1,5 @@
-//! The policy under load: real choices, queues and retries against fake engines in a step loop.
+//! Simulation of routing under load: the real choice of upstreams, queues and retry budgets, with
+//! fake engines.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,75 +10,89 @@
 use route::queue::{AdmissionDecision, Queue, WaiterId};
 use route::{Load, Pool, RetryBudget, Spec, UpstreamKey, UpstreamKind};
 
-/// Entries, engines, and what an engine does at once.
+/// Number of instances that receive requests.
 const ENTRIES: usize = 9;
+/// Requests that an engine runs at the same time.
 const SLOTS: usize = 16;
+/// Interval between the steps of an engine, in milliseconds. In a step, a running request whose
+/// prefill is done gets one token.
 const STEP_MS: u64 = 4;
+/// Prompt tokens that an engine processes in a step.
 const PREFILL_TOKENS_PER_STEP: u64 = 512;
-/// Prefixes that an engine keeps, and prefixes that long reads share.
+/// Size of an engine's prefix cache.
 const CACHED_PREFIXES: usize = 8;
+/// Number of different prefixes among the long requests.
 const SHARED_PREFIXES: u64 = 100;
+/// Interval between the load reports of an engine, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 250;
+/// Time until a load report reaches the entries, in milliseconds.
 const REPORT_DELAY_MS: u64 = 250;
+/// Time limit of a short request, in milliseconds.
 const SHORT_DEADLINE_MS: u64 = 5_000;
+/// Time limit of a long request, in milliseconds.
 const LONG_DEADLINE_MS: u64 = 60_000;
-/// A quick answer counts only if it begins within this, in milliseconds.
+/// Time limit for the first token of a short request, in milliseconds. A later response does not
+/// count as goodput.
 const SHORT_FIRST_TOKEN_MS: u64 = 2_000;
+/// Maximum number of attempts per request with a retry budget.
 const MAX_ATTEMPTS: u32 = 3;
+/// Maximum number of attempts per request with `Strategy::Random`: so many that its retries count
+/// as unlimited.
 const MAX_RANDOM_ATTEMPTS: u32 = 50;
 
-/// How requests find an engine.
+/// Strategy of routing requests to engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// One after another, no queue: a baseline.
+    /// One engine after the other, without queue and retries: a baseline.
     RoundRobin,
-    /// Any, no queue, tried again without limit: a baseline.
+    /// A random engine, without queue and with unlimited retries: a baseline.
     Random,
-    /// Least load of two, no prefixes, with the queue.
+    /// `Default`, but prefixes are ignored: the less loaded of two random engines.
     LeastLoaded,
-    /// As the program does.
+    /// The strategy of `oriolehitch`, with queue and retry budget.
     Default,
 }
 
-/// All ways.
+/// All strategies, with their labels in tables.
 pub const STRATEGIES: &[(Strategy, &str)] = &[
     (Strategy::RoundRobin, "round robin"),
     (Strategy::Random, "random, unlimited retries"),
     (Strategy::LeastLoaded, "least loaded, no prefixes"),
-    (Strategy::Default, "chosen"),
+    (Strategy::Default, "default"),
 ];
 
-/// What comes, and what fails.
+/// Load and failures of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadProfile {
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub requests_per_sec: f64,
-    /// Percentage of long reads.
+    /// Percentage of long requests.
     pub long_request_pct: u32,
-    /// Whether a third of the engines fails between a third and two thirds of the time.
+    /// Whether a third of the engines is down in the second third of the time.
     pub with_failures: bool,
-    /// Length, in milliseconds.
+    /// Time for which requests arrive, in milliseconds.
     pub length_ms: u64,
 }
 
-/// What a run measured.
+/// Results of a run.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReport {
-    /// Requests.
+    /// Requests that arrived.
     pub requests: u64,
-    /// Answers within their deadline, a second.
+    /// Requests per second that were completed in time.
     pub goodput_per_sec: f64,
-    /// Refusals at once, in percent.
+    /// Requests refused at once, after waiting or for lack of an engine, in percent.
     pub refused_pct: f64,
-    /// 95th percentile of quick questions' first token, in milliseconds.
+    /// 95th percentile of the time to the first token of short requests, in milliseconds.
     pub short_first_token_p95_ms: u64,
-    /// Upstream requests for each caller's request while engines fail.
+    /// Upstream requests per request that arrived, while engines are down.
     pub retry_amplification: f64,
-    /// Long reads whose prefix was cached, in percent.
+    /// Attempts of long requests that found their prefix in the cache, in percent.
     pub prefix_hit_pct: f64,
-    /// When all was normal after the engines came back, in milliseconds.
+    /// Time from the end of the failures to the first second in which at least 95 % of the requests
+    /// that arrive are completed in time, in milliseconds.
     pub recovery_ms: u64,
 }
 
@@ -120,7 +135,7 @@
     round_robin: usize,
 }
 
-/// The whole fake world of one run.
+/// State of a simulation.
 pub struct LoadSimulation {
     now: u64,
     strategy: Strategy,
@@ -138,7 +153,7 @@
 }
 
 impl LoadSimulation {
-    /// Opens a world.
+    /// Creates a simulation in which no request has arrived.
     pub fn new(seed: u64, strategy: Strategy, profile: LoadProfile) -> LoadSimulation {
         let new_entry = || {
             let mut pool = Pool::default();
@@ -175,7 +190,9 @@
         self.profile.with_failures && (third..2 * third).contains(&self.now)
     }
 
-    /// Runs to the end, without new requests in the last minute.
+    /// Runs until the last requests have ended or are past their deadlines.
+    ///
+    /// No requests arrive in the last minute.
     pub fn run(mut self) -> LoadReport {
         let mut next_arrival = 0.0;
         while self.now < self.profile.length_ms + LONG_DEADLINE_MS {
@@ -258,7 +275,7 @@
         let entry = &mut self.entries[self.requests[id].entry];
         let capacity = entry.pool.capacity(now, UpstreamKind::Engine, "m");
         let priority = if is_short { 8 } else { 4 };
-        // Waiting is worth it only as long as the answer would still be in time.
+        // Waiting is of use only while the response could still be in time.
         let queue_deadline = if is_short {
             now + SHORT_FIRST_TOKEN_MS
         } else {
@@ -359,7 +376,7 @@
         engine.waiting.push(attempt);
     }
 
-    /// An attempt failed: another one, if there is a retry for it.
+    /// Handles a failed attempt: retries the request if the strategy and the deadline allow it.
     fn on_attempt_failed(&mut self, id: usize, key: UpstreamKey) {
         let jitter = self.rng.random();
         let entry = &mut self.entries[self.requests[id].entry];
@@ -399,7 +416,7 @@
         let requests = &mut self.requests;
         let engine = &mut self.engines[i];
         while engine.running.len() < SLOTS && !engine.waiting.is_empty() {
-            // Priority is passed on: quick questions first.
+            // Priorities are passed on to the engines, which start short requests first.
             let first_short = engine
                 .waiting
                 .iter()
@@ -407,7 +424,7 @@
             let attempt = engine.waiting.remove(first_short.unwrap_or(0));
             engine.running.push(attempt);
         }
-        // One batch reads a bounded number of prompt tokens a step, quick questions first.
+        // The number of prompt tokens in a step is limited; short requests go first.
         let mut prefill_budget = PREFILL_TOKENS_PER_STEP;
         engine
             .running
@@ -456,7 +473,7 @@
             if engine.down || !due {
                 continue;
             }
-            let (_, load) = engine.reports.pop_front().expect("looked at above");
+            let (_, load) = engine.reports.pop_front().expect("checked above");
             for entry in &mut self.entries {
                 entry
                     .pool
@@ -500,7 +517,8 @@
         }
     }
 
-    /// Returns the time from the engines' return to the first second with 95 % good answers.
+    /// Returns the time from the end of the failures to the first second in which at least 95 % of
+    /// the requests that arrive are completed in time; if there is none, the rest of the time.
     fn recovery_ms(&self) -> u64 {
         let recovered_at = self.profile.length_ms / 3 * 2;
         let mut from = recovered_at;
--- a/crates/trial/src/node.rs
+++ b/crates/trial/src/node.rs
@@ -1,4 +1,4 @@
-//! One start of an instance in the fake world.
+//! Nodes: the incarnations of instances.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,38 +6,42 @@
 
 use crate::sim_event::PendingReply;
 
-/// How an instance stands.
+/// State of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// It works.
+    /// It is running.
     Up,
-    /// It stops as planned.
+    /// It is in a planned stop.
     Leaving,
-    /// It has stopped as planned.
+    /// It has completed its planned stop.
     Left,
     /// It was killed.
     Killed,
 }
 
-/// One start of an instance.
+/// One incarnation of an instance.
 pub struct Node {
-    /// Its incarnation.
+    /// Id of the incarnation.
     pub id: String,
-    /// Which of the instances it is a start of.
+    /// Number of the instance.
     pub instance: usize,
-    /// Its zone.
+    /// Availability zone.
     pub zone: usize,
-    /// How it stands.
+    /// Current state.
     pub state: NodeState,
-    /// When that began, in milliseconds.
+    /// When it started or, once it was killed or has left, when that happened, in milliseconds.
     pub state_since: u64,
-    /// Until when it is paused, in milliseconds.
+    /// End of its latest pause, in milliseconds.
     pub paused_until: u64,
+    /// Start of its latest pause, in milliseconds.
     pub(crate) paused_since: u64,
-    /// Its decisions on budgets.
+    /// State machines of its shards.
     pub manager: ShardManager,
+    /// Requests to the state machines that are not answered yet, by the ids of their replies.
     pub(crate) pending_replies: BTreeMap<u64, PendingReply>,
     pub(crate) next_reply_id: u64,
+    /// Nodes that it takes for unresponsive.
     pub(crate) unresponsive: BTreeSet<usize>,
+    /// Whether the planned stop has reached the state machines.
     pub(crate) leave_started: bool,
 }
--- a/crates/trial/src/platform.rs
+++ b/crates/trial/src/platform.rs
@@ -1,30 +1,31 @@
-//! The fake platform: one value per shard, with the switches for its faults.
+//! The fake platform: one record per shard, segments of bills, and faults.
 
 use std::collections::BTreeMap;
 
 use budget::msg::RecordSnapshot;
 use budget::ShardRecord;
 
-/// The switches for faults.
+/// Active faults of the platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    /// No call arrives.
+    /// Whether all calls are refused before they take effect.
     pub down: bool,
-    /// Calls take this long, in milliseconds; longer than the client waits, they land late.
+    /// Delay of every call, in milliseconds. A call that outlasts the timeout of its client still
+    /// takes effect.
     pub delay_ms: u64,
-    /// Percentage of the answers that are lost after the call took effect.
+    /// Percentage of the replies that are lost after the call took effect.
     pub reply_loss_pct: u32,
 }
 
-/// The stored records.
+/// Stored records and segments.
 #[derive(Debug, Default)]
 pub struct Platform {
     revision: i64,
     records: BTreeMap<u32, RecordSnapshot>,
     segments: BTreeMap<String, budget::record::BillSegment>,
-    /// The switches.
+    /// Active faults.
     pub faults: Faults,
-    /// Calls that arrived.
+    /// Reads that arrived.
     pub reads: u64,
     /// Writes that arrived.
     pub writes: u64,
@@ -41,7 +42,7 @@
     ///
     /// # Errors
     ///
-    /// Returns what is stored when the write lost.
+    /// Returns the stored record, if any, if its revision is a different one.
     pub fn write(
         &mut self,
         shard: u32,
@@ -60,13 +61,13 @@
         Ok(revision)
     }
 
-    /// Writes a segment of older bills.
+    /// Writes a segment of archived bills.
     pub fn write_segment(&mut self, name: String, segment: budget::record::BillSegment) {
         self.writes += 1;
         self.segments.insert(name, segment);
     }
 
-    /// Reads a segment of older bills.
+    /// Reads a segment of archived bills.
     pub fn read_segment(&mut self, name: &str) -> Option<budget::record::BillSegment> {
         self.reads += 1;
         self.segments.get(name).cloned()
@@ -77,7 +78,7 @@
         self.records.values().map(|s| &s.record)
     }
 
-    /// Returns every bill of an account, in segments and records.
+    /// Returns all bills of an account, from segments and records.
     pub fn bills(&self, account: &str) -> Vec<budget::Bill> {
         let mut bills = Vec::new();
         for (shard, stored) in &self.records {
--- a/crates/trial/src/policy.rs
+++ b/crates/trial/src/policy.rs
@@ -1,40 +1,42 @@
-//! The policies that a trial compares.
+//! Budget policies, to be compared with each other.
 
 use budget::grant::GrantSizing;
 use budget::shard::Params;
 
-/// A policy.
+/// A budget policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// Every instance has an equal part of the budget for good: a baseline.
+    /// Each instance gets an equal part of the budget once and for all: a baseline.
     EqualSplit,
-    /// A compare-and-swap for each request: a baseline.
+    /// Each grant is exactly what the waiting requests need, so that about every request takes a
+    /// compare-and-swap of the record: a baseline.
     CasPerRequest,
-    /// Grants of a share of what is free, one home per account, standbys in the other zones.
+    /// The policy of `oriolehitch`: grants of a share of the free budget, one home per account, and
+    /// standbys in the other zones.
     Default,
-    /// As chosen, without standbys.
+    /// `Default`, but standbys hold no tokens.
     NoStandby,
-    /// As chosen, standbys with a small part.
+    /// `Default`, but standbys hold a smaller part of the free budget.
     SmallStandby,
-    /// As chosen, grants sized by demand over some seconds.
+    /// `Default`, but grants are sized by the demand projected over some seconds.
     DemandSizing,
-    /// As chosen, every grant its holder's alone.
+    /// `Default`, but every grant belongs to its holder alone.
     NoJointGrants,
-    /// As chosen, without recall from other holders.
+    /// `Default`, but without recalls from other holders.
     NoRecall,
-    /// As chosen, every zone its own home.
+    /// `Default`, but entries first ask the home or standby in their own zone.
     HomePerZone,
-    /// As chosen, copies of bills after 25 ms.
+    /// `Default`, but copies of settlements are sent after 25 ms.
     DelayedCopies,
-    /// As chosen, no copies of bills: only the record counts.
+    /// `Default`, but without copies of settlements: only the record makes them durable.
     NoCopies,
 }
 
-/// All policies.
+/// All policies, with their labels in tables.
 pub const POLICIES: &[(Policy, &str)] = &[
     (Policy::EqualSplit, "equal split"),
-    (Policy::CasPerRequest, "swap per request"),
-    (Policy::Default, "chosen"),
+    (Policy::CasPerRequest, "compare-and-swap per request"),
+    (Policy::Default, "default"),
     (Policy::NoStandby, "no standby"),
     (Policy::SmallStandby, "standby 5 %"),
     (Policy::DemandSizing, "demand 10 s"),
@@ -46,7 +48,7 @@
 ];
 
 impl Policy {
-    /// Returns the parameters of the homes.
+    /// Returns the parameters of the shards.
     pub fn params(self, instances: usize) -> Params {
         let base = Params::default();
         match self {
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Returns which instances an entry asks: the one home, its zone's, or itself.
+    /// Returns which instances an entry asks for tokens.
     pub fn home_selection(self) -> HomeSelection {
         match self {
             Policy::EqualSplit => HomeSelection::Local,
@@ -111,10 +113,10 @@
 /// Which instances an entry asks for tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeSelection {
-    /// Itself.
+    /// Only itself.
     Local,
-    /// The first of its own zone.
+    /// The home and the standbys, that of its own zone first.
     OwnZone,
-    /// The home, then the standbys.
+    /// The home, then the standbys, that of its own zone first.
     Home,
 }
--- a/crates/trial/src/report.rs
+++ b/crates/trial/src/report.rs
@@ -1,31 +1,31 @@
-//! Numbers of a run, and tables of them.
+//! Results of runs, and tables of them.
 
 use crate::policy::Policy;
 use crate::simulation::{Simulation, SETTLE_PERIOD_MS};
 use crate::trace::Trace;
 
-/// The numbers of one run.
+/// Results of one run.
 #[derive(Clone, Debug)]
 pub struct RunReport {
-    /// Tokens served beyond the top-ups.
+    /// Most tokens that an account was ever served in excess of its top-ups.
     pub overspend: u64,
-    /// Requests.
+    /// Requests that arrived.
     pub requests: u64,
-    /// Refusals although budget remained, in percent of the requests.
+    /// Refusals although the rest of the budget would have sufficed, in percent of the requests.
     pub false_refusal_pct: f64,
     /// Refusals, in percent of the requests.
     pub refused_pct: f64,
-    /// Tokens left stranded at the end, in percent of the budgets.
+    /// Tokens that are stranded at the end, in percent of the budgets.
     pub stranded_pct: f64,
-    /// Platform reads a second.
+    /// Platform reads per second.
     pub reads_per_sec: f64,
-    /// Platform writes a second.
+    /// Platform writes per second.
     pub writes_per_sec: f64,
-    /// Median and 99th percentile of a reservation, in milliseconds.
+    /// Median and 99th percentile of the durations of reservations, in milliseconds.
     pub reserve_ms: (u64, u64),
-    /// Median and 99th percentile of a settlement, in milliseconds.
+    /// Median and 99th percentile of the durations of settlements, in milliseconds.
     pub settle_ms: (u64, u64),
-    /// What does not hold, if anything.
+    /// Invariant that was violated, if any.
     pub violation: Option<String>,
 }
 
@@ -60,7 +60,7 @@
     (at(50).copied().unwrap_or(0), at(99).copied().unwrap_or(0))
 }
 
-/// Returns a row of a table in Markdown.
+/// Returns the results as a row of a Markdown table.
 pub fn table_row(name: &str, report: &RunReport) -> String {
     format!(
         "| {name} | {} | {:.3} | {:.2} | {:.3} | {:.1} | {:.1} | {}/{} | {}/{} | {} |",
@@ -78,5 +78,5 @@
     )
 }
 
-/// The head of such a table.
+/// Header of the Markdown table that the rows belong to.
 pub const TABLE_HEADER: &str = "| policy | overspend, tokens | false refusals, % | refusals, % | stranded, % of budgets | platform reads/s | platform writes/s | reserve p50/p99, ms | settle p50/p99, ms | invariants |\n|---|---|---|---|---|---|---|---|---|---|";
--- a/crates/trial/src/request.rs
+++ b/crates/trial/src/request.rs
@@ -1,105 +1,107 @@
-//! Requests of callers, the entries' work on them, and the engines' runs.
+//! Requests, the work of entries on them, and attempts at engines.
 
 use budget::msg::AttemptRef;
 
-/// Tokens an engine produces take this long each, in milliseconds.
+/// Time that an engine takes to produce a token, in milliseconds.
 pub const MS_PER_TOKEN: u64 = 5;
 
-/// What became of a request.
+/// State of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// It is under way.
+    /// An entry is working on it, or the caller is going to retry it.
     InProgress,
-    /// Its whole answer and the bill's word reached the caller.
+    /// Its attempt has ended, and the settlement was confirmed to an entry.
     Served,
-    /// It was refused.
+    /// No tokens were reserved for it.
     Refused,
-    /// Its entry died and the caller did not come back.
+    /// No instance accepted it, its entry was killed and the caller did not retry, or its attempt
+    /// was cancelled before it started.
     Lost,
 }
 
-/// One request of a caller; retries share it.
+/// A request of a caller, including its retries.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// The customer.
+    /// Number of the customer's account.
     pub account: usize,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens of the complete response.
     pub response_tokens: u64,
-    /// The most that it can cost.
+    /// Most tokens that it can cost.
     pub max_cost: u64,
-    /// What became of it.
+    /// Current state.
     pub state: RequestState,
 }
 
-/// How far an entry is with a request.
+/// Phase of the work on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It waits for tokens.
+    /// The entry waits for a reservation.
     Reserving,
-    /// The engine runs it.
+    /// An engine runs the request.
     Running,
-    /// It waits for its bill.
+    /// The entry waits until the settlement is confirmed.
     Settling,
-    /// It has ended.
+    /// The work has ended.
     Ended,
 }
 
-/// One entry's work on a request.
+/// Work of one entry on a request. A retry by the caller gets a new context.
 #[derive(Clone, Debug)]
 pub struct RequestContext {
-    /// The request.
+    /// Index of the request.
     pub request: usize,
-    /// The entry, an instance.
+    /// Node that is the entry.
     pub entry: usize,
-    /// Homes to ask, in order; instances.
+    /// Nodes to ask for a reservation, in order: usually the home and the standbys.
     pub homes: Vec<usize>,
-    /// Homes asked so far; tells late answers apart.
+    /// Index of the home that is asked now; replies of earlier ones are ignored.
     pub home_index: usize,
-    /// How far it is.
+    /// Current phase.
     pub phase: Phase,
-    /// The holder and its number for the hold.
+    /// Holder and number of the hold.
     pub hold: Option<(String, u64)>,
-    /// The run at an engine.
+    /// Index of the attempt, once it has started.
     pub attempt: Option<usize>,
-    /// When it began to reserve or to settle, in milliseconds.
+    /// When reserving or settling began, in milliseconds.
     pub phase_started_at: u64,
-    /// Rounds of settling so far.
+    /// Always 0: `SimEvent::SettleRound` has the round of the settlement.
     pub rounds: usize,
-    /// Where it will run.
+    /// Reference of the attempt that the home was told of, or that runs the request already.
     pub attempt_ref: AttemptRef,
 }
 
-/// One run at an engine.
+/// An attempt to run a request at an engine.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request.
+    /// Index of the request.
     pub request: usize,
-    /// The customer.
+    /// Number of the customer's account.
     pub account: usize,
-    /// When it began, in milliseconds.
+    /// When it started, in milliseconds.
     pub started_at: u64,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens of the complete response.
     pub response_tokens: u64,
     /// When it was cancelled, in milliseconds.
     pub cancelled_at: Option<u64>,
-    /// The most that it can cost.
+    /// Most tokens that it can cost.
     pub max_cost: u64,
 }
 
 impl Attempt {
-    /// Returns when it ends, in milliseconds.
+    /// Returns the time at which it ends or ended, in milliseconds.
     pub fn ends_at(&self) -> u64 {
-        let whole = self.started_at + self.response_tokens * MS_PER_TOKEN;
-        self.cancelled_at.map_or(whole, |at| at.min(whole))
+        let completes_at = self.started_at + self.response_tokens * MS_PER_TOKEN;
+        self.cancelled_at
+            .map_or(completes_at, |at| at.min(completes_at))
     }
 
-    /// Returns the tokens served until a time.
+    /// Returns the tokens served up to a time, including those of the prompt.
     pub fn tokens_served(&self, now: u64) -> u64 {
         let until = now.min(self.ends_at());
         let produced = until.saturating_sub(self.started_at) / MS_PER_TOKEN;
--- a/crates/trial/src/sim_event.rs
+++ b/crates/trial/src/sim_event.rs
@@ -1,7 +1,8 @@
-//! What happens at a time in the fake world.
+//! Events of the simulation.
 
 use budget::{Event, ReserveReply, Settlement, ShardRecord};
 
+/// A request to a state machine that is not answered yet.
 #[derive(Clone, Debug)]
 pub(crate) enum PendingReply {
     Reserve {
@@ -23,6 +24,7 @@
     Operator,
 }
 
+/// A call of the platform.
 #[derive(Clone, Debug)]
 pub(crate) enum PlatformCall {
     ReadRecord,
@@ -39,6 +41,7 @@
     },
 }
 
+/// An event that is scheduled for a time.
 #[derive(Clone, Debug)]
 pub(crate) enum SimEvent {
     Arrival(usize),
--- a/crates/trial/src/simulation.rs
+++ b/crates/trial/src/simulation.rs
@@ -1,4 +1,5 @@
-//! The step loop: instances with their real decisions, and the fakes around them.
+//! The event loop: instances with the real state machines of their budgets, and the fakes around
+//! them.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -16,55 +17,67 @@
 use crate::sim_event::{PendingReply, SimEvent};
 use crate::trace::Trace;
 
-/// Instances.
+/// Number of instances.
 pub const INSTANCES: usize = 9;
-/// Availability zones.
+/// Number of availability zones.
 pub const ZONES: usize = 3;
-/// Shards of the budget records.
+/// Number of shards that the accounts are grouped into.
 pub(crate) const SHARDS: u32 = 4;
-/// The fleet's share of the platform's writes, a second.
+/// Record writes per second that the whole fleet may make.
 pub(crate) const WRITES_PER_SEC: u64 = 100;
-/// A client's limits, in milliseconds.
+/// Timeout of a platform call, in milliseconds.
 pub(crate) const PLATFORM_TIMEOUT_MS: u64 = 1_500;
+/// Timeout of a call to another instance, in milliseconds.
 pub(crate) const PEER_TIMEOUT_MS: u64 = 2_500;
+/// Time that a home has to obtain the tokens of a reservation, in milliseconds.
 pub(crate) const TOKEN_WAIT_MS: u64 = 1_500;
-/// Silence after which an instance is suspected, in milliseconds.
+/// Time for which the others still take a killed or paused instance for live, in milliseconds.
 pub(crate) const UNRESPONSIVE_AFTER_MS: u64 = 4_000;
-/// How long a caller of a dead entry takes to come back, in milliseconds.
+/// Time after which the caller of a killed entry retries, in milliseconds.
 pub(crate) const CALLER_RETRY_MS: std::ops::Range<u64> = 500..4_000;
-/// Callers of dead entries that come back, in percent.
+/// Percentage of the callers of killed entries that retry.
 pub(crate) const CALLER_RETRY_PCT: u32 = 80;
+/// Time until an instance that was killed or has left restarts, in milliseconds.
 pub(crate) const RESTART_MS: u64 = 3_000;
+/// Interval between the ticks of a node, in milliseconds.
 pub(crate) const TICK_MS: u64 = 20;
+/// Interval at which the nodes update which instances they take for live, in milliseconds.
 pub(crate) const MEMBERSHIP_INTERVAL_MS: u64 = 500;
+/// Number of lines that are kept of the history, unless all are.
 pub(crate) const MAX_HISTORY: usize = 200;
-/// Traces above this length, in milliseconds, are looked at for overspend more seldom: each look
-/// costs time by all runs so far, and what is served never becomes less.
+/// Length above which a trace is checked for overspend less often, in milliseconds.
+///
+/// Each check takes time in proportion to the attempts so far. Rarer checks suffice because the
+/// number of tokens served never decreases.
 pub(crate) const LONG_TRACE_MS: u64 = 120_000;
+/// Interval at which a long trace is checked for overspend, in milliseconds.
 pub(crate) const LONG_TRACE_CHECK_MS: u64 = 10_000;
-/// Time after the trace in which everything is healed and settles, in milliseconds.
+/// Time after the trace, without faults, for everything to settle, in milliseconds.
 pub const SETTLE_PERIOD_MS: u64 = 90_000;
 
-/// What a run measured.
+/// Measurements of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
-    /// Requests.
+    /// Requests that arrived.
     pub requests: u64,
-    /// Requests refused.
+    /// Refusals.
     pub refused: u64,
-    /// Of these, requests that budget and capacity remained for.
+    /// Refusals of requests that the rest of the budget would have covered.
     pub false_refusals: u64,
-    /// Tokens served beyond the top-ups, at the worst moment.
+    /// Most tokens that an account was ever served in excess of its top-ups.
     pub overspend: u64,
-    /// Times of reservations, in milliseconds.
+    /// Durations of reservations that were answered, in milliseconds.
     pub reserve_ms: Vec<u64>,
-    /// Times of settlements, in milliseconds.
+    /// Durations of settlements, in milliseconds.
     pub settle_ms: Vec<u64>,
-    /// Kills.
+    /// Nodes killed.
     pub kills: u64,
 }
 
-/// Names a run: a home that is given up may probe the one that it was told of.
+/// Returns the reference of the attempt that a home is told of.
+///
+/// It differs for each home that is asked, because a home that was given up may still cancel the
+/// attempt that it was told of and ask the engine for its usage.
 pub(crate) fn attempt_ref(request: &str, cx: usize, home_index: usize) -> AttemptRef {
     AttemptRef {
         upstream: "e".to_string(),
@@ -72,46 +85,55 @@
     }
 }
 
-/// The whole fake world.
+/// State of a simulation.
 pub struct Simulation {
-    /// The time, in milliseconds.
+    /// Current time, in milliseconds.
     pub now: u64,
-    /// The trace.
+    /// Requests and faults of the run.
     pub trace: Trace,
     pub(crate) policy: Policy,
     pub(crate) rng: ChaCha8Rng,
+    /// Time, sequence number and id of each scheduled event.
     pub(crate) event_queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     pub(crate) events: BTreeMap<usize, SimEvent>,
     pub(crate) next_event_id: u64,
-    /// The platform.
+    /// Fake platform.
     pub platform: Platform,
-    /// Every start of every instance.
+    /// Incarnations of all instances, in order of their starts.
     pub nodes: Vec<Node>,
+    /// Latest node of each instance.
     pub(crate) current_nodes: Vec<usize>,
+    /// Whether each zone is cut off from the other zones.
     pub(crate) partitioned: [bool; ZONES],
+    /// Whether each zone is cut off from the platform.
     pub(crate) platform_unreachable: [bool; ZONES],
-    /// All requests.
+    /// Requests that have arrived.
     pub requests: Vec<Request>,
     pub(crate) contexts: Vec<RequestContext>,
-    /// All runs at engines.
+    /// Attempts at engines.
     pub attempts: Vec<Attempt>,
     pub(crate) attempts_by_id: BTreeMap<String, usize>,
+    /// Ids of attempts that were cancelled before they started.
     pub(crate) cancelled_before_start: BTreeSet<String>,
     pub(crate) top_up_count: u64,
+    /// Recalls without a reply, by id: 1,000 times the node that was asked plus the one that asks.
     pub(crate) open_recalls: BTreeMap<u64, usize>,
     pub(crate) last_recall_id: u64,
-    /// What was measured.
+    /// Measurements so far.
     pub stats: Stats,
-    /// Steps of the decisions.
+    /// Steps so far: events of single shards, and ticks of nodes.
     pub steps: u64,
-    /// Whether the whole history is kept, for a look at one seed.
+    /// Whether all lines of the history are kept, including one for each event of a shard, to
+    /// examine a single seed.
     pub keep_full_history: bool,
-    /// The latest happenings, for a failure's report.
+    /// Latest log lines, to report with a failure.
     pub history: std::collections::VecDeque<String>,
 }
 
 impl Simulation {
-    /// Opens a world at the start of a trace.
+    /// Creates a simulation in which all instances are up and the budgets are being topped up.
+    ///
+    /// The trace begins after 3 s.
     pub fn new(seed: u64, policy: Policy, trace: Trace) -> Simulation {
         let mut sim = Simulation {
             now: 0,
@@ -159,7 +181,7 @@
         sim
     }
 
-    /// Runs until everything has settled.
+    /// Runs the trace, ends all faults, and runs on until everything should have settled.
     pub fn run(&mut self) {
         let end = 3_000 + self.trace.length_ms;
         self.run_until(end);
@@ -174,7 +196,10 @@
             }
             self.event_queue.pop();
             self.now = at;
-            let event = self.events.remove(&id).expect("queued items are kept");
+            let event = self
+                .events
+                .remove(&id)
+                .expect("each queued id has an event");
             self.handle(event);
         }
         self.now = end;
@@ -228,12 +253,12 @@
         format!("c{account}")
     }
 
-    /// Returns whether two zones hear each other.
+    /// Returns whether the instances of two zones can reach each other.
     pub(crate) fn zones_connected(&self, a: usize, b: usize) -> bool {
         a == b || !(self.partitioned[a] || self.partitioned[b])
     }
 
-    /// Returns which instance an item must reach.
+    /// Returns the node that handles an event, if a node does.
     pub(crate) fn target_node(&self, event: &SimEvent) -> Option<usize> {
         match event {
             SimEvent::Tick(node)
@@ -254,6 +279,8 @@
         }
     }
 
+    /// Handles an event. It is lost if its node was killed or has left, and delayed while the node
+    /// is paused.
     pub(crate) fn handle(&mut self, sim_event: SimEvent) {
         if let Some(node) = self.target_node(&sim_event) {
             let node = &self.nodes[node];
@@ -370,7 +397,7 @@
             self.nodes[node].leave_started = true;
             self.nodes[node].manager.leave();
         } else if self.nodes[node].manager.is_drained() {
-            self.log(|| format!("node {node} left"));
+            self.log(|| format!("node {node} completed its planned stop"));
             self.nodes[node].state = NodeState::Left;
             self.nodes[node].state_since = self.now;
             let instance = self.nodes[node].instance;
@@ -378,7 +405,7 @@
         }
     }
 
-    /// Returns whether an instance seems to live to another one.
+    /// Returns whether a node takes another one, or itself, for live.
     pub(crate) fn appears_live(&self, from: usize, to: usize) -> bool {
         let (a, b) = (&self.nodes[from], &self.nodes[to]);
         if from == to {
@@ -451,7 +478,7 @@
         }
     }
 
-    /// Returns the sum of an account's top-ups that are in force.
+    /// Returns the sum of an account's top-ups that are on record.
     pub fn budget_total(&self, account: usize) -> u64 {
         let name = self.account_name(account);
         let accounts = self
@@ -461,7 +488,7 @@
         accounts.map(|a| a.total()).sum()
     }
 
-    /// Returns the tokens that engines served to an account.
+    /// Returns the tokens that engines have served to an account.
     pub fn tokens_served(&self, account: usize) -> u64 {
         let own = self.attempts.iter().filter(|a| a.account == account);
         own.map(|a| a.tokens_served(self.now)).sum()
@@ -499,7 +526,10 @@
         id
     }
 
-    /// Returns the tokens that vanished holders left unspent.
+    /// Returns the unspent tokens of holders that were killed or have left.
+    ///
+    /// The unopened part of a joint grant counts only if its witness is gone, too: otherwise the
+    /// witness returns it to the record.
     pub fn stranded_tokens(&self) -> u64 {
         let gone = |h: &str| {
             let node = self.nodes.iter().find(|n| n.id == h);
--- a/crates/trial/src/trace.rs
+++ b/crates/trial/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: who asks for what and when, and which faults happen; all from a seed.
+//! Traces: requests, budgets and faults of a run, generated from a seed.
 
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -6,54 +6,54 @@
 
 use crate::fault::Fault;
 
-/// One request of a trace.
+/// Arrival of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When, in milliseconds.
+    /// Time from the start of the trace, in milliseconds.
     pub at_ms: u64,
-    /// The customer.
+    /// Number of the customer's account.
     pub account: usize,
     /// Tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the answer.
+    /// Tokens of the complete response.
     pub response_tokens: u64,
-    /// The most tokens that the caller allows.
+    /// Most tokens of the response that the caller allows.
     pub max_response_tokens: u64,
 }
 
-/// A whole trace.
+/// Requests, budgets and faults of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
-    /// Its name.
+    /// Name of the trace.
     pub name: &'static str,
-    /// Its length, in milliseconds.
+    /// Length, in milliseconds.
     pub length_ms: u64,
-    /// Budgets at the start, in tokens.
+    /// Tokens of each account's budget at the start.
     pub budgets: Vec<u64>,
-    /// Requests in order of time.
+    /// Arrivals of requests in order of time.
     pub arrivals: Vec<Arrival>,
-    /// Faults with their times.
+    /// Faults with the times at which they begin or end, in milliseconds.
     pub faults: Vec<(u64, Fault)>,
-    /// One way between zones, in milliseconds.
+    /// One-way latency between zones, in milliseconds.
     pub zone_latency_ms: u64,
 }
 
-/// What a firm's load looks like.
+/// Parameters of a generated load.
 #[derive(Clone, Copy, Debug)]
 pub struct Workload {
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub requests_per_sec: f64,
-    /// Customers.
+    /// Number of customers.
     pub customers: usize,
-    /// Percentage of long reads.
+    /// Percentage of requests with long prompts.
     pub long_prompt_pct: u32,
-    /// Times the whole demand that the budgets cover.
+    /// Ratio of each customer's budget to its demand over the whole trace; 20,000 tokens are added.
     pub budget_ratio: f64,
-    /// One way between zones, in milliseconds.
+    /// One-way latency between zones, in milliseconds.
     pub zone_latency_ms: u64,
 }
 
-/// Hrísey: small budgets, tightly held.
+/// Small budgets that must be enforced tightly, named after Hrísey in traces.
 pub const SMALL_BUDGETS: Workload = Workload {
     requests_per_sec: 20.0,
     customers: 10,
@@ -62,7 +62,7 @@
     zone_latency_ms: 1,
 };
 
-/// Southern Plains: false refusals stop a shift.
+/// Ample budgets, named after the Southern Plains in traces: a false refusal stops a shift there.
 pub const LARGE_BUDGETS: Workload = Workload {
     requests_per_sec: 30.0,
     customers: 10,
@@ -71,12 +71,12 @@
     zone_latency_ms: 1,
 };
 
-const MINUTE: u64 = 60_000;
+const MINUTE_MS: u64 = 60_000;
 
-/// Makes a trace from a seed.
+/// Generates a trace from a seed.
 pub type TraceFn = fn(u64) -> Trace;
 
-/// The traces of the policy trial.
+/// Traces on which the policies are compared, by name.
 pub const TRACES: &[(&str, TraceFn)] = &[
     ("calm, Hrísey", calm_small_budgets),
     ("calm, Southern Plains", calm_large_budgets),
@@ -87,7 +87,9 @@
     ("season's opening", demand_shift),
 ];
 
-/// Draws a load over a time.
+/// Generates a trace without faults.
+///
+/// Requests arrive as a Poisson process.
 pub fn generate(name: &'static str, seed: u64, length_ms: u64, workload: Workload) -> Trace {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
@@ -115,7 +117,7 @@
 }
 
 fn random_arrival(rng: &mut ChaCha8Rng, at_ms: u64, workload: Workload) -> Arrival {
-    // A few customers are large: the smaller of two draws prefers the first ones.
+    // A few customers are large: the smaller of two random numbers favours the first customers.
     let a = rng.random_range(0..workload.customers);
     let account = a.min(rng.random_range(0..workload.customers));
     let long = rng.random_range(0..100) < workload.long_prompt_pct;
@@ -134,11 +136,11 @@
 }
 
 fn calm_small_budgets(seed: u64) -> Trace {
-    generate("calm, Hrísey", seed, 10 * MINUTE, SMALL_BUDGETS)
+    generate("calm, Hrísey", seed, 10 * MINUTE_MS, SMALL_BUDGETS)
 }
 
 fn calm_large_budgets(seed: u64) -> Trace {
-    generate("calm, Southern Plains", seed, 10 * MINUTE, LARGE_BUDGETS)
+    generate("calm, Southern Plains", seed, 10 * MINUTE_MS, LARGE_BUDGETS)
 }
 
 fn nearly_drained(seed: u64) -> Trace {
@@ -146,14 +148,14 @@
         budget_ratio: 0.7,
         ..SMALL_BUDGETS
     };
-    generate("nearly drained", seed, 10 * MINUTE, workload)
+    generate("nearly drained", seed, 10 * MINUTE_MS, workload)
 }
 
 fn platform_outage(seed: u64) -> Trace {
-    let mut trace = generate("platform out 10 min", seed, 20 * MINUTE, SMALL_BUDGETS);
+    let mut trace = generate("platform out 10 min", seed, 20 * MINUTE_MS, SMALL_BUDGETS);
     trace.faults = vec![
-        (5 * MINUTE, Fault::PlatformDown(true)),
-        (15 * MINUTE, Fault::PlatformDown(false)),
+        (5 * MINUTE_MS, Fault::PlatformDown(true)),
+        (15 * MINUTE_MS, Fault::PlatformDown(false)),
     ];
     trace
 }
@@ -163,13 +165,13 @@
         requests_per_sec: 5.0,
         ..SMALL_BUDGETS
     };
-    let mut trace = generate("zone cut 1 h", seed, 80 * MINUTE, workload);
+    let mut trace = generate("zone cut 1 h", seed, 80 * MINUTE_MS, workload);
     trace.faults = vec![
-        (10 * MINUTE, Fault::Partition(2, true)),
-        (70 * MINUTE, Fault::Partition(2, false)),
+        (10 * MINUTE_MS, Fault::Partition(2, true)),
+        (70 * MINUTE_MS, Fault::Partition(2, false)),
     ];
     for i in 0..10u64 {
-        let at = (15 + 5 * i) * MINUTE;
+        let at = (15 + 5 * i) * MINUTE_MS;
         trace.faults.push((at, Fault::TopUp(0, 50_000, 0)));
         trace.faults.push((at + 1, Fault::TopUp(1, 50_000, 2)));
     }
@@ -177,17 +179,20 @@
 }
 
 fn crash_each_minute(seed: u64) -> Trace {
-    let mut trace = generate("crash each minute", seed, 10 * MINUTE, SMALL_BUDGETS);
+    let mut trace = generate("crash each minute", seed, 10 * MINUTE_MS, SMALL_BUDGETS);
     for i in 1..10u64 {
         let victim = (i as usize * 4) % 9;
-        trace.faults.push((i * MINUTE, Fault::Kill(victim)));
+        trace.faults.push((i * MINUTE_MS, Fault::Kill(victim)));
     }
     trace
 }
 
-/// Demand moves tenfold to other customers within a minute.
+/// Generates a trace in which the demand shifts to other customers after two minutes.
+///
+/// Of the generated requests after that time only those of the first three customers are kept, and
+/// the last three customers send about 50 per second in addition.
 fn demand_shift(seed: u64) -> Trace {
-    let mut trace = generate("season's opening", seed, 10 * MINUTE, SMALL_BUDGETS);
+    let mut trace = generate("season's opening", seed, 10 * MINUTE_MS, SMALL_BUDGETS);
     let shifted = Workload {
         requests_per_sec: 5.0,
         customers: 3,
@@ -197,8 +202,8 @@
     let customers = SMALL_BUDGETS.customers;
     trace
         .arrivals
-        .retain(|a| a.at_ms < 2 * MINUTE || a.account < 3);
-    let mut at = 2 * MINUTE;
+        .retain(|a| a.at_ms < 2 * MINUTE_MS || a.account < 3);
+    let mut at = 2 * MINUTE_MS;
     while at < trace.length_ms {
         at += rng.random_range(0..40);
         let mut arrival = random_arrival(&mut rng, at, shifted);
@@ -214,7 +219,7 @@
     trace
 }
 
-/// A short trace with random faults of every sort, two at once at times.
+/// Generates a short trace with random faults of all kinds, which may overlap.
 pub fn random(seed: u64) -> Trace {
     let mut rng = ChaCha8Rng::seed_from_u64(seed ^ 0x5eed);
     let workload = Workload {
