--- a/crates/trial/tests/seeds.rs
+++ b/crates/trial/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! A fixed small set of randomised runs; `trial random` runs more.
+//! A few randomised runs with fixed seeds; `trial random` runs more.
 
 use trial::{invariants, trace, Policy, Simulation};
 
@@ -16,56 +16,55 @@
     (1..=12).for_each(run);
 }
 
-/// Symptom: an instance panics on "settled 328 of 0".
-/// Sequence: a zone is cut off before a home there has read any record; an entry posts a bill of a
-/// home elsewhere through it.
-/// Cause: a proposal on a stale record looks like an overspend; it must be read again first.
+/// Guards against an instance that panics with "settled 328 of 0". A zone is cut off before a home
+/// there has read any record, and an entry posts a settlement of a holder elsewhere through that
+/// home. A write based on the stale record looks like an overspend, so the record must be read
+/// again first.
 #[test]
-fn stale_record_is_no_overspend() {
+fn stale_record_is_not_taken_for_an_overspend() {
     run(2);
 }
 
-/// Symptom: tokens settled exceed tokens served by one request's.
-/// Sequence: an entry gives a slow home up and asks another; the first one holds as well, thinks the
-/// entry gone, and asks the engine for the run that it was told of.
-/// Cause: both homes were told the same name of the run.
+/// Guards against settling more tokens than were served, by those of one request. An entry gives up
+/// a slow home and asks another one. The first one reserves tokens, too, takes the entry for
+/// unresponsive, and asks the engine for the usage of the attempt that it was told of. Both homes
+/// were told the same attempt id, so it settled the usage of the other home's attempt.
 #[test]
-fn home_given_up_does_not_bill_the_other_ones_run() {
+fn home_given_up_does_not_bill_the_attempt_of_another_home() {
     run(9);
 }
 
-/// Symptom: a request has two bills.
-/// Sequence: two homes run one request in a partition; the first bill leaves the record with older
-/// ones; the second home comes back and posts its own.
-/// Cause: only bills inside the record were looked at.
+/// Guards against two bills for one request. Two homes run a request during a partition, the first
+/// bill is moved from the record to a segment, and the second home comes back and posts its own.
+/// Only the bills in the record were checked.
 #[test]
-fn rolled_bill_stops_a_second_one() {
+fn archived_bill_prevents_a_second_one() {
     run(416);
     run(1640);
 }
 
-/// Symptom: a request was served and has no bill.
-/// Sequence: answers of the platform are lost; a home and the keeper of its copy are killed 6 s apart.
-/// Cause: the keeper waited 20 s before it posted the copy.
+/// Guards against a request that was served but has no bill. Replies of the platform are lost, and
+/// a home and the instance that stores the copy of its settlement are killed 6 s apart. That
+/// instance waited for 20 s before it posted the copy.
 #[test]
-fn copy_is_posted_before_its_keeper_dies() {
+fn copy_is_posted_before_the_instance_that_stores_it_is_killed() {
     run(1481);
 }
 
-/// Symptom: more is served than was paid for, by a few hundred tokens.
-/// Sequence: one write makes joint grants of two accounts; the witness is asked for a step of one.
-/// Cause: both had one key, so a step of one account was counted as a step of the other.
+/// Guards against serving a few hundred tokens more than the top-ups. One write creates joint
+/// grants of two accounts, and the witness is asked to approve a step of one of them. Both grants
+/// had the same key, so a step of one account counted as a step of the other.
 #[test]
-fn joint_grants_of_two_accounts_are_told_apart() {
+fn joint_grants_of_two_accounts_are_distinguished() {
     run(72);
     run(138);
 }
 
-/// Symptom: a holder's sum goes negative after its joint grant was handed back.
-/// Sequence: the write that hands it back is on its way; the witness' answer to a step arrives.
-/// Cause: the step was taken although the write had ended the grant without it.
+/// Guards against a negative balance of a holder whose joint grant was returned. The witness
+/// answers a step while the write that closes the grant is in flight. The step was accepted
+/// although the write returned its tokens.
 #[test]
-fn no_step_is_taken_while_the_grant_is_handed_back() {
+fn no_step_is_accepted_while_the_joint_grant_is_closed() {
     run(17);
     run(121);
 }
