--- a/crates/notice/src/gossip.rs
+++ b/crates/notice/src/gossip.rs
@@ -10,8 +10,8 @@
 /// How many of these peers are in the sender's own availability zone, if it has as many: each zone spreads most notices by
 /// itself, since traffic between zones is expensive.
 pub const SAME_ZONE_FANOUT: usize = 3;
-/// Number of rounds in which a new notice is sent. Datagrams may be lost: of the twelve in all at least one arrives even where
-/// a link drops half of them.
+/// Number of rounds in which a new notice is sent. Datagrams may be lost: of the twelve that carry it at least one almost
+/// always arrives, even where links drop half of them.
 pub const ROUNDS: u8 = 3;
 /// Transient notices are kept for as many upstreams as are listed, but at least this many; the oldest are evicted first.
 const MIN_TRANSIENT: usize = 256;
--- a/crates/relay/src/catch_up.rs
+++ b/crates/relay/src/catch_up.rs
@@ -6,7 +6,7 @@
 
 /// Time within which the readers of the own zone pass a version on while nothing is wrong, in milliseconds.
 const READER_PHASE_MS: u64 = 300;
-/// Time after that in which an instance known to have the version is asked, in milliseconds. Afterwards the store is read.
+/// Length of the next phase, in which a known holder of the version is asked, in milliseconds. Afterwards the store is read.
 const PEER_PHASE_MS: u64 = 300;
 /// The instances of a zone begin to read the store one after another, by rank, this many milliseconds apart: later ones may get
 /// the version from the first ones. The last one begins `MAX_STAGGER_MS` after the first.
@@ -24,7 +24,7 @@
 pub enum CatchUpSource {
     /// The readers of its zone, as usual.
     Readers,
-    /// An instance that has a newer version.
+    /// Another instance, which has or may have a newer version.
     Peer(SocketAddr),
     /// The store.
     Store,
@@ -98,7 +98,7 @@
     }
 
     /// Returns the source to fetch from now. A holder is returned once for each report that it has a newer version: it may have
-    /// got the version in a way that does not let it pass it on.
+    /// obtained the version in a way that does not let it serve it to others.
     pub fn next_source(&mut self, now: u64, store_delay_ms: u64) -> CatchUpSource {
         let source = self.peek_source(now, store_delay_ms);
         if let CatchUpSource::Peer(holder) = source {
--- a/crates/relay/src/readers.rs
+++ b/crates/relay/src/readers.rs
@@ -14,9 +14,9 @@
 const SMALL_ZONE: usize = 6;
 /// Interval at which a reader broadcasts how far it has read, in milliseconds.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 300;
-/// Timeout of heartbeats, in milliseconds, after which three are missing. A follower that received none from a reader that
-/// reaches the store for this time reads the store itself. Together with the time to read it, this is half of the shortest time
-/// within which a change must be in force everywhere.
+/// Timeout of heartbeats, in milliseconds: the time of three. A follower that receives none within it from a reader that
+/// reaches the store reads the store itself. Together with the time to read it, this is half of the shortest time within which
+/// a change must be in force everywhere.
 const READER_TIMEOUT_MS: u64 = 900;
 /// Instances that lose their readers at the same time take over one after another, by rank, this many milliseconds apart, so that
 /// the others receive heartbeats of the first ones.
@@ -71,7 +71,7 @@
 
 /// The latest heartbeat of a reader.
 #[derive(Clone, Debug)]
-struct Received {
+struct ReceivedHeartbeat {
     heartbeat: Heartbeat,
     at: u64,
 }
@@ -83,7 +83,7 @@
     zone_size: usize,
     /// How many of them rank before this one.
     rank: usize,
-    heartbeats: BTreeMap<SocketAddr, Received>,
+    heartbeats: BTreeMap<SocketAddr, ReceivedHeartbeat>,
     /// When this instance started.
     started_at: u64,
     /// When the last heartbeat arrived of a reader that ranks before this instance and reaches the store.
@@ -119,7 +119,7 @@
         self.heartbeats
             .retain(|_, r| now < r.at + READER_TIMEOUT_MS);
         self.heartbeats
-            .insert(from, Received { heartbeat, at: now });
+            .insert(from, ReceivedHeartbeat { heartbeat, at: now });
     }
 
     /// Returns whether a reader that ranks before this instance and reaches the store has sent a heartbeat within the timeout.
@@ -190,37 +190,37 @@
     }
 
     /// Returns where to read a replica for the first time; `many_calls` is whether that takes many calls of the store.
-    /// Followers fetch from a reader or from `neighbour`, any other instance of the zone, depending on a random number: if all
+    /// Followers fetch from a reader or from `zone_peer`, any other instance of the zone, depending on a random number: if all
     /// read the store, or asked the readers, a fleet that starts together would take half a minute.
     pub fn initial_source(
         &self,
         now: u64,
         replica: usize,
         many_calls: bool,
-        neighbour: Option<SocketAddr>,
+        zone_peer: Option<SocketAddr>,
         random: u64,
     ) -> InitialSource {
         let discovered = now >= self.started_at + DISCOVERY_MS;
         if self.role(now) == Role::Reader && (discovered || !many_calls) {
             return InitialSource::Store;
         }
-        let peer = self.pick_peer(now, replica, 0, neighbour, random);
+        let peer = self.pick_peer(now, replica, 0, zone_peer, random);
         peer.map_or(InitialSource::Unavailable, InitialSource::Peer)
     }
 
-    /// Returns an instance whose replica may be known up to a later revision: a reader or `neighbour`, any other instance of the
+    /// Returns an instance whose replica may be known up to a later revision: a reader or `zone_peer`, any other instance of the
     /// zone, depending on a random number.
     pub fn pick_peer(
         &self,
         now: u64,
         replica: usize,
         revision: i64,
-        neighbour: Option<SocketAddr>,
+        zone_peer: Option<SocketAddr>,
         random: u64,
     ) -> Option<SocketAddr> {
         let reader = self.reader_ahead(now, replica, revision);
         let first = reader.filter(|_| random % READER_FIRST_ONE_IN == 0);
-        first.or(neighbour).or(reader)
+        first.or(zone_peer).or(reader)
     }
 
     /// Removes a reader that did not answer, until its next heartbeat.
@@ -229,7 +229,7 @@
     }
 
     /// Returns the heartbeats that were received within the timeout, with their senders.
-    fn recent(&self, now: u64) -> impl Iterator<Item = (&SocketAddr, &Received)> {
+    fn recent(&self, now: u64) -> impl Iterator<Item = (&SocketAddr, &ReceivedHeartbeat)> {
         self.heartbeats
             .iter()
             .filter(move |(_, r)| now < r.at + READER_TIMEOUT_MS)
--- a/crates/relay/src/replica.rs
+++ b/crates/relay/src/replica.rs
@@ -115,7 +115,7 @@
         if revision <= self.revision {
             return;
         }
-        // No deletions before the first list are known.
+        // Deletions before the first list are not known.
         let is_first = self.revision == 0;
         let listed: BTreeSet<&str> = entries.iter().map(|e| e.key.as_str()).collect();
         let live = self.keys.iter().filter(|(_, state)| state.value.is_some());
@@ -134,8 +134,8 @@
             let known = self.keys.get(entry.key.as_str());
             let known = known.and_then(|state| state.value.as_deref());
             if known != entry.value.as_deref() {
-                // Recorded at the list's revision: only an instance that has read up to this list is known to have the change,
-                // whenever it was written.
+                // Recorded at the list's revision, whenever the change was written: an instance with an older revision may lack
+                // it.
                 self.apply(&Entry {
                     revision,
                     ..entry.clone()
@@ -161,7 +161,7 @@
             }
             Delta::All(entries) => self.apply_list(entries, revision),
         }
-        // Also if nothing differs: otherwise the same delta would be fetched again and again.
+        // The revision advances even if nothing differs: otherwise the same delta would be fetched again and again.
         self.advance_to(revision);
     }
 
--- a/crates/relay/tests/catch_up.rs
+++ b/crates/relay/tests/catch_up.rs
@@ -118,16 +118,16 @@
 /// Guards against an instance that asks only its own zone while the whole zone lacks a version: a known holder in another zone
 /// comes first.
 #[test]
-fn a_holder_in_another_zone_comes_before_neighbours_that_may_lack_the_version() {
-    let (neighbour, holder) = (addr(2), addr(9));
+fn a_holder_in_another_zone_comes_before_zone_peers_that_may_lack_the_version() {
+    let (zone_peer, holder) = (addr(2), addr(9));
     let mut catch_up = CatchUp::default();
     catch_up.set_current(7);
     catch_up.record_version(0, 9);
     catch_up.add_holder(holder, 9, false);
-    let peer = Some(neighbour);
+    let peer = Some(zone_peer);
     assert_eq!(
         catch_up.alternative_source(100, 0, peer),
-        CatchUpSource::Peer(neighbour)
+        CatchUpSource::Peer(zone_peer)
     );
     assert_eq!(
         catch_up.alternative_source(350, 0, peer),
@@ -136,7 +136,7 @@
     // The holder did not answer.
     assert_eq!(
         catch_up.alternative_source(400, 0, peer),
-        CatchUpSource::Peer(neighbour)
+        CatchUpSource::Peer(zone_peer)
     );
     assert_eq!(
         catch_up.alternative_source(700, 0, peer),
--- a/crates/relay/tests/readers.rs
+++ b/crates/relay/tests/readers.rs
@@ -31,7 +31,7 @@
 /// A zone in which heartbeats arrive at once.
 struct Zone {
     instances: Vec<Readers>,
-    /// Instances that send no heartbeats: they are frozen, dead or partitioned.
+    /// Instances that send no heartbeats: they are frozen, crashed or partitioned.
     silent: Vec<usize>,
     /// Instances that can't reach the store.
     store_unreachable: Vec<usize>,
--- a/crates/relay/tests/start.rs
+++ b/crates/relay/tests/start.rs
@@ -8,7 +8,7 @@
 
 use crate::common::{addr, broadcast_heartbeat, index, names, zone};
 
-/// Time within which service must be restored after a loss of all instances, in milliseconds.
+/// Time within which service must be restored after a failure of all instances, in milliseconds.
 const RECOVERY_MS: u64 = 18_000;
 /// Size of the list of ten thousand upstreams, in bytes.
 const LIST_BYTES: u64 = 3_000_000;
@@ -83,10 +83,10 @@
 
     fn choose_source(&mut self, now: u64, i: usize) {
         let count = self.states.len();
-        let neighbour = (i + self.rng.random_range(1..count)) % count;
+        let zone_peer = (i + self.rng.random_range(1..count)) % count;
         let random = self.rng.random();
         self.states[i] =
-            match self.readers[i].initial_source(now, 0, true, Some(addr(neighbour)), random) {
+            match self.readers[i].initial_source(now, 0, true, Some(addr(zone_peer)), random) {
                 InitialSource::Store => {
                     self.store_reads += 1;
                     State::Reading(now + STORE_READ_MS)
@@ -168,7 +168,7 @@
         let first = zone.first_page.iter().flatten().max().copied();
         let first = first.expect("each instance has a first page");
         println!(
-            "{count} a zone: {} lists, {first} ms, {took} ms",
+            "{count} instances: {} lists read, first page after {first} ms, all after {took} ms",
             zone.store_reads
         );
         let max_reads = if count > 6 { 2 } else { count };
--- a/crates/relay/tests/version.rs
+++ b/crates/relay/tests/version.rs
@@ -82,8 +82,8 @@
         let readers = &self.readers[i];
         let store_delay_ms = CatchUp::store_delay_ms(readers.rank(), readers.zone_size());
         let count = self.states.len();
-        let neighbour = (i + self.rng.random_range(1..count)) % count;
-        let peer = readers.pick_peer(now, 0, 7, Some(addr(neighbour)), self.rng.random());
+        let zone_peer = (i + self.rng.random_range(1..count)) % count;
+        let peer = readers.pick_peer(now, 0, 7, Some(addr(zone_peer)), self.rng.random());
         let peer = match self.catch_ups[i].alternative_source(now, store_delay_ms, peer) {
             CatchUpSource::Peer(peer) => index(peer),
             CatchUpSource::Store => {
@@ -91,7 +91,7 @@
                 self.states[i] = State::Done;
                 return;
             }
-            CatchUpSource::Readers => panic!("a neighbour is always known"),
+            CatchUpSource::Readers => panic!("a zone peer is always known"),
         };
         let done = self.states[peer] == State::Done;
         let id = self.rng.random();
@@ -147,7 +147,7 @@
         }
         let took = took.expect("all instances have the version");
         println!(
-            "{count} a zone: {took} ms, {} read the store",
+            "{count} instances: {took} ms, {} read the store",
             zone.store_reads
         );
         assert!(took <= 2 * HALF_BOUND_MS, "{count}: {took} ms");
