--- a/crates/oriolehitch/src/dev.rs
+++ b/crates/oriolehitch/src/dev.rs
@@ -94,7 +94,7 @@
     models.sort();
     models.dedup();
     for (i, zone) in ZONES.iter().take(2).enumerate() {
-        let setup = engine::Options {
+        let options = engine::Options {
             addr: loopback_addr(None),
             name: format!("engine-{}", i + 1),
             zone: (*zone).to_string(),
@@ -104,17 +104,17 @@
             platform: Some(platform.to_string()),
             enforce_fencing: true,
         };
-        StubEngine::bind(setup).await.map_err(|e| anyhow!(e))?;
+        StubEngine::bind(options).await.map_err(|e| anyhow!(e))?;
     }
     for name in services {
-        let setup = service::Options {
+        let options = service::Options {
             addr: loopback_addr(None),
             name: format!("{name}-1"),
             zone: ZONES[0].to_string(),
             service: name,
             platform: Some(platform.to_string()),
         };
-        StubService::bind(setup).await.map_err(|e| anyhow!(e))?;
+        StubService::bind(options).await.map_err(|e| anyhow!(e))?;
     }
     Ok(())
 }
--- a/crates/oriolehitch/src/stubs.rs
+++ b/crates/oriolehitch/src/stubs.rs
@@ -25,7 +25,7 @@
     let bound = match flags.subcommand {
         StubCmd::Platform(cmd) => StubPlatform::bind(loopback_addr(cmd.port)).await,
         StubCmd::Engine(cmd) => {
-            let setup = engine::Options {
+            let options = engine::Options {
                 addr: loopback_addr(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
@@ -35,17 +35,17 @@
                 platform: cmd.platform,
                 enforce_fencing: !cmd.unfenced,
             };
-            StubEngine::bind(setup).await
+            StubEngine::bind(options).await
         }
         StubCmd::Service(cmd) => {
-            let setup = service::Options {
+            let options = service::Options {
                 addr: loopback_addr(cmd.port),
                 name: cmd.name,
                 zone: cmd.zone,
                 service: cmd.service,
                 platform: cmd.platform,
             };
-            StubService::bind(setup).await
+            StubService::bind(options).await
         }
     };
     let handle = bound.map_err(|e| anyhow!(e))?;
--- a/crates/relay/tests/start.rs
+++ b/crates/relay/tests/start.rs
@@ -26,7 +26,7 @@
 /// Length of a step of the simulation, in milliseconds.
 const STEP_MS: u64 = 10;
 
-/// What an instance does until it knows the list.
+/// State of a simulated instance that fetches the list of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// It chooses a source at this time.
@@ -83,10 +83,10 @@
 
     fn choose_source(&mut self, now: u64, i: usize) {
         let count = self.states.len();
-        let neighbour = (i + self.rng.random_range(1..count)) % count;
+        let zone_peer = (i + self.rng.random_range(1..count)) % count;
         let random = self.rng.random();
         self.states[i] =
-            match self.readers[i].initial_source(now, 0, true, Some(addr(neighbour)), random) {
+            match self.readers[i].initial_source(now, 0, true, Some(addr(zone_peer)), random) {
                 InitialSource::Store => {
                     self.store_reads += 1;
                     State::Reading(now + STORE_READ_MS)
--- a/crates/route/tests/decide.rs
+++ b/crates/route/tests/decide.rs
@@ -92,7 +92,7 @@
     let wait =
         |queue: &mut Queue, priority| match queue.admit(0, &Capacity::uniform(0), priority, 60_000)
         {
-            AdmissionDecision::Wait(ticket) => ticket,
+            AdmissionDecision::Wait(waiter) => waiter,
             other => panic!("{other:?}"),
         };
     let low = wait(&mut queue, 1);
