--- a/crates/entry/src/budget_task.rs
+++ b/crates/entry/src/budget_task.rs
@@ -440,7 +440,8 @@
 
 fn send_reply<T>(pending: &mut BTreeMap<u64, oneshot::Sender<T>>, reply_to: u64, reply: T) {
     if let Some(tx) = pending.remove(&reply_to) {
-        // The requester may have stopped waiting; its own timeout handles that case.
+        // Fails if the task that awaits the reply was cancelled. A peer that called this instance has its
+        // own timeout for that case.
         let _ = tx.send(reply);
     }
 }
--- a/crates/entry/src/messages.rs
+++ b/crates/entry/src/messages.rs
@@ -14,7 +14,7 @@
     /// The reservation.
     #[serde(rename = "req")]
     pub request: ReserveRequest,
-    /// How long the requester waits, in milliseconds.
+    /// How long the entry instance waits for the tokens, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -30,7 +30,7 @@
     pub attempt: AttemptRef,
     /// Additional tokens.
     pub tokens: u64,
-    /// How long the requester waits, in milliseconds.
+    /// How long the entry instance waits for the tokens, in milliseconds.
     pub wait_ms: u64,
 }
 
@@ -116,15 +116,15 @@
     pub leaving_upstreams: Vec<String>,
 }
 
-/// Requests the active configuration.
+/// Requests the active configuration of a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PullConfigMsg {
-    /// Hashes of the chunks that the requester has.
+    /// Hashes of the chunks that the sender has.
     #[serde(rename = "have")]
     pub chunk_hashes: Vec<String>,
 }
 
-/// A configuration without the chunks that the requester has.
+/// Reply to a [`PullConfigMsg`]: the active configuration without the chunks listed in the message.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PullConfigReply {
     /// The head; none if the instance has no configuration yet.
--- a/crates/kv/src/store.rs
+++ b/crates/kv/src/store.rs
@@ -28,8 +28,8 @@
 pub enum Consistency {
     /// The result contains every write that was acknowledged before the read.
     Linearizable,
-    /// The result may be seconds old. It costs the store less, and is returned even if request rates are
-    /// used up. A watch from its revision returns what it lacks.
+    /// The result may be seconds old. The read costs the store less, and succeeds even if request rate
+    /// limits are exhausted. A watch from the result's revision returns the later changes.
     Serializable,
 }
 
--- a/crates/oriolehitch/src/calls.rs
+++ b/crates/oriolehitch/src/calls.rs
@@ -28,7 +28,7 @@
     log_report::run_report(&cmd.logs, cmd.json, &columns, |lines| rows(lines, every))
 }
 
-/// Returns a row for each kind of call or, with `every`, for each kind in each interval of so many seconds.
+/// Returns a row for each kind of call or, if `every` is given, for each kind in each interval of `every` seconds.
 fn rows(lines: &[(String, LogLine)], every: Option<u64>) -> Vec<Value> {
     let first = &lines[0].1;
     let mut previous: BTreeMap<&str, Counts> = BTreeMap::new();
--- a/crates/oriolehitch/src/flags.rs
+++ b/crates/oriolehitch/src/flags.rs
@@ -109,7 +109,8 @@
         cmd calls {
             /// Log files in JSON: of one instance each, or of several with the instance's name before each line.
             repeated logs: PathBuf
-            /// Prints rows for each interval of so many seconds; calls count when the instance logs them.
+            /// Length of the interval of a row, in seconds; a single interval if not given. Calls count when the instance
+            /// logs them.
             optional --every secs: u64
             /// Prints JSON.
             optional --json
@@ -159,7 +160,7 @@
                 optional --step-ms ms: u64
                 /// Maximum number of requests in the batch; 32 if not given.
                 optional --slots count: usize
-                /// Obeys orders regardless of their fencing number.
+                /// Accepts version orders regardless of their fencing number.
                 optional --unfenced
             }
             /// Stub of a plain service.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -77,7 +77,7 @@
     pub u64,
 );
 
-/// What an instance sends to another one about members.
+/// A gossip update about members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MembershipUpdate {
     /// The sender first, then recently changed instances.
@@ -209,7 +209,7 @@
         changed
     }
 
-    /// Adds the instances of the instance list that are not known yet. The list does not tell whether
+    /// Adds the instances of the instance list that are not known yet. The list does not show whether
     /// the known ones are running.
     pub fn add_listed(&mut self, now: u64, listed: Vec<Member>) {
         for member in listed {
--- a/crates/place/src/cost.rs
+++ b/crates/place/src/cost.rs
@@ -52,8 +52,8 @@
 
 /// The upstreams to which all instances send prompts with the same prefix.
 ///
-/// Each instance sees only a part of the requests. If each of them went by what it had sent itself, as
-/// many engines as there are instances would prefill the same prefix.
+/// Each instance sees only a part of the requests. If each chose by its own requests alone, the same
+/// prefix would be prefilled on as many engines as there are instances.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PrefixAffinity {
     primary: Option<UpstreamKey>,
--- a/crates/place/src/upstream.rs
+++ b/crates/place/src/upstream.rs
@@ -166,8 +166,8 @@
     /// Its health.
     pub health: Health,
     pub(crate) prefix_cache: PrefixCache,
-    /// Whether it restarted while it was listed: it has cached only what it was sent since, even of the
-    /// prefixes that all instances send to it.
+    /// Whether it restarted while it was listed. Its prefix cache then contains only what was sent to it
+    /// since the restart, even for prefixes of which it is the primary upstream.
     pub(crate) restarted: bool,
     /// Hash of its name: its rank stays the same across restarts.
     name_hash: u64,
--- a/crates/proxy/src/budgets/records.rs
+++ b/crates/proxy/src/budgets/records.rs
@@ -26,8 +26,8 @@
 
 impl Budgets {
     /// Returns the customers whose records should be read: those never read, if the customer is in
-    /// use here or has its home here, and those that are too old, if waiting requests lack more
-    /// tokens than were free.
+    /// use here or has its home here, and those that are too old, if the customer's
+    /// shortfall exceeds the tokens that were free at the last read.
     ///
     /// An instance of a large fleet is not the home of most customers: it draws their tokens from
     /// other instances and does not need their records.
--- a/crates/proxy/src/budgets/refill.rs
+++ b/crates/proxy/src/budgets/refill.rs
@@ -123,8 +123,8 @@
         tokio::join!(update, self.request_shortfalls_until(&ended));
     }
 
-    /// Asks other instances for what waiting requests lack, and again at each request for a refill,
-    /// until `ended` is set.
+    /// Requests the shortfalls of customers from other instances, and again at each request for a
+    /// refill, until `ended` is set.
     ///
     /// A call is never cancelled: the tokens that the other instance has debited would be lost.
     async fn request_shortfalls_until(&self, ended: &AtomicBool) {
--- a/crates/proxy/src/follower.rs
+++ b/crates/proxy/src/follower.rs
@@ -316,7 +316,7 @@
         self.compacted = false;
         self.relist_at = Instant::now() + RELIST_INTERVAL;
         if known == 0 && self.priority_prefix.is_some() {
-            // Instances that start together are all listed by then.
+            // After this delay, all instances that started together are listed.
             self.next_watch_at = Instant::now() + FIRST_WATCH_DELAY;
             self.watch_priority_next = true;
         }
--- a/crates/proxy/src/instance.rs
+++ b/crates/proxy/src/instance.rs
@@ -343,7 +343,7 @@
             all_ended = timeout_at(serve_until, self.wait_idle()).await.is_ok();
         }
         let returned = timeout(CLEANUP_PERIOD / 2, router.budgets.release_all()).await == Ok(true);
-        // If the lease is not ended by then, it expires.
+        // If the lease is not ended in time, it expires.
         let _ = timeout(CLEANUP_PERIOD / 4, router.fleet.deregister()).await;
         self.store_calls.log_totals(&router.log);
         let detail = format_args!("cut={} handed_back={returned}", self.in_flight());
--- a/crates/proxy/src/suspects.rs
+++ b/crates/proxy/src/suspects.rs
@@ -22,8 +22,8 @@
 use crate::refusal::Refusal;
 use crate::suspect_gossip::PeerNetwork;
 
-/// Delay between a broken connection and the check whether the upstream has crashed: by then the
-/// port of a crashed process is closed.
+/// Delay between a broken connection and the check whether the upstream has crashed. The port of a
+/// crashed process is closed within this time.
 const CRASH_CHECK_DELAY: Duration = Duration::from_millis(30);
 /// Timeout of the check, and delay before it is repeated if it had no result.
 const CRASH_CHECK_RETRY_DELAY: Duration = Duration::from_secs(1);
--- a/crates/relay/src/catch_up.rs
+++ b/crates/relay/src/catch_up.rs
@@ -19,7 +19,7 @@
 /// Maximum number of missing versions that are remembered.
 const MAX_MISSING: usize = 8;
 
-/// Where an instance fetches a version that it lacks.
+/// Source from which an instance fetches a missing version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CatchUpSource {
     /// The readers of its zone, as usual.
@@ -30,7 +30,7 @@
     Store,
 }
 
-/// The versions that an instance lacks, and the instances that have them.
+/// The versions missing at an instance, and the instances that have them.
 #[derive(Clone, Debug, Default)]
 pub struct CatchUp {
     /// The version in force at this instance.
@@ -74,7 +74,7 @@
         self.holders.truncate(MAX_HOLDERS);
     }
 
-    /// Removes a holder, for example one that did not answer.
+    /// Removes a holder, for example one that did not respond.
     pub fn remove_holder(&mut self, holder: SocketAddr) {
         self.holders.retain(|(h, _)| *h != holder);
     }
--- a/crates/relay/src/replica.rs
+++ b/crates/relay/src/replica.rs
@@ -6,8 +6,8 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Tombstones are kept for as many deleted keys as there are live keys, but at least for this many. An instance that lacks an
-/// older deletion gets all keys.
+/// Tombstones are kept for as many deleted keys as there are live keys, but at least for this many. An instance that does
+/// not know an older deletion receives all keys.
 const MIN_TOMBSTONES: usize = 256;
 /// Size of the keys and values at which a page is complete, in bytes: a dozen pages at once pass a narrow link well within the
 /// timeout of a call.
@@ -27,7 +27,7 @@
     pub revision: i64,
 }
 
-/// What an instance that knows all changes up to some revision needs to catch up with a replica.
+/// Update from a replica for an instance that knows all changes up to a given revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Delta {
     /// The latest change of each key that has changed since that revision, oldest first.
@@ -170,7 +170,7 @@
         self.revision = self.revision.max(revision);
     }
 
-    /// Returns what an instance that knows all changes up to a revision needs to catch up with this replica.
+    /// Returns the delta for an instance that knows all changes up to a revision.
     pub fn delta_since(&self, revision: i64) -> Delta {
         let mut page = self.delta_page(revision, None);
         while let Some(next) = page.next {
--- a/crates/relay/tests/version.rs
+++ b/crates/relay/tests/version.rs
@@ -24,7 +24,7 @@
 /// Length of a step of the simulation, in milliseconds.
 const STEP_MS: u64 = 5;
 
-/// What an instance does until it has the version.
+/// State of a simulated instance that fetches the version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// It chooses a source at this time.
--- a/crates/web/src/lib.rs
+++ b/crates/web/src/lib.rs
@@ -20,9 +20,9 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-/// Time in which a caller must send the body.
+/// Timeout for receiving the body of a request.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time in which a caller must send the headers.
+/// Timeout for receiving the headers of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 /// Maximum number of chunks of a streamed response that are buffered for a slow caller.
 const STREAM_BUFFER: usize = 32;
@@ -212,7 +212,7 @@
     }
 }
 
-/// Handle on a running listener.
+/// Handle to a running listener.
 #[derive(Clone)]
 pub struct ServerHandle {
     addr: SocketAddr,
