--- a/crates/relay/tests/start.rs
+++ b/crates/relay/tests/start.rs
@@ -26,7 +26,7 @@
 /// Length of a step of the simulation, in milliseconds.
 const STEP_MS: u64 = 10;
 
-/// What an instance does until it knows the list.
+/// State of a simulated instance that fetches the list of upstreams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
     /// It chooses a source at this time.
