--- a/crates/trial/src/actions.rs
+++ b/crates/trial/src/actions.rs
@@ -236,8 +236,8 @@
 
     /// Sends the reply to a recall.
     ///
-    /// The reply is matched with the oldest open recall between the two nodes. Its number of tokens
-    /// is cumulative, so a lost reply does no harm.
+    /// The reply is matched with the oldest open recall between the two nodes, whatever its account.
+    /// The number of tokens is cumulative, so a lost reply does no harm.
     pub(crate) fn send_recall_reply(
         &mut self,
         node: usize,
--- a/crates/trial/src/entry.rs
+++ b/crates/trial/src/entry.rs
@@ -84,7 +84,7 @@
     pub(crate) fn request_reservation(&mut self, cx: usize) {
         let home_index = self.contexts[cx].home_index;
         let entry = self.contexts[cx].entry;
-        // A home that was given up may still cancel the attempt that it was told of.
+        // Each home is told of another attempt: one that was given up may still cancel its own.
         let id = &self.requests[self.contexts[cx].request].id;
         self.contexts[cx].attempt_ref = attempt_ref(id, cx, home_index);
         let Some(home) = self.contexts[cx].homes.get(home_index).copied() else {
@@ -206,8 +206,8 @@
                 self.contexts[cx].attempt = self.attempts_by_id.get(&attempt_ref.id).copied();
                 self.contexts[cx].attempt_ref = attempt_ref;
                 if self.contexts[cx].attempt.is_none() {
-                    // The request is reserved but was not sent to an engine: another entry is
-                    // working on it.
+                    // The request is reserved, but no attempt of it has started as far as known:
+                    // another entry is taken to be working on it.
                     self.contexts[cx].phase = Phase::Ended;
                     let request = self.contexts[cx].request;
                     self.schedule(self.now + 3_000, SimEvent::CallerRetry { request });
--- a/crates/trial/src/fault.rs
+++ b/crates/trial/src/fault.rs
@@ -10,7 +10,7 @@
 /// A fault, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Kills an instance, which restarts some seconds later.
+    /// Kills an instance, which restarts some seconds later as a new incarnation.
     Kill(usize),
     /// Pauses an instance for a time, in milliseconds.
     Pause(usize, u64),
